--- a/internal/journal/fault_test.go
+++ b/internal/journal/fault_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// brokenDisk makes writes to a log fail, by handing its segment a descriptor that is
-// open for reading only, and returns what repairs it.
+// brokenDisk makes writes to a log fail by giving its newest segment a file that is open
+// for reading only. It returns a function that undoes this and retries the writes.
 func brokenDisk(t *testing.T, l *Log) (repair func()) {
 	t.Helper()
 	l.mu.Lock()
@@ -31,7 +31,7 @@
 	}
 }
 
-// churn writes and ends so many messages that every older segment is cleaned away.
+// churn records and ends so many messages that every older segment is removed.
 func churn(l *Log, most int64, from uint64) {
 	body := make([]byte, 2000)
 	for seq := from; int64(seq-from)*int64(len(body)) < 3*most; seq++ {
@@ -41,9 +41,9 @@
 	}
 }
 
-// Guards against a request answered 429 that is forwarded by the next process: its record
-// reached the disk behind a failed write, counted as live although it had ended, and was
-// carried forward past the record of its end.
+// Guards against a message that was refused (429) and is forwarded by the next process:
+// its record was written late, after a failed write, counted as live although the message
+// had ended, and was copied to a segment after that of its end.
 func TestEndedWhileWritesFailIsNotCarriedForward(t *testing.T) {
 	const most = 256 << 10
 	dir := t.TempDir()
@@ -56,12 +56,13 @@
 	churn(l, most, 2)
 	_, k := openLog(t, dir, most)
 	if slices.ContainsFunc(k.Messages, func(m Message) bool { return m.Seq == 1 }) {
-		t.Error("a message that was refused is held by the next run")
+		t.Error("the next run still holds a message that was refused")
 	}
 }
 
-// Guards against a request answered 202 that is neither delivered nor ended: its record was
-// cleaned away while that of its end still waited in memory, and a kill came in between.
+// Guards against an accepted message (202) that gets no final answer: its record was
+// removed while the record of its end still waited in memory, and then the process was
+// killed.
 func TestMessageStaysUntilItsEndIsOnDisk(t *testing.T) {
 	const most = 256 << 10
 	dir := t.TempDir()
@@ -73,19 +74,20 @@
 	live := l.live[string(seqKey(kindMessage, 1))] != nil
 	l.mu.Unlock()
 	if !live {
-		t.Error("the message may be cleaned away before its end is on disk")
+		t.Error("the record of the message may be removed before that of its end is on disk")
 	}
 	if _, k := openLog(t, dir, most); len(k.Messages) != 1 {
-		t.Errorf("a kill leaves %d messages, want the one that is owed its end", len(k.Messages))
+		t.Errorf("after a kill: %d messages, want the one without a final answer", len(k.Messages))
 	}
 	repair()
 	if _, k := openLog(t, dir, most); len(k.Messages) != 0 || len(k.Ends) != 1 {
-		t.Errorf("after the repair %d messages and %d ends, want the end alone", len(k.Messages), len(k.Ends))
+		t.Errorf("after the repair: %d messages and %d ends, want the end alone", len(k.Messages), len(k.Ends))
 	}
 }
 
-// Guards against answers that were told and are not on disk: any life of messages over a
-// disk that fails by moments, opened anew without a close, has what Then said was down.
+// Guards against answers that were sent but are not on disk. Random messages are recorded
+// while writes fail now and then. The log is reopened without a close, as after a kill,
+// and must hold all that Then reported as written.
 func TestWhatWasToldSurvivesFailingWrites(t *testing.T) {
 	const most = 192 << 10
 	for seed := range uint64(20) {
@@ -94,7 +96,7 @@
 		l, _ := openLog(t, dir, most)
 		var open []uint64
 		var mu sync.Mutex
-		taken, ended := map[uint64]bool{}, map[uint64]bool{} // as told
+		taken, ended := map[uint64]bool{}, map[uint64]bool{} // as reported by Then
 		told := func(what map[uint64]bool, seq uint64) {
 			mark := func() {
 				mu.Lock()
@@ -132,12 +134,12 @@
 		held := map[uint64]bool{}
 		for _, m := range k.Messages {
 			if held[m.Seq] = true; ended[m.Seq] {
-				t.Fatalf("seed %d: message %d was told its end and is held", seed, m.Seq)
+				t.Fatalf("seed %d: message %d was reported as ended and is still held", seed, m.Seq)
 			}
 		}
 		for _, seq := range open {
 			if taken[seq] && !held[seq] {
-				t.Fatalf("seed %d: message %d was taken, has no end and is gone", seed, seq)
+				t.Fatalf("seed %d: message %d was reported as recorded, has not ended and is lost", seed, seq)
 			}
 		}
 		mu.Unlock()
@@ -145,8 +147,9 @@
 	}
 }
 
-// Guards against a segment that counts as damaged, with what stands behind the damage lost:
-// a write that failed left a part of its record, of which os.File does not tell.
+// Guards against records lost behind a partial one: a failed write left part of its record
+// in the file although os.File reported 0 bytes, and so the segment counted as damaged
+// from there on.
 func TestPartOfARecordIsCutOff(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openLog(t, dir, 1<<20)
@@ -162,7 +165,7 @@
 		t.Fatal(err)
 	}
 	defer part.Close()
-	if _, err := part.WriteAt(make([]byte, 4000), size); err != nil { // more than the record that follows covers
+	if _, err := part.WriteAt(make([]byte, 4000), size); err != nil { // longer than the next record
 		t.Fatal(err)
 	}
 	repair()
@@ -178,8 +181,9 @@
 	}
 }
 
-// Guards against a request answered 503 that a later process forwards: its record was taken back while a part of it
-// stood on disk and could not be cut off, shorter records followed over that part, and then came a kill.
+// Guards against a message that was refused (503) and is forwarded by a later process: its
+// record was withdrawn while a part of it was on disk and could not be truncated, shorter
+// records overwrote the start of that part, and then the process was killed.
 func TestTakenBackIsUnknownAfterAKill(t *testing.T) {
 	for _, shorter := range []bool{false, true} {
 		dir := t.TempDir()
@@ -203,7 +207,7 @@
 			t.Fatal(err)
 		}
 		if !l.Cancel(2) {
-			t.Fatal("its record waits, and it is not taken back")
+			t.Fatal("Cancel failed although the record waits to be written")
 		}
 		want := 1
 		if shorter {
@@ -213,7 +217,8 @@
 		}
 		_, k := openLog(t, dir, 1<<20)
 		if slices.ContainsFunc(k.Messages, func(m Message) bool { return m.Seq == 2 }) || len(k.Messages) != want {
-			t.Errorf("shorter record after it %v: %d messages are known, want %d without the one taken back", shorter, len(k.Messages), want)
+			t.Errorf("shorter record after it %v: %d messages, want %d without the withdrawn one",
+				shorter, len(k.Messages), want)
 		}
 	}
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -17,66 +17,68 @@
 	"golang.org/x/sys/unix"
 )
 
-// Options of a Journal.
+// Options configures a Journal.
 type Options struct {
 	Dir  string
-	FS   vfs.FS // nil for the machine's
-	Most int64  // bytes on disk; past them there is no Room
-	// Queue is how many bytes may wait to be written; past them there is no Room.
+	FS   vfs.FS // file system; nil for that of the machine
+	Most int64  // limit on the bytes on disk, above which Room reports false; 0 for no limit
+	// Queue limits the bytes that wait to be written. At the limit Room reports false.
 	Queue int
-	// NoSync leaves records to the operating system: they survive the process, not
-	// the machine. For measurements.
+	// NoSync leaves it to the operating system when records reach the disk: they
+	// survive the end of the process, but not of the machine. It is meant for
+	// measurements.
 	NoSync bool
-	// Broken is told, once, that a write or sync failed. Nothing is written any
-	// more and nothing that waits is done: what a disk said after that is not to be
-	// trusted, and the process is to end and recover.
+	// Broken is called once, when a write or sync fails. After that the journal writes
+	// nothing and calls no function given to Then: what a disk reports after a failed
+	// write can't be trusted, so the process must end and recover from what is on disk.
 	Broken func(error)
-	// Now tells the clocks at the start, Clock the machine's alone; nil for the machine's.
+	// Now returns the clocks at the start of the run, and Clock the time since the
+	// machine booted, in ns; nil for the clocks of the machine.
 	Now   func() Run
 	Clock func() int64
 }
 
-// op is one change.
+// op is one change of the store: a key that is set or deleted, or a deleted range of keys.
 type op struct {
-	key, value []byte // no value: the key goes
-	end        []byte // all keys from key to before end go
+	key, value []byte // without a value, the key is deleted
+	end        []byte // if set, all keys from key up to but not including end are deleted
 }
 
-// Journal is safe for concurrent use.
+// Journal stores records in a pebble database. It is safe for concurrent use.
 type Journal struct {
 	opt Options
 	db  *pebble.DB
 	run Run
 
 	mu     sync.Mutex
-	ops    []op
-	bytes  int
-	done   []func()
-	wake   *sync.Cond
-	closed bool
-	broken error
-	over   chan struct{}
-	full   bool
-	stats  Stats
-	group  uint64         // number of the last one
-	mark   vfs.File       // which says that it was on disk
-	ends   map[string]End // by identity: those that may still be changed
+	ops    []op           // waiting for the writer
+	bytes  int            // size of the ops that aren't on disk yet
+	done   []func()       // to be called once the ops before them are on disk
+	wake   *sync.Cond     // signals the writer
+	closed bool           // Close was called
+	broken error          // first failure of a write or sync
+	over   chan struct{}  // closed when the writer has returned
+	full   bool           // the limit on disk use is exceeded
+	stats  Stats          // of this run
+	group  uint64         // number of the last group
+	mark   vfs.File       // holds the number of the last group that was synced
+	ends   map[string]End // final answers that may still be updated, by identity
 }
 
-// Stats of a run.
+// Stats counts what a run wrote.
 type Stats struct {
 	Groups  uint64 `json:"groups"`
 	Records uint64 `json:"records"`
-	Bytes   uint64 `json:"bytes"` // of records
-	Disk    uint64 `json:"disk_bytes"`
+	Bytes   uint64 `json:"bytes"`      // size of the records
+	Disk    uint64 `json:"disk_bytes"` // bytes on disk now
 }
 
 // Kept is everything that a journal held when it was opened.
 type Kept struct {
-	Runs     map[uint32]Run
-	Now      Run // this run
-	Messages []Message
-	Attempts map[uint64][]Attempt
+	Runs     map[uint32]Run       // by number, the run that opened the journal included
+	Now      Run                  // run that opened the journal
+	Messages []Message            // without a final answer
+	Attempts map[uint64][]Attempt // by the message's number
 	Ends     []End
 	Waits    []Wait
 	Sessions []Session
@@ -84,7 +86,8 @@
 	Last     uint64 // highest number of a message
 }
 
-// refers tells whether a record is dated by a run; one that none is, is forgotten.
+// refers reports whether the stamp of any record refers to a run. Runs without such a
+// record are deleted.
 func (k *Kept) refers(run uint32) bool {
 	is := func(s Stamp) bool { return s.Run == run }
 	for _, l := range k.Attempts {
@@ -98,15 +101,17 @@
 		slices.ContainsFunc(k.Sessions, func(s Session) bool { return is(s.At) })
 }
 
-// ErrDamaged says that records which were on disk are missing. The library takes a
-// damaged log for one whose end was torn off by a crash, and opens without its
-// rest; the mark beside it tells. To go on with what is left, remove the mark.
+// ErrDamaged reports that records which were on disk are missing. Pebble can't tell a
+// damaged log from one whose end was torn off by a crash: it opens without the rest of
+// it. The mark file beside the database reveals that. To continue with the records that
+// are left, remove the mark file.
 var ErrDamaged = errors.New("journal: records that were on disk are missing")
 
-// ErrLocked says that another process has the journal.
-var ErrLocked = errors.New("journal: another process has this directory")
+// ErrLocked reports that another process has the journal open.
+var ErrLocked = errors.New("journal: another process has the directory open")
 
-// quiet keeps the library's words to errors; a fatal one breaks the journal.
+// quiet is pebble's logger. It discards messages, and treats a fatal error as a failed
+// write of the journal.
 type quiet struct{ j *Journal }
 
 func (quiet) Infof(string, ...any)  {}
@@ -116,23 +121,24 @@
 		panic(fmt.Sprintf("journal: "+f, v...))
 	}
 	q.j.fail(fmt.Errorf("journal: "+f, v...))
-	select {} // the library must not go on; the process is about to end
+	select {} // pebble must not continue; the process is about to end
 }
 
-// machine reads the clocks of the machine.
+// machine returns a run that starts now by the clocks of the machine.
 func machine() Run {
 	boot, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	return Run{Boot: strings.TrimSpace(string(boot)), Clock: clock(), Wall: time.Now().UnixNano()}
 }
 
-// clock goes on while the machine sleeps, and starts anew with it.
+// clock returns the ns since the machine booted, including the time that it was
+// suspended.
 func clock() int64 {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
 	return t.Nano()
 }
 
-// Open opens or makes a journal and reads what it holds.
+// Open opens or creates a journal and returns what it holds.
 func Open(opt Options) (*Journal, *Kept, error) {
 	if opt.FS == nil {
 		opt.FS = vfs.Default
@@ -184,7 +190,7 @@
 	return j, kept, nil
 }
 
-// Read reads a journal that no process has open; nothing in it changes.
+// Read returns what a journal holds that no process has open. It changes nothing in it.
 func Read(dir string) (*Kept, error) {
 	j := &Journal{opt: Options{Dir: dir, FS: vfs.Default}, ends: map[string]End{}}
 	if _, err := os.Stat(dir); err != nil {
@@ -206,8 +212,8 @@
 	return k, err
 }
 
-// read takes in everything; a record that cannot be read is an error, for the
-// library's checksums held.
+// read reads all records. One that can't be decoded is an error: pebble has already
+// verified its checksum, so it wasn't damaged on disk.
 func (j *Journal) read() (*Kept, error) {
 	k := &Kept{Runs: map[uint32]Run{}, Attempts: map[uint64][]Attempt{}}
 	it, err := j.db.NewIter(nil)
@@ -229,7 +235,7 @@
 			k.Runs[r.Number] = r
 		case kindGroup:
 			if len(value) != 8 {
-				err = errors.New("no number")
+				err = errors.New("group number is not 8 bytes long")
 				break
 			}
 			j.group = binary.BigEndian.Uint64(value)
@@ -261,7 +267,7 @@
 			err = cbor.Unmarshal(value, &s)
 			k.Sessions = append(k.Sessions, s)
 		default:
-			err = errors.New("no record of a journal")
+			err = errors.New("unknown kind of record")
 		}
 		if err != nil {
 			return nil, fmt.Errorf("journal: %s: record %q: %w", j.opt.Dir, it.Key(), err)
@@ -273,9 +279,10 @@
 	return k, nil
 }
 
-// Stamp is the moment now.
+// Stamp returns the current time.
 func (j *Journal) Stamp() Stamp { return Stamp{j.run.Number, j.opt.Clock()} }
 
+// put queues changes for the writer. After a failure or Close it does nothing.
 func (j *Journal) put(ops ...op) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -289,13 +296,15 @@
 	j.wake.Signal()
 }
 
-// Taken records a message.
+// Taken records an accepted message.
 func (j *Journal) Taken(m Message) { j.put(op{key: seqKey(kindMessage, m.Seq), value: encode(m)}) }
 
-// Tried records an attempt, before it is sent and again when it is clear.
+// Tried records an attempt before it is sent, and again with Clear set when it is
+// certain that the host never processed it.
 func (j *Journal) Tried(a Attempt) { j.put(op{key: attemptKey(a.Seq, a.N), value: encode(a)}) }
 
-// Ended records a final answer, in place of message and attempts.
+// Ended records a final answer, which replaces the records of the message and its
+// attempts. Without an identity only these are deleted.
 func (j *Journal) Ended(e End) {
 	ops := []op{{key: seqKey(kindMessage, e.Seq)}, {key: seqKey(kindAttempt, e.Seq), end: seqKey(kindAttempt, e.Seq+1)}}
 	if e.Identity != "" {
@@ -307,7 +316,7 @@
 	j.put(ops...)
 }
 
-// Handed records that the client has the answer.
+// Handed records that the client has the final answer of an identity.
 func (j *Journal) Handed(identity string) {
 	j.mu.Lock()
 	e, ok := j.ends[identity]
@@ -320,7 +329,7 @@
 	}
 }
 
-// Forget drops an ended identity.
+// Forget deletes the final answer of an identity.
 func (j *Journal) Forget(identity string) {
 	j.mu.Lock()
 	delete(j.ends, identity)
@@ -328,7 +337,8 @@
 	j.put(op{key: textKey(kindEnd, identity)})
 }
 
-// Waits records what is in force at an endpoint; one without anything goes.
+// Waits records the state of an endpoint. If no wait is left and the endpoint doesn't
+// fail, its record is deleted.
 func (j *Journal) Waits(w Wait) {
 	o := op{key: textKey(kindWait, w.Host)}
 	if w.Left > 0 || w.Failing {
@@ -337,12 +347,12 @@
 	j.put(o)
 }
 
-// Spent records what is left of the zone budget.
+// Spent records what remains of the zone budget.
 func (j *Journal) Spent(levels []float64) {
 	j.put(op{key: []byte{kindSpent}, value: encode(Spent{j.Stamp(), levels})})
 }
 
-// Session records what a front keeps for a client; nothing drops it.
+// Session records the state that a front stores for a client; a nil value deletes it.
 func (j *Journal) Session(front, id string, value []byte) {
 	o := op{key: textKey(kindSession, front, id)}
 	if value != nil {
@@ -351,8 +361,9 @@
 	j.put(o)
 }
 
-// Then calls done, from the journal's goroutine, once everything handed in before
-// is on disk. After a failure it never does.
+// Then calls done from the writer's goroutine once everything submitted before is on
+// disk. After a failed write it is never called. Then always returns false: the caller
+// can't take the records for written yet.
 func (j *Journal) Then(done func()) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -363,17 +374,18 @@
 	return false
 }
 
-// Room tells whether more may be taken.
+// Room reports whether further messages may be accepted.
 func (j *Journal) Room(int) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.broken == nil && !j.full && j.bytes < j.opt.Queue
 }
 
-// checkEvery groups the disk's use is looked at.
+// checkEvery is the number of groups between two checks of the disk use.
 const checkEvery = 256
 
-// write is the one writer.
+// write is the writer's goroutine. It writes what is queued as one group, syncs it, and
+// then calls the functions that wait for it.
 func (j *Journal) write() {
 	defer close(j.over)
 	how := pebble.Sync
@@ -432,15 +444,17 @@
 	}
 }
 
-// The mark is a file of two slots, used in turn: a group's number and a checksum.
-// It is written after the group's sync, so that it never runs ahead of the
-// records, and not synced itself: a machine that stops may lose the last marks, and
-// with them only what they could tell.
+// The mark file has two slots that are written in turn, each with the number of a group
+// and a checksum. A slot is written after the group's sync, so that the mark is never
+// ahead of the records. The file itself isn't synced: if the machine stops, the latest
+// marks may be lost, and then a loss of the latest groups can't be detected.
 const (
 	markName = "MARK"
-	slotSize = 16
+	slotSize = 16 // bytes
 )
 
+// openMark opens the mark file. It returns ErrDamaged if the file tells of a later group
+// than the last one in the database.
 func (j *Journal) openMark() error {
 	name := j.opt.FS.PathJoin(j.opt.Dir, markName)
 	f, err := j.opt.FS.OpenReadWrite(name, vfs.WriteCategoryUnspecified)
@@ -451,15 +465,17 @@
 	n, _ := f.ReadAt(slots[:], 0)
 	for at := 0; at+slotSize <= n; at += slotSize {
 		group, sum := binary.BigEndian.Uint64(slots[at:]), binary.BigEndian.Uint64(slots[at+8:])
-		if group > j.group && sum == xxhash.Sum64(slots[at:at+8]) { // a slot torn by a crash tells nothing
+		if group > j.group && sum == xxhash.Sum64(slots[at:at+8]) { // a slot torn by a crash is ignored
 			_ = f.Close()
-			return fmt.Errorf("%w: group %d was, group %d is the last that is there (%s tells)", ErrDamaged, group, j.group, name)
+			return fmt.Errorf("%w: group %d was written, but the last one found is group %d (according to %s)",
+				ErrDamaged, group, j.group, name)
 		}
 	}
 	j.mark = f
 	return nil
 }
 
+// marked writes the number of the last group into the mark file.
 func (j *Journal) marked() error {
 	slot := binary.BigEndian.AppendUint64(nil, j.group)
 	slot = binary.BigEndian.AppendUint64(slot, xxhash.Sum64(slot))
@@ -467,8 +483,8 @@
 	return err
 }
 
-// look compares the disk's use with its bound: past it nothing new is taken until
-// compaction has freed a tenth.
+// look compares the disk use with its limit. Once it is exceeded, Room reports false
+// until compaction has brought the use down to nine tenths of the limit.
 func (j *Journal) look() {
 	used := j.db.Metrics().DiskSpaceUsage()
 	j.mu.Lock()
@@ -479,6 +495,7 @@
 	}
 }
 
+// fail stops all writing, drops what is queued and reports the first failure.
 func (j *Journal) fail(err error) {
 	j.mu.Lock()
 	first := j.broken == nil
@@ -492,7 +509,7 @@
 	}
 }
 
-// Stats tells what was written in this run.
+// Stats returns what was written in this run, and the current disk use.
 func (j *Journal) Stats() Stats {
 	j.look()
 	j.mu.Lock()
@@ -500,7 +517,8 @@
 	return j.stats
 }
 
-// Close writes what was handed in and closes. A broken journal is left as it is.
+// Close writes what is queued and closes the database. After a failed write it leaves
+// the database as it is and returns the failure.
 func (j *Journal) Close() error {
 	j.mu.Lock()
 	j.closed = true
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -28,7 +28,7 @@
 	return j, k
 }
 
-// synced waits until all that was handed in is on disk.
+// synced waits until all submitted records are on disk.
 func synced(t testing.TB, j *Journal) {
 	t.Helper()
 	done := make(chan struct{})
@@ -36,11 +36,11 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("never on disk")
+		t.Fatal("not on disk after 20 s")
 	}
 }
 
-// script is a life of some messages, a record a step.
+// script returns steps that record the course of some messages, one record per step.
 func script() (out []func(*Journal)) {
 	for i := uint64(1); i <= 12; i++ {
 		name := fmt.Sprint("identity ", i)
@@ -61,7 +61,7 @@
 	return out
 }
 
-// state is what Kept says without its clocks.
+// state renders Kept without clocks, to compare journals.
 func state(k *Kept) string {
 	for i := range k.Sessions {
 		k.Sessions[i].At = Stamp{}
@@ -69,12 +69,13 @@
 	return fmt.Sprintf("%v %v %v %v %v", k.Messages, k.Attempts, k.Ends, k.Waits, k.Sessions)
 }
 
-// A crash before every write and every sync of the storage, with nothing, half
-// or all of what was not synced: what was told to be on disk is there, and what is
-// there is the script up to some step.
+// Guards against loss or partial state after a crash. The file system is copied before
+// each write and each sync, with none, half or all of the data that was not synced. A
+// journal opened on the copy must hold the state after some step of the script, and no
+// earlier one than the last step that was reported as on disk.
 func TestCrashEverywhere(t *testing.T) {
 	steps := script()
-	// The states after each step, from a journal that lives on.
+	// The states after each step, from a journal that doesn't crash.
 	var want []string
 	ref := vfs.NewMem()
 	for n := 0; n <= len(steps); n++ {
@@ -112,7 +113,7 @@
 	mu.Unlock()
 	for n, step := range steps {
 		step(j)
-		if n%3 > 0 { // groups of one, and of several
+		if n%3 > 0 { // gives groups of one record and of several
 			synced(t, j)
 			mu.Lock()
 			told = n + 1
@@ -137,7 +138,7 @@
 			}
 		}
 		if found < 0 {
-			t.Fatalf("crash %d after step %d was told: %s", i, c.told, got)
+			t.Fatalf("crash %d, with step %d reported as on disk: got a state of no later step: %s", i, c.told, got)
 		}
 		_ = j.Close()
 	}
@@ -145,8 +146,8 @@
 	_ = j.Close()
 }
 
-// After a failed write or sync nothing is told to be on disk, nothing is taken,
-// and the failure is told once.
+// Guards against records reported as on disk after a failed write or sync: no function
+// given to Then may run, Room must report false, and the failure is reported once.
 func TestDiskFails(t *testing.T) {
 	for _, kind := range []errorfs.OpKind{errorfs.OpFileWrite, errorfs.OpFileSync, errorfs.OpFileSyncData} {
 		var mu sync.Mutex
@@ -168,38 +169,39 @@
 		fails = true
 		mu.Unlock()
 		j.Taken(Message{Seq: 2, Identity: "b"})
-		j.Then(func() { t.Error("told to be on disk") })
+		j.Then(func() { t.Error("reported as on disk") })
 		select {
 		case err := <-broken:
 			if !strings.Contains(err.Error(), "no space left") {
 				t.Errorf("%v", err)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("never told")
+			t.Fatal("the failure was not reported within 20 s")
 		}
 		mu.Lock()
-		fails = false // a disk that says it is well again is not believed
+		fails = false // the journal must not trust a disk that works again
 		mu.Unlock()
 		j.Taken(Message{Seq: 3, Identity: "c"})
-		j.Then(func() { t.Error("told to be on disk after a failure") })
+		j.Then(func() { t.Error("reported as on disk after a failure") })
 		if j.Room(0) {
-			t.Error("takes more")
+			t.Error("Room reports true after a failure")
 		}
 		if err := j.Close(); err == nil {
-			t.Error("closed as if nothing had been")
+			t.Error("Close returned no error after a failure")
 		}
 		if len(broken) > 0 {
-			t.Error("told twice")
+			t.Error("the failure was reported twice")
 		}
 	}
 }
 
-// A second process, a foreign folder, a format of another version, flipped bits.
+// Guards against opening what is not a whole journal of this version: one that another
+// process has open, flipped bits, another version of the format, a file.
 func TestForeign(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := open(t, Options{Dir: dir})
 	if _, _, err := Open(Options{Dir: dir}); !errors.Is(err, ErrLocked) {
-		t.Errorf("second: %v", err)
+		t.Errorf("second open: %v", err)
 	}
 	for i := range uint64(200) {
 		j.Taken(Message{Seq: i + 1, Identity: fmt.Sprint(i), Body: make([]byte, 500)})
@@ -207,8 +209,8 @@
 			synced(t, j)
 		}
 	}
-	// As a crash leaves it, with one bit flipped. In the last group that cannot be
-	// told from a torn end.
+	// Copies the directory as a crash would leave it, with one bit flipped. A flip in the
+	// last group can't be told from a torn end, so it is not tried.
 	copied := func(flip int) (to string, size int) {
 		to = t.TempDir()
 		files, _ := filepath.Glob(filepath.Join(dir, "*"))
@@ -239,7 +241,7 @@
 		}
 	}
 	if flips < 15 || unseen > 0 {
-		t.Errorf("%d of %d flips were not seen", unseen, flips)
+		t.Errorf("%d of %d flips were not detected", unseen, flips)
 	}
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
@@ -261,10 +263,11 @@
 	}
 }
 
-// Past its bound on disk there is no room, and what ends makes room again.
+// Guards against a journal that grows past its limit on disk use, or that refuses messages
+// for good: Room reports false above the limit, and true again once messages have ended.
 func TestBound(t *testing.T) {
-	// Well above the logs that the library keeps to write anew, 16 MB each; nothing
-	// that it could compress.
+	// The limit is well above the log files that pebble keeps for reuse, 16 MB each. The
+	// bodies can't be compressed.
 	j, _ := open(t, Options{Dir: t.TempDir(), Most: 96 << 20, Queue: 1 << 30})
 	body := make([]byte, 100_000)
 	chance := rand.New(rand.NewPCG(1, 1))
@@ -279,7 +282,7 @@
 	}
 	synced(t, j)
 	if j.Stats(); j.Room(0) {
-		t.Error("room past the bound")
+		t.Error("Room reports true above the limit")
 	}
 	for i := range uint64(1600) {
 		j.Ended(End{Seq: i + 1, Identity: fmt.Sprint(i)})
@@ -295,7 +298,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("never room again: %+v", j.Stats())
+			t.Fatalf("Room still reports false 20 s after all messages ended: %+v", j.Stats())
 		}
 	}
 	if err := j.Close(); err != nil {
@@ -303,7 +306,8 @@
 	}
 }
 
-// What is read again is what was written.
+// Guards against records that change between writing and reading, and against runs that
+// pile up in the journal.
 func TestReadAgain(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := open(t, Options{Dir: dir})
@@ -319,7 +323,7 @@
 		k.Now.Number != 2 || len(k.Runs) != 2 {
 		t.Errorf("%+v", k)
 	}
-	// Runs that no record is dated by are not kept for ever.
+	// Runs that no record refers to are deleted.
 	for range 5 {
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
@@ -330,7 +334,7 @@
 	}
 }
 
-// 100,000 held messages: until they are read, with the memory that takes.
+// BenchmarkRecover measures the time and memory to open a journal with 100,000 messages.
 func BenchmarkRecover(b *testing.B) {
 	dir := b.TempDir()
 	j, _ := open(b, Options{Dir: dir, Queue: 1 << 30})
--- a/internal/journal/log.go
+++ b/internal/journal/log.go
@@ -20,43 +20,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// Log is a journal of bounded size for a small folder: segments that are written
-// from end to end, checksummed records, and the live records of the oldest segment
-// carried forward before it is removed. It survives the process, not the machine:
-// nothing is synced, and a record is on disk once write(2) has taken it.
+// Log is a journal of bounded size for a small folder. It appends checksummed records to
+// segment files. To free space, it copies the live records of the oldest segment to the
+// end of the log and then removes that segment.
 //
-// A record that something is over is never carried forward: what it ends stands
-// in the same segment or in an older one, and is gone with or before it.
+// Log survives the end of the process, not of the machine: it never syncs, and a record
+// counts as on disk once write(2) has accepted all of it, which is enough against
+// SIGKILL. If a write fails, its record and those after it wait in memory, in order, and
+// are tried again. The index of live records changes when a record is on disk, not when
+// it is submitted. If the process is killed in the middle of a write, the next start
+// truncates the partial record.
 //
-// What "on disk" means: against SIGKILL, that write(2) has taken the whole record.
-// Against a write that fails, that it has succeeded: records that fail wait in memory,
-// in order, and the tables of what is live change when a record is on disk, not when it
-// is handed in. A record of which a kill left a part is cut off at the next start.
+// A record that ends another one is never copied: the record that it ends is in the same
+// segment or in an older one, and so is removed with it or before it.
 //
 // It is safe for concurrent use.
 type Log struct {
 	dir    string
-	most   int64 // bytes of all files, each in whole blocks
-	seg    int64 // bytes after which a segment is full
+	most   int64 // limit on the size of all files, each rounded up to whole blocks
+	seg    int64 // size at which a segment is full
 	clocks func() (Run, error)
-	epoch  time.Time // when run's clocks were read
+	epoch  time.Time // when the clocks of run were read
 	run    Run
 
 	mu      sync.Mutex
-	files   []*segment // oldest first; the last one is written
-	live    map[string]*place
-	seqs    map[uint64][]string // keys of a message and its attempts
-	ends    map[string]End      // by key
-	forget  map[string]bool     // of them those to be dropped once they are handed over
-	owes    func(verdict uint8) bool
-	big     int64           // bytes of the longest record
-	lives   int64           // bytes of live records
-	waiting []record        // that could not be written yet, in order
-	behind  map[uint64]int  // of them, by message
-	noted   map[string]bool // hosts with a wait that was handed in and is not gone
-	done    []func()
-	caught  func()    // told that records which waited were written; may be nil
-	since   time.Time // of the oldest record that waits
+	files   []*segment               // oldest first; records are appended to the last one
+	live    map[string]*place        // index of the live records, by key
+	seqs    map[uint64][]string      // keys of the records of a message and its attempts
+	ends    map[string]End           // final answers by key
+	forget  map[string]bool          // keys of final answers to be forgotten once the client has them
+	owes    func(verdict uint8) bool // see LogOptions
+	big     int64                    // size of the longest record
+	lives   int64                    // size of all live records
+	waiting []record                 // records that couldn't be written yet, in order
+	behind  map[uint64]int           // number of waiting records, by message
+	noted   map[string]bool          // hosts with a recorded wait that hasn't been deleted
+	done    []func()                 // to be called once nothing waits
+	caught  func()                   // called when waiting records were written; may be nil
+	since   time.Time                // when the oldest waiting record was submitted
 	retry   *time.Timer
 	closed  bool
 	failed  func(error)
@@ -64,42 +65,43 @@
 	stats   Stats
 }
 
-// segment is one file.
+// segment is one file of a Log.
 type segment struct {
-	n    uint64
+	n    uint64 // number, also the name of the file
 	f    *os.File
-	size int64    // bytes of whole records
-	torn int64    // parts of records have been written up to here since the last cut; 0 for none
-	keys []string // of records written here, live or not, in order
+	size int64    // size of the whole records
+	torn int64    // end of partial records written since the last truncation; 0 for none
+	keys []string // keys of all records written here, live or not, in order
 }
 
-// record is one on its way to disk, with what becomes true once it is there.
+// record is a record to be written, with the changes to the index that follow from it.
 type record struct {
 	kind  byte
 	key   string
-	of    uint64 // number of the message that it is about; 0 for none
-	seq   uint64 // of the message that it ends; 0 for none
-	stays bool   // it is not carried forward: nobody waits for the answer that it tells
-	frame []byte // as it is written
+	of    uint64 // number of the message that the record is about; 0 for none
+	seq   uint64 // number of the message that the record ends; 0 for none
+	stays bool   // not copied to newer segments: nobody waits for the final answer that it holds
+	frame []byte // bytes to be written
 }
 
-// place is where a live record stands.
+// place is the position of a live record.
 type place struct {
 	in     *segment
-	at     int64
+	at     int64 // offset in the file
 	length int64
 }
 
 const (
-	block     = 512 // files count in whole blocks
-	segments  = 12  // a full log has about so many
-	frame     = 8   // length and checksum before each record
+	block     = 512 // bytes; the size of a file is rounded up to whole blocks
+	segments  = 12  // approximate number of segments of a full log
+	frame     = 8   // bytes of length and checksum before each record
 	suffix    = ".log"
-	retryWait = 5 * time.Millisecond
-	longest   = 1 << 20 // bytes of a record that is believed
+	retryWait = 5 * time.Millisecond // pause after a failed write
+	longest   = 1 << 20              // bytes; a longer length field counts as damage
 )
 
-// Kinds of log records beside those of keys: a message is over; a record is gone.
+// Kinds of log records that have no key of their own: a message has ended without a
+// final answer that must be stored; the record of a key is deleted.
 const (
 	kindOver = 'o'
 	kindGone = 'x'
@@ -107,28 +109,31 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrSmall says that a folder's bound leaves no room for a journal.
-var ErrSmall = errors.New("journal: the bound is too small for one segment and its successor")
+// ErrSmall reports that the limit on the size of a folder leaves no room for a journal.
+var ErrSmall = errors.New("journal: size limit is too small for one segment and its successor")
 
-// LogOptions of a Log.
+// LogOptions configures a Log.
 type LogOptions struct {
 	Dir  string
-	Most int64 // bytes that the folder may hold
-	// Owes tells of which final answers somebody must hear; the others need no Handed.
+	Most int64 // limit on the bytes in the folder
+	// Owes reports whether a client must learn of final answers with a verdict. The
+	// other answers count as handed over from the start.
 	Owes func(verdict uint8) bool
-	// Failed is told of writes that fail, which are tried again; nothing is taken meanwhile.
+	// Failed is called when a write fails. The write is tried again, and Room reports
+	// false until it succeeds.
 	Failed func(error)
-	// Recovered is told that all records are written again, and how long the oldest had
-	// waited; may be nil.
+	// Recovered is called when no record waits any more after a failed write, with the
+	// time that the oldest one had waited; may be nil.
 	Recovered func(waited time.Duration)
-	// Clocks reads those of the machine; nil for Clocks.
+	// Clocks returns a run that starts now; nil for the clocks of the machine.
 	Clocks func() (Run, error)
 }
 
-// OpenLog opens or makes the journal in a folder. What a crash tore off at the end is cut
-// off; a segment with a record that cannot be read is read up to it, and damaged tells of
-// it. On an error nothing is held open and the folder is as it was, so that it may be
-// tried again.
+// OpenLog opens or creates the journal in a folder and returns what it holds. A partial
+// record at the end, left by a crash, is truncated. A segment with a record that can't be
+// read is read up to that record; damaged reports such segments unless it is the newest
+// one. On an error no file is left open and the folder is as before, so that the caller
+// may try again.
 func OpenLog(opt LogOptions) (_ *Log, _ *Kept, damaged error, err error) {
 	dir := opt.Dir
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -162,7 +167,7 @@
 	for i, name := range names {
 		n, err := strconv.ParseUint(strings.TrimSuffix(filepath.Base(name), suffix), 16, 64)
 		if err != nil {
-			continue // not one of ours
+			continue // not a file of the log
 		}
 		torn, err := r.segment(name, n)
 		if err != nil {
@@ -198,8 +203,8 @@
 	return l, k, damaged, nil
 }
 
-// segmentFiles are the paths of a folder's segments, the oldest first. That the folder
-// cannot be read is an error, and does not count as a folder without any.
+// segmentFiles returns the paths of a folder's segments, the oldest first. A folder that
+// can't be read is an error, so that it isn't taken for an empty one.
 func segmentFiles(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir) // sorted by name
 	if err != nil {
@@ -214,17 +219,18 @@
 	return names, nil
 }
 
-// reader takes in segments.
+// reader reads the segments of a log when it is opened.
 type reader struct {
 	l        *Log
 	runs     map[uint32]Run
 	messages map[uint64]Message
-	attempts map[string]Attempt
-	waits    map[string]Wait
-	last     uint64
+	attempts map[string]Attempt // by key
+	waits    map[string]Wait    // by key
+	last     uint64             // highest number of a message
 }
 
-// segment reads one file and cuts off what cannot be read at its end.
+// segment reads one file up to the first record that can't be read, and truncates it
+// there. It returns as torn why that record can't be read.
 func (r *reader) segment(name string, n uint64) (torn, err error) {
 	f, err := os.OpenFile(name, os.O_RDWR, 0)
 	if err != nil {
@@ -238,17 +244,17 @@
 	}
 	for rest := data; len(rest) > 0; {
 		if len(rest) < frame {
-			torn = errors.New("a record without its head")
+			torn = errors.New("record header is incomplete")
 			break
 		}
 		length := int64(binary.BigEndian.Uint32(rest))
 		if length < 3 || length > longest || length > int64(len(rest)-frame) {
-			torn = errors.New("a record without its end")
+			torn = errors.New("record is incomplete, or its length is out of range")
 			break
 		}
 		payload := rest[frame : frame+length]
 		if binary.BigEndian.Uint32(rest[4:]) != crc32.Checksum(payload, castagnoli) {
-			torn = errors.New("a record whose checksum does not hold")
+			torn = errors.New("record checksum does not match")
 			break
 		}
 		if torn = r.record(s, payload, frame+length); torn != nil {
@@ -263,12 +269,13 @@
 	return torn, err
 }
 
-// record takes in one: kind, length of the key, key, value.
+// record reads one record and applies it. The payload is the kind (1 byte), the length of
+// the key (2 bytes), the key and the value.
 func (r *reader) record(s *segment, payload []byte, size int64) error {
 	kind := payload[0]
 	length := int(binary.BigEndian.Uint16(payload[1:]))
 	if length > len(payload)-3 {
-		return errors.New("a record without its key")
+		return errors.New("record key is incomplete")
 	}
 	key, value := string(payload[3:3+length]), payload[3+length:]
 	l := r.l
@@ -314,7 +321,7 @@
 		err = cbor.Unmarshal(value, &x)
 		r.waits[key] = x
 	default:
-		err = fmt.Errorf("a record of kind %q", kind)
+		err = fmt.Errorf("unknown kind of record %q", kind)
 	}
 	if err != nil {
 		return err
@@ -323,7 +330,7 @@
 	return nil
 }
 
-// kept is what stands after all was read.
+// kept fills in what the log holds, after all segments were read.
 func (r *reader) kept(k *Kept) {
 	k.Last = r.last
 	for _, m := range r.messages {
@@ -336,7 +343,7 @@
 		if _, held := r.messages[a.Seq]; held {
 			k.Attempts[a.Seq] = append(k.Attempts[a.Seq], a)
 		} else {
-			r.l.drop(key) // of a message whose record is damaged
+			r.l.drop(key) // the message's own record is damaged
 		}
 	}
 	for _, list := range k.Attempts {
@@ -350,7 +357,8 @@
 	}
 }
 
-// note books a record that was written as the live one of its key.
+// note enters a record in the index as the live one of its key. It must be called before
+// the size of the segment is advanced past the record.
 func (l *Log) note(s *segment, key string, size int64) {
 	if kind := key[0]; l.live[key] == nil && (kind == kindMessage || kind == kindAttempt) {
 		seq := binary.BigEndian.Uint64([]byte(key[1:]))
@@ -362,6 +370,7 @@
 	s.keys = append(s.keys, key)
 }
 
+// drop removes a record from the index.
 func (l *Log) drop(key string) {
 	if p := l.live[key]; p != nil {
 		l.lives -= p.length
@@ -369,7 +378,7 @@
 	}
 }
 
-// over drops a message and its attempts.
+// over removes the records of a message and its attempts from the index.
 func (l *Log) over(seq uint64) {
 	for _, key := range l.seqs[seq] {
 		l.drop(key)
@@ -377,8 +386,9 @@
 	delete(l.seqs, seq)
 }
 
-// Clocks reads those of the machine. Ages across a restart are taken from the monotonic one,
-// which nobody sets; the wall clock counts only after a new start of the machine.
+// Clocks returns a run that starts now by the clocks of the machine. Ages across a restart
+// of the process are computed by the monotonic clock, since it can't be set. The wall
+// clock is used only if the machine has rebooted.
 func Clocks() (Run, error) {
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -391,10 +401,10 @@
 	return Run{Boot: strings.TrimSpace(string(boot)), Clock: t.Nano(), Wall: time.Now().UnixNano()}, nil
 }
 
-// Stamp is the moment now.
+// Stamp returns the current time.
 func (l *Log) Stamp() Stamp { return Stamp{l.run.Number, l.run.Clock + int64(time.Since(l.epoch))} }
 
-// Now is this run with its clocks as they stand.
+// Now returns the current run with the clocks as they stand now instead of at its start.
 func (l *Log) Now() Run {
 	now := l.run
 	passed := int64(time.Since(l.epoch))
@@ -402,15 +412,15 @@
 	return now
 }
 
-// Room tells whether a message of that size may be taken: live records may fill
-// half of the bound, so that carrying them forward always frees the other half.
+// Room reports whether a message of a size may be accepted. Live records may fill half of
+// the size limit, so that copying them to new segments always frees the other half.
 func (l *Log) Room(bytes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.waiting) == 0 && !l.closed && l.lives+int64(bytes)+2*block < l.most/2
 }
 
-// Taken records a message.
+// Taken records an accepted message.
 func (l *Log) Taken(m Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -419,7 +429,8 @@
 	l.put(r)
 }
 
-// Tried records an attempt, before it is sent and again when it is clear.
+// Tried records an attempt before it is sent, and again with Clear set when it is certain
+// that the host never processed it.
 func (l *Log) Tried(a Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -428,8 +439,9 @@
 	l.put(r)
 }
 
-// Ended records a final answer, in place of message and attempts. One that nobody
-// waits for is not carried forward: it stands while there is room.
+// Ended records a final answer, which replaces the records of the message and its
+// attempts. An answer that no client waits for is not copied to newer segments: it lasts
+// until its segment is removed.
 func (l *Log) Ended(e End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -443,7 +455,7 @@
 	l.end(e)
 }
 
-// end hands in the record of a final answer.
+// end submits the record of a final answer.
 func (l *Log) end(e End) {
 	key := textKey(kindEnd, e.Identity)
 	l.ends[string(key)] = e
@@ -452,7 +464,7 @@
 	l.put(r)
 }
 
-// Handed records that whoever was owed the answer has it.
+// Handed records that the client has the final answer of an identity.
 func (l *Log) Handed(identity string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -469,7 +481,8 @@
 	}
 }
 
-// Forget drops an ended identity; one whose answer is still owed, once it is Handed.
+// Forget drops the final answer of an identity. If a client still waits for the answer, it
+// is dropped after the call of Handed.
 func (l *Log) Forget(identity string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -481,7 +494,8 @@
 	delete(l.ends, string(key))
 }
 
-// Waits records what is in force at an endpoint; one without anything goes.
+// Waits records the state of an endpoint. If no wait is left and the endpoint doesn't
+// fail, its record is deleted.
 func (l *Log) Waits(w Wait) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -495,11 +509,11 @@
 	}
 }
 
-// Session is not kept: no front of a small folder has sessions.
+// Session does nothing: the fronts that use a Log have no sessions.
 func (l *Log) Session(string, string, []byte) {}
 
-// Then returns true where all that was handed in is on disk; else it calls done
-// once it is.
+// Then returns true, without calling done, if all submitted records are on disk. Otherwise
+// it returns false and calls done once they are.
 func (l *Log) Then(done func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -510,7 +524,7 @@
 	return false
 }
 
-// newRecord frames a record.
+// newRecord returns a record with its frame: length, checksum and payload.
 func newRecord(kind byte, key, value []byte) record {
 	b := make([]byte, frame, frame+3+len(key)+len(value))
 	b = append(b, kind, byte(len(key)>>8), byte(len(key)))
@@ -520,7 +534,8 @@
 	return record{kind: kind, key: string(key), frame: b}
 }
 
-// put writes one record, or lets it wait behind those that could not be written.
+// put writes a record. If that fails, or if other records wait to be written, the record
+// is appended to those.
 func (l *Log) put(r record) {
 	if l.closed {
 		return
@@ -532,7 +547,7 @@
 		if err == nil {
 			return
 		}
-		l.failed(fmt.Errorf("journal: nothing is taken until this is written: %w", err))
+		l.failed(fmt.Errorf("journal: write failed; no message is accepted until it succeeds: %w", err))
 	}
 	if len(l.waiting) == 0 {
 		l.since = time.Now()
@@ -544,37 +559,38 @@
 	}
 }
 
-// caughtUp books that a record does not wait any more.
+// caughtUp accounts for a waiting record that has been written.
 func (l *Log) caughtUp(r record) {
 	if l.behind[r.of]--; l.behind[r.of] == 0 {
 		delete(l.behind, r.of)
 	}
 }
 
-// Waiting tells whether a record about a message is not on disk yet.
+// Waiting reports whether a record about a message is not on disk yet.
 func (l *Log) Waiting(seq uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.behind[seq] > 0
 }
 
-// Backlogged tells whether any record waits to be written.
+// Backlogged reports whether any record waits to be written.
 func (l *Log) Backlogged() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.waiting) > 0
 }
 
-// Progress has a function called, from any goroutine, each time that records which waited
-// have been written. It is set before the first record is handed in.
+// Progress sets a function that is called, from any goroutine, each time that waiting
+// records have been written. It must be set before the first record is submitted.
 func (l *Log) Progress(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.caught = f
 }
 
-// Cancel takes back a message whose own record is not on disk yet, with all that waits
-// about it: no later run will know it. It reports false where the record is on disk.
+// Cancel withdraws a message whose own record is not on disk yet, with all waiting records
+// about it, so that no later run knows the message. It returns false if the record is on
+// disk.
 func (l *Log) Cancel(seq uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -592,7 +608,7 @@
 	return true
 }
 
-// again tries what waits.
+// again tries to write the waiting records.
 func (l *Log) again() {
 	l.mu.Lock()
 	l.retry = nil
@@ -620,7 +636,7 @@
 	}
 }
 
-// write makes room and appends a record.
+// write frees space for a record and appends it.
 func (l *Log) write(r record) error {
 	if err := l.clean(int64(len(r.frame))); err != nil {
 		return err
@@ -628,7 +644,7 @@
 	return l.append(r)
 }
 
-// append writes a record behind the last whole one, and books it once it is down.
+// append writes a record after the last whole one, and updates the index if that succeeds.
 func (l *Log) append(r record) error {
 	s := l.files[len(l.files)-1]
 	if s.size >= l.seg {
@@ -638,13 +654,13 @@
 		s = l.files[len(l.files)-1]
 	}
 	end := s.size + int64(len(r.frame))
-	if end < s.torn { // what is left of a longer record would stand behind this one
+	if end < s.torn { // the rest of a longer partial record would follow this one
 		if err := s.cut(); err != nil {
 			return err
 		}
 	}
 	if _, err := s.f.WriteAt(r.frame, s.size); err != nil {
-		s.torn = max(s.torn, end) // os.File tells of no byte where a part was written
+		s.torn = max(s.torn, end) // os.File may report 0 bytes although a part was written
 		return errors.Join(err, s.cut())
 	}
 	l.book(s, r)
@@ -653,7 +669,7 @@
 	return nil
 }
 
-// cut takes off what a failed write may have left behind the last whole record.
+// cut truncates what a failed write may have left after the last whole record.
 func (s *segment) cut() error {
 	if s.torn == 0 {
 		return nil
@@ -665,7 +681,7 @@
 	return nil
 }
 
-// book brings the tables up to date with a record that is down.
+// book updates the index with a record that is on disk.
 func (l *Log) book(s *segment, r record) {
 	switch r.kind {
 	case kindOver:
@@ -683,7 +699,7 @@
 	}
 }
 
-// used is what the files hold, in whole blocks.
+// used returns the size of the files, each rounded up to whole blocks.
 func (l *Log) used() (n int64) {
 	for _, s := range l.files {
 		n += (s.size + block - 1) / block * block
@@ -691,8 +707,9 @@
 	return n
 }
 
-// clean frees room for a record: the live records of the oldest segment go to the
-// end and its file goes, until there is room beside what the next such step needs.
+// clean frees space for a record: it copies the live records of the oldest segment to the
+// end of the log and removes the segment, until there is space for the record and for what
+// the next such step needs.
 func (l *Log) clean(bytes int64) error {
 	for range 2 * (len(l.files) + 1) {
 		oldest := l.files[0]
@@ -723,10 +740,10 @@
 		_ = oldest.f.Close()
 		l.files = slices.Delete(l.files, 0, 1)
 	}
-	return fmt.Errorf("journal: %d bytes are live, no room for %d more", l.lives, bytes)
+	return fmt.Errorf("journal: no space left: live records have %d bytes, the new record %d", l.lives, bytes)
 }
 
-// roll begins a new segment.
+// roll starts a new segment.
 func (l *Log) roll() error {
 	n := uint64(1)
 	if len(l.files) > 0 {
@@ -744,14 +761,14 @@
 	return nil
 }
 
-// Sizes are those of the log's tables.
+// Sizes returns the number of entries in the log's tables, by the name of the table.
 func (l *Log) Sizes() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return map[string]int{"live records": len(l.live), "segments": len(l.files), "waiting records": len(l.waiting)}
 }
 
-// Stats tells what was written in this run, and what the files hold.
+// Stats returns what was written in this run, and the size of the files.
 func (l *Log) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -766,7 +783,7 @@
 	}
 }
 
-// Close closes the files. What could not be written is lost.
+// Close closes the files. Waiting records are lost, and reported as an error.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -776,7 +793,7 @@
 	}
 	l.closeAll()
 	if n := len(l.waiting); n > 0 {
-		return fmt.Errorf("journal: %d records could not be written", n)
+		return fmt.Errorf("journal: %d records were lost because they could not be written", n)
 	}
 	return nil
 }
--- a/internal/journal/log_test.go
+++ b/internal/journal/log_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// refused and failed answers are owed to somebody.
+// owes reports that a client must learn of refused and failed answers.
 func owes(v uint8) bool { return v > 1 }
 
 func openLog(t testing.TB, dir string, most int64) (*Log, *Kept) {
@@ -24,7 +24,8 @@
 	return l, k
 }
 
-// used counts files as the platform does.
+// used returns the size of a folder's files, each rounded up to whole blocks, as the
+// platform counts it.
 func used(t testing.TB, dir string) (n int64) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
@@ -39,11 +40,11 @@
 	return n
 }
 
-// held is what a log should still have.
+// held is what a log is expected to hold.
 type held struct {
 	messages map[uint64]Message
-	attempts map[uint64]map[int]bool // cleared
-	owed     map[string]bool
+	attempts map[uint64]map[int]bool // Attempt.Clear, by message and attempt
+	owed     map[string]bool         // identities whose client still waits for the final answer
 }
 
 func (h *held) check(t *testing.T, k *Kept, when string) {
@@ -75,9 +76,10 @@
 	}
 }
 
-// Any life of messages with bodies of all sizes, at a rate that rewrites the folder
-// over and over, opened anew without a close as after SIGKILL: what is live is there,
-// what is over is not, and the folder is within its bound after each record.
+// Guards against lost or resurrected records, and against a folder that grows past its
+// limit. Random messages with bodies of all sizes replace all segments several times. The
+// log is reopened without a close, as after SIGKILL: it must hold the live records and no
+// ended ones, and the folder must be within its limit after each record.
 func TestLogKeepsWhatIsLiveWithinItsBound(t *testing.T) {
 	for seed := range uint64(6) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -145,7 +147,7 @@
 			}
 			if step%1500 == 1499 {
 				var k *Kept
-				l, k = openLog(t, dir, most) // the old one is as dead
+				l, k = openLog(t, dir, most) // the old one is abandoned as after a kill
 				want.check(t, k, fmt.Sprintf("seed %d, step %d", seed, step))
 				ends := 0
 				for key := range l.live {
@@ -154,7 +156,7 @@
 					}
 				}
 				if ends != len(want.owed) {
-					t.Fatalf("%d ends would be carried forward, %d are owed", ends, len(want.owed))
+					t.Fatalf("%d live final answers, want %d that clients wait for", ends, len(want.owed))
 				}
 				if k.Last != next {
 					t.Fatalf("last number %d, want %d", k.Last, next)
@@ -162,16 +164,18 @@
 			}
 		}
 		if top < most/2 || turned == 0 {
-			t.Errorf("seed %d: %d bytes of %d at most and %d turned away: the bound was never met", seed, top, most, turned)
+			t.Errorf("seed %d: at most %d of %d bytes in use, %d messages without room: the limit was never reached",
+				seed, top, most, turned)
 		}
 		if n := len(l.live) + len(l.seqs) + len(l.ends); n > 3*(len(want.messages)+len(want.owed))+2*len(ended)+100 {
-			t.Errorf("%d entries in memory", n)
+			t.Errorf("%d entries in the tables in memory, more than the held records need", n)
 		}
 	}
 }
 
-// A record that a crash tore off is cut off, at each of its bytes; a flipped bit before
-// the last segment is told of, and all that stands before it is read.
+// Guards against records lost to a torn or damaged one. A record torn by a crash, after
+// any of its bytes, is truncated. A flipped bit in a segment before the last one is
+// reported as damage, and the records before it are read.
 func TestLogTornAndDamaged(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openLog(t, dir, 1<<20)
@@ -209,11 +213,12 @@
 	}
 	_, k, damaged, err := OpenLog(LogOptions{Dir: dir, Most: 1 << 20, Owes: owes, Failed: func(error) {}})
 	if err != nil || damaged == nil || len(k.Messages) != 2 {
-		t.Errorf("err %v, damaged %v, %d messages; want it told, and what is left", err, damaged, len(k.Messages))
+		t.Errorf("err %v, damaged %v, %d messages; want no error, damage and 2 messages", err, damaged, len(k.Messages))
 	}
 }
 
-// An answer that is owed outlives its identity: it is dropped once it was handed over.
+// Guards against a final answer that is dropped with its identity while the client still
+// waits for it: it must be kept until the client has it.
 func TestLogKeepsWhatIsOwed(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openLog(t, dir, 1<<20)
@@ -221,16 +226,16 @@
 	l.Ended(End{Seq: 1, Identity: "a", Verdict: 2})
 	l.Forget("a")
 	if _, k := openLog(t, dir, 1<<20); len(k.Ends) != 1 || k.Ends[0].Handed {
-		t.Fatalf("%+v, want the answer that is owed", k.Ends)
+		t.Fatalf("%+v, want the answer that the client waits for", k.Ends)
 	}
 	l.Handed("a")
 	if len(l.ends)+len(l.forget)+len(l.seqs) != 0 {
-		t.Errorf("%v %v are kept of one that is over", l.ends, l.forget)
+		t.Errorf("%v %v are left of a message that is over", l.ends, l.forget)
 	}
 }
 
-// No room on the device: nothing more is taken, nothing that was handed in is lost,
-// and all is on disk once there is room again.
+// Guards against lost records when the device is full: Room must report false, submitted
+// records must be kept in memory, and all must be on disk once the device has space again.
 func TestLogWithoutRoomOnTheDevice(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openLog(t, dir, 1<<20)
@@ -248,7 +253,7 @@
 	l.Ended(End{Seq: 1, Identity: "a", Verdict: 2})
 	done := make(chan struct{})
 	if l.Then(func() { close(done) }) || l.Room(0) {
-		t.Fatal("said to be on disk, or with room, while nothing can be written")
+		t.Fatal("Then or Room reports true while nothing can be written")
 	}
 	l.mu.Lock()
 	l.files[len(l.files)-1].f = full
@@ -256,13 +261,14 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("never written")
+		t.Fatal("not written within 20 s")
 	}
 	if !l.Room(0) {
-		t.Error("no room after all was written")
+		t.Error("Room reports false after all records were written")
 	}
 	_, k := openLog(t, dir, 1<<20)
 	if len(k.Messages) != 1 || k.Messages[0].Seq != 2 || len(k.Attempts[2]) != 1 || len(k.Ends) != 1 {
-		t.Errorf("%d messages, %d attempts, %d ends", len(k.Messages), len(k.Attempts[2]), len(k.Ends))
+		t.Errorf("%d messages, %d attempts, %d ends; want message 2 with 1 attempt, and 1 end",
+			len(k.Messages), len(k.Attempts[2]), len(k.Ends))
 	}
 }
--- a/internal/journal/small_test.go
+++ b/internal/journal/small_test.go
@@ -8,10 +8,10 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// BenchmarkSmallFolder measures the most that a folder holds at any moment while
-// messages pass through it, a sixteenth of them with bodies of up to 64 KiB and 500 of
-// them live: the bounded log with 3 MB, and pebble with the smallest tables that it
-// works with, as the daemon writes to it but without syncs.
+// BenchmarkSmallFolder measures the maximum size of a folder while messages pass through
+// it, 500 of them live at a time and one in sixteen with a body of up to 64 KiB. It
+// compares the Log with a limit of 3 MB to pebble with the smallest tables that it works
+// with, written like Journal but without syncs.
 func BenchmarkSmallFolder(b *testing.B) {
 	life := func(b *testing.B, taken func(Message), tried func(Attempt), ended func(End), size func() int64) {
 		r := rand.New(rand.NewPCG(1, 1))
