--- a/internal/member/fleet.go
+++ b/internal/member/fleet.go
@@ -6,57 +6,59 @@
 	"time"
 )
 
-// Peer is one running relay as the catalogue has it. A relay that is started
-// again is another one under the same name.
+// Peer is one run of a relay as the catalogue has it. A relay that is restarted is
+// another peer with the same name.
 type Peer struct {
 	Name  string
-	Boot  string // drawn at its start
-	Since int64  // its start by its own clock, Unix milliseconds
-	Well  bool   // its check passes
+	Boot  string // random ID of the run
+	Since int64  // start of the run by its own clock, Unix ms
+	Well  bool   // its health check passes
 }
 
+// id returns a key that distinguishes the runs of all relays.
 func (p Peer) id() string { return p.Name + "/" + p.Boot }
 
-// FleetSettings of a Fleet.
+// FleetSettings configures a Fleet.
 type FleetSettings struct {
 	Self Peer
-	Size int           // believed before the catalogue was heard, and Late after
-	Late time.Duration // a relay that is not well, or gone, still counts for so long
-	Hold time.Duration // and for so long where much of the fleet went at once
+	Size int           // minimum size until Late after the first fresh report
+	Late time.Duration // how long a peer that is lost, that is unhealthy or gone, still counts
+	Hold time.Duration // the same, for peers that were lost together with much of the fleet
 }
 
-// goneShare of a fleet that goes within Late is more likely a split, or a catalogue
-// that lies, than so many deaths.
+// goneShare is the share of the fleet that may be lost within FleetSettings.Late. A greater
+// loss more likely means a network partition or a wrong catalogue than failed relays.
 const goneShare = 1.0 / 3
 
-// Fleet decides how many relays there are, and which of them this one is. Every
-// share of a limit rests on it, so it errs on the large side: a relay that joins
-// counts at once, one that dies is told late, and of a fleet that seems to
-// lose a third at once, or to split, all count for long. A relay that blinds
-// itself to its peers then sends too little, never too much. It is not safe for
-// concurrent use.
+// Fleet determines how many relays the fleet has, and the index of this one. Each relay
+// gets its share of the fleet's limits by the size of the fleet, so Fleet errs on the
+// large side: a relay that joins counts at once, one that is lost counts until a delay has
+// passed, and if a third of the fleet or more seems to be lost at once, as in a network
+// partition, those relays count for much longer. A relay that is cut off from its peers
+// thus sends too little rather than too much. Fleet is not safe for concurrent use.
 type Fleet struct {
 	set   FleetSettings
-	peers map[string]*peer
-	heard time.Duration // first; below 0 for never
+	peers map[string]*peer // by id
+	heard time.Duration    // time of the first fresh report; below 0 for none
 }
 
+// peer is the state of one Peer.
 type peer struct {
 	Peer
-	lost time.Duration // since when it is not well or gone; below 0 while it is well
-	hold bool
-	gone bool
+	lost time.Duration // since when it is unhealthy or gone; below 0 while it is neither
+	hold bool          // lost together with much of the fleet: counts for FleetSettings.Hold
+	gone bool          // missing in the latest fresh report
 }
 
-// NewFleet begins with the configured size.
+// NewFleet returns a fleet of which only this relay is known.
 func NewFleet(set FleetSettings) *Fleet {
 	f := &Fleet{set: set, peers: map[string]*peer{}, heard: -1}
 	f.peers[set.Self.id()] = &peer{Peer: set.Self, lost: -1}
 	return f
 }
 
-// Report takes in the peers that the catalogue has. What a server lacks that is
-// not up to date counts as still there.
+// Report processes the peers that the catalogue has. fresh says that the catalogue's server
+// is up to date; otherwise peers that it doesn't list are not taken for gone.
 func (f *Fleet) Report(now time.Duration, peers []Peer, fresh bool) {
 	if f.heard < 0 && fresh {
 		f.heard = now
@@ -72,7 +74,7 @@
 			f.peers[p.id()] = k
 		}
 		if p.id() == f.set.Self.id() {
-			continue // of itself a relay knows better
+			continue // the relay knows its own state better than the catalogue
 		}
 		k.Peer, k.gone = p, false
 		switch {
@@ -92,8 +94,7 @@
 			}
 		}
 	}
-	// Much at once: of all that counted, those lost within the time that a death
-	// takes to tell.
+	// Peers lost within Late of each other count as lost at once.
 	lost := 0
 	for _, k := range f.peers {
 		if k.lost >= 0 && now-k.lost < f.set.Late && !f.replaced(k) {
@@ -109,7 +110,8 @@
 	}
 }
 
-// replaced tells whether a relay that is lost was started again since.
+// replaced reports whether the relay of a lost peer has been restarted: a later run of the
+// same name is healthy.
 func (f *Fleet) replaced(k *peer) bool {
 	for _, o := range f.peers {
 		if o != k && o.Name == k.Name && o.lost < 0 && o.Since >= k.Since {
@@ -119,7 +121,8 @@
 	return false
 }
 
-// counts tells whether a relay counts, and until when if it is lost.
+// counts reports whether a peer counts towards the size of the fleet, and for a lost one
+// until when; below 0 for a peer that isn't lost.
 func (f *Fleet) counts(now time.Duration, k *peer) (bool, time.Duration) {
 	if k.lost < 0 {
 		return true, -1
@@ -131,6 +134,7 @@
 	return now < until && !f.replaced(k), until
 }
 
+// size returns the number of peers that count.
 func (f *Fleet) size(now time.Duration) (n int) {
 	for _, k := range f.peers {
 		if ok, _ := f.counts(now, k); ok {
@@ -140,9 +144,9 @@
 	return n
 }
 
-// View is this relay's number, from 0 in the order of names, the size of the
-// fleet, when that may change without news (below 0 for never), and the names
-// that several running relays bear.
+// View returns the index of this relay, from 0 in the order of names, the size of the
+// fleet, when these may change without a report (below 0 for never), and the names that
+// several running relays have in common.
 func (f *Fleet) View(now time.Duration) (index, size int, next time.Duration, twice []string) {
 	next = -1
 	var ids []string
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -25,58 +25,59 @@
 	return n
 }
 
-// Joins count at once, deaths late, a split or a halving for long, a relay that
-// was started again once.
+// Guards against a fleet that is estimated too small or, for good, too large: a relay that
+// joins counts at once, a lost one until a delay has passed, many that are lost together
+// for longer, and a restarted one only once.
 func TestFleet(t *testing.T) {
 	f := fleet(8)
 	if n := size(t, f, 0); n != 8 {
-		t.Errorf("before any news: %d", n)
+		t.Errorf("before the first report: %d, want 8", n)
 	}
 	f.Report(0, peers(4), true)
 	if n := size(t, f, 9*s); n != 8 {
-		t.Errorf("at the start: %d", n)
+		t.Errorf("just after the first report: %d, want 8", n)
 	}
 	if n := size(t, f, 10*s); n != 4 {
-		t.Errorf("after the start: %d", n)
+		t.Errorf("10 s after the first report: %d, want 4", n)
 	}
 	f.Report(20*s, peers(12), true)
 	if n := size(t, f, 20*s); n != 12 {
-		t.Errorf("joined: %d", n)
+		t.Errorf("after relays joined: %d, want 12", n)
 	}
 	f.Report(30*s, peers(11), true)
 	if n := size(t, f, 39*s); n != 12 {
-		t.Errorf("one died: %d", n)
+		t.Errorf("just after one was lost: %d, want 12", n)
 	}
 	if n := size(t, f, 40*s); n != 11 {
-		t.Errorf("told late: %d", n)
+		t.Errorf("10 s after one was lost: %d, want 11", n)
 	}
 	again := append(peers(11), Peer{Name: "r005", Boot: "b", Since: 2, Well: true})
 	again[5].Well = false
 	f.Report(50*s, again, true)
 	if n := size(t, f, 50*s); n != 11 {
-		t.Errorf("started again: %d", n)
+		t.Errorf("after one was restarted: %d, want 11", n)
 	}
 	again[5].Well = true
 	f.Report(55*s, again, true)
 	if _, n, _, twice := f.View(55 * s); n != 12 || len(twice) != 1 {
-		t.Errorf("two of one name: %d, %v", n, twice)
+		t.Errorf("two healthy relays of one name: size %d, duplicates %v; want 12 and one name", n, twice)
 	}
 	f.Report(60*s, peers(5), true)
 	if n := size(t, f, 120*s); n < 11 {
-		t.Errorf("a split: %d", n)
+		t.Errorf("after half the fleet was lost at once: %d, want 11 or more", n)
 	}
 	if n := size(t, f, 12*time.Minute); n != 5 {
-		t.Errorf("held for long: %d", n)
+		t.Errorf("long after half the fleet was lost: %d, want 5", n)
 	}
 	f.Report(13*time.Minute, peers(3), false)
 	if n := size(t, f, 30*time.Minute); n != 5 {
-		t.Errorf("a server behind: %d", n)
+		t.Errorf("after a report that is not fresh: %d, want 5", n)
 	}
 }
 
-// However a fleet lives and dies, and whatever part of it the catalogue shows,
-// the shares of the relays that run never add up to more than the whole, as long
-// as each has heard of those that joined. Numbers differ.
+// Guards against relays that together exceed the fleet's limits. Relays stop at random, and
+// each running one sees all others: their shares must not add up to more than 1, and their
+// indexes must be within the size, and distinct once the size is exact.
 func TestSharesNeverTooLarge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 9
@@ -110,12 +111,12 @@
 				index, size, _, _ := views[i].View(now)
 				sum += 1 / float64(size)
 				if index < 0 || index >= size || seen[index] && size == len(all) {
-					t.Fatalf("relay %d is number %d of %d", i, index, size)
+					t.Fatalf("relay %d has index %d in a fleet of %d", i, index, size)
 				}
 				seen[index] = true
 			}
 			if sum > 1.0000001 {
-				t.Fatalf("the shares are %.3f of the whole", sum)
+				t.Fatalf("the shares add up to %.3f", sum)
 			}
 		}
 	})
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -1,7 +1,7 @@
-// Package member decides what is believed of reports on endpoints and relays:
-// which endpoint takes new work, when one that vanished is gone, when a catalogue
-// is lying, and how many relays the fleet has. It does no I/O, reads no clock and
-// draws nothing by chance.
+// Package member derives membership from the reports of sources such as a list file or a
+// catalogue: which endpoints take new work, when one that is no longer reported is
+// removed, when a report is too implausible to act on at once, and how many relays the
+// fleet has. It does no I/O, reads no clock and uses no randomness.
 package member
 
 import (
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// Health of an endpoint as a catalogue reports it.
+// Health is the health of an endpoint as a catalogue reports it.
 type Health int
 
 // The states of health.
 const (
-	Unknown Health = iota // no checks
+	Unknown Health = iota // the endpoint has no checks
 	Passing
 	Warning
 	Critical
@@ -24,100 +24,103 @@
 
 // Entry is one endpoint as a source reports it.
 type Entry struct {
-	ID       string   `json:"id,omitempty"` // in its source; empty for the address
-	Addr     string   `json:"addr"`         // its name, or only address; endpoints are told apart by it
-	Addrs    []string `json:"addrs,omitempty"`
+	ID       string   `json:"id,omitempty"`    // ID within the source; empty if the address is the ID
+	Addr     string   `json:"addr"`            // name or only address, by which endpoints are distinguished
+	Addrs    []string `json:"addrs,omitempty"` // addresses to connect to; empty for Addr alone
 	Partner  string   `json:"partner"`
-	Kind     string   `json:"kind,omitempty"` // where a source tells it; else the partner's
+	Kind     string   `json:"kind,omitempty"` // empty for the partner's kind
 	Zone     string   `json:"zone"`
-	Rate     float64  `json:"rate,omitempty"`
-	Draining bool     `json:"draining,omitempty"` // asked for by somebody, not a matter of health
+	Rate     float64  `json:"rate,omitempty"`     // calls a second; 0 if the source gives none
+	Draining bool     `json:"draining,omitempty"` // an operator asked for it; independent of health
 	Health   Health   `json:"health,omitempty"`
 }
 
-// same tells whether an entry needs no new telling.
+// same reports whether two entries agree in all that is passed on to the core, apart from
+// draining.
 func (e *Entry) same(o *Entry) bool {
 	return e.Addr == o.Addr && e.Partner == o.Partner && e.Zone == o.Zone && e.Kind == o.Kind && e.Rate == o.Rate &&
 		slices.Equal(e.Addrs, o.Addrs)
 }
 
-// Report is a source's whole list.
+// Report is the whole list of a source.
 type Report struct {
 	Entries []Entry
-	// Fresh reports come from a server that is up to date; what another one lacks
-	// is not taken as gone.
+	// Fresh says that the report comes from a server that is up to date. The absence of
+	// an entry from any other report does not prove that the endpoint is gone.
 	Fresh bool
 }
 
-// SourceSettings say what a source's word is worth.
+// SourceSettings says how far the reports of a source are trusted.
 type SourceSettings struct {
 	Name   string
-	Sure   bool // what it lacks is gone at once: a file that people wrote
-	Health bool // its word on health is heard; else no decision depends on it
+	Sure   bool // an endpoint that it no longer reports is removed at once, as with a file that people wrote
+	Health bool // health is used; otherwise no decision depends on it
 }
 
-// Settings of a List.
+// Settings configures a List.
 type Settings struct {
-	Gone    time.Duration // an endpoint that vanished takes no new work, and is forgotten after this
-	Believe time.Duration // how long a catalogue must tell of much vanishing before it is believed
-	Trust   time.Duration // a source without news for longer yields to others that know the partner
+	Gone    time.Duration // from the disappearance of an endpoint, which ends new work there, to its removal
+	Believe time.Duration // how long a disappearance must last that is implausible, or not in a Fresh report
+	Trust   time.Duration // silence after which a source yields to others that have the partner; 0 for no limit
 }
 
 const (
-	// much of a list that vanishes is doubted: half of it, three at least; all of
-	// a partner's, two at least.
+	// It is implausible that half of a list, and three endpoints at least, disappear at
+	// once, or all endpoints of a partner, if these are two at least.
 	muchShare, muchLeast = 0.5, 3
-	// panicShare: where more of a partner's endpoints are critical, the checks are
-	// broken rather than the endpoints, and health is not heard there.
+	// panicShare is the share of a partner's endpoints above which critical health is
+	// ignored: then the checks are more likely broken than the endpoints.
 	panicShare = 0.5
-	// An endpoint that comes back from a drain again and again must stay so for
-	// settle, doubling with each time, up to mostSettle; a time is half forgotten
-	// after halfLife (as RFC 2439 damps routes). Going into a drain never waits.
+	// Flap damping, as RFC 2439 has it for routes. An endpoint that repeatedly returns
+	// from draining must stay ready for settle before it takes new work, which doubles
+	// with each return, up to mostSettle. The count of drains halves every halfLife.
+	// The change to draining is never delayed.
 	settle     = time.Second
 	mostSettle = time.Minute
 	halfLife   = 30 * time.Second
 )
 
-// lost is an entry that its source no longer has.
+// lost is an entry that its source no longer reports.
 type lost struct {
 	Entry
 	since   time.Duration
-	doubted bool // not believed until since and Settings.Believe
-	moved   bool // its id is at another address now
+	doubted bool // implausible, or not in a fresh report: not acted on until Settings.Believe after since
+	moved   bool // the source reports its ID at another address now
 }
 
+// source is the state of one source.
 type source struct {
 	SourceSettings
-	told  map[string]Entry // by address
-	lost  map[string]*lost
-	heard time.Duration
-	ever  bool
-	// by partner, of told: endpoints, and critical ones
+	told  map[string]Entry // latest report, by address
+	lost  map[string]*lost // by address
+	heard time.Duration    // time of the latest sign of life
+	ever  bool             // whether it has reported at all
+	// number of endpoints in the latest report by partner, and of critical ones among them
 	all, critical map[string]int
 }
 
-// known is what was told of an endpoint.
+// known is an endpoint as Step last returned it, with the state of its flap damping.
 type known struct {
 	Entry
-	told    bool // on the list; else only remembered as one that flaps
+	told    bool // on the list; otherwise kept only for its flap damping
 	drain   bool
-	flaps   float64 // faded count of drains
-	fadedAt time.Duration
-	since   time.Duration // wanted ready since; below 0 if it is not
+	flaps   float64       // number of drains, decaying
+	fadedAt time.Duration // time up to which the decay of flaps is accounted for
+	since   time.Duration // since when all sources want it ready; below 0 if they don't
 }
 
-// List merges the reports of sources into one list. It is not safe for
-// concurrent use.
+// List merges the reports of several sources into one list of endpoints. It is not safe
+// for concurrent use.
 type List struct {
 	set     Settings
 	sources []*source
-	known   map[string]*known
-	touched map[string]bool // addresses to decide anew
-	every   bool            // all of them
-	next    time.Duration   // when time alone may change something; below 0 for never
+	known   map[string]*known // by address
+	touched map[string]bool   // addresses to be decided on in the next Step
+	every   bool              // whether all addresses are to be decided on
+	next    time.Duration     // when the list may change without a report; below 0 for never
 }
 
-// NewList makes one; the order of sources is their precedence.
+// NewList returns an empty list. Sources take precedence in their order.
 func NewList(set Settings, sources []SourceSettings) *List {
 	l := &List{set: set, known: map[string]*known{}, touched: map[string]bool{}, next: -1}
 	for _, s := range sources {
@@ -126,16 +129,17 @@
 	return l
 }
 
-// Heard takes in that a source answered, if only that nothing changed.
+// Heard records a sign of life of a source, such as an answer without changes.
 func (l *List) Heard(now time.Duration, from int) {
 	s := l.sources[from]
 	if l.set.Trust > 0 && s.ever && now-s.heard > l.set.Trust {
-		l.every = true // it was passed over
+		l.every = true // the source was ignored until now
 	}
 	s.heard = now
 }
 
-// Report takes in a source's list. Entries whose address stands twice count once.
+// Report processes the list of a source. Of several entries with one address the first
+// counts.
 func (l *List) Report(now time.Duration, from int, r Report) {
 	s := l.sources[from]
 	l.Heard(now, from)
@@ -159,7 +163,7 @@
 			fresh = append(fresh, gone)
 		}
 	}
-	shaken := map[string]bool{} // partners whose share of critical ones moved
+	shaken := map[string]bool{} // partners whose share of critical endpoints may have changed
 	for addr, e := range next {
 		delete(s.lost, addr)
 		old, was := s.told[addr]
@@ -190,7 +194,7 @@
 			x.doubted = true
 		}
 	} else {
-		// Only partners that would be left with nothing are doubted.
+		// Implausible only for partners that would be left without endpoints.
 		left, had := map[string]int{}, map[string]int{}
 		for _, e := range s.told {
 			left[e.Partner]++
@@ -204,7 +208,7 @@
 	}
 }
 
-// much tells whether too much of a list vanished lately to be believed at once.
+// much reports whether so much of the list disappeared lately that it is implausible.
 func (s *source) much(now, within time.Duration) bool {
 	n := 0
 	for _, x := range s.lost {
@@ -215,14 +219,15 @@
 	return n > 0 && (len(s.told) == 0 || n >= muchLeast && float64(n) >= muchShare*float64(n+len(s.told)))
 }
 
-// wish is what the sources together want of an endpoint.
+// wish is the state of an endpoint that follows from all sources together, before flap
+// damping.
 type wish struct {
 	Entry
 	drain bool
-	only  bool // nothing but a vanished entry stands for it
+	only  bool // no source reports the endpoint any more
 }
 
-// wish merges what the sources have of one address; nil if none has it.
+// wish merges what the sources have on an address. It returns nil if none has it.
 func (l *List) wish(now time.Duration, addr string) (w *wish) {
 	for i, s := range l.sources {
 		e, has := s.told[addr]
@@ -264,12 +269,13 @@
 	return w
 }
 
+// silent reports whether a source has given no sign of life for longer than allowed.
 func (l *List) silent(now time.Duration, s *source) bool {
 	return l.set.Trust > 0 && s.ever && now-s.heard > l.set.Trust
 }
 
-// yields tells whether a source that has been silent for too long leaves a partner
-// to another one that knows it.
+// yields reports whether the entries of a source for a partner are ignored: it is silent
+// while another source, which isn't, has endpoints of the partner.
 func (l *List) yields(now time.Duration, from int, partner string) bool {
 	if !l.silent(now, l.sources[from]) {
 		return false
@@ -282,22 +288,23 @@
 	return false
 }
 
-// at asks for a Step at a time.
+// at has the next Step called at a time at the latest.
 func (l *List) at(t time.Duration) {
 	if l.next < 0 || t < l.next {
 		l.next = t
 	}
 }
 
-// Told is an endpoint as it is told to the module.
+// Told is an endpoint with its state as Step returns it.
 type Told struct {
 	Entry
 	Draining bool
 }
 
-// Step decides anew. It returns what differs from what was told before: endpoints
-// in the order of addresses, and addresses that are on the list no more; and when to
-// Step again at the latest without news, below 0 for never.
+// Step updates the list and returns what changed since the last call: endpoints that are
+// new or different and addresses of endpoints that are gone, both in the order of
+// addresses. It also returns when Step must be called again at the latest, even without a
+// report; below 0 for never.
 func (l *List) Step(now time.Duration) (told []Told, gone []string, next time.Duration) {
 	if l.next >= 0 && now >= l.next {
 		l.every = true
@@ -338,7 +345,7 @@
 	return told, gone, l.next
 }
 
-// forget takes out what no source has; true if it was told.
+// forget removes an endpoint that no source has. It reports whether it was on the list.
 func (l *List) forget(now time.Duration, addr string) (was bool) {
 	k := l.known[addr]
 	if k == nil {
@@ -348,7 +355,7 @@
 		k.told = false
 		k.drained(now, !k.drain)
 	}
-	if k.fade(now) < 0.5 { // nothing left to remember
+	if k.fade(now) < 0.5 { // no drains left that flap damping would count
 		delete(l.known, addr)
 	} else {
 		l.at(now + 2*halfLife)
@@ -356,7 +363,7 @@
 	return was
 }
 
-// tell decides on one endpoint; nil if there is nothing new to tell.
+// tell updates one endpoint. It returns nil if nothing changed.
 func (l *List) tell(now time.Duration, addr string, w *wish) *known {
 	k := l.known[addr]
 	if k == nil {
@@ -377,7 +384,7 @@
 		if k.since < 0 {
 			k.since = now
 		}
-		// One that is new is ready at once, one that comes back for the first time too.
+		// A new endpoint is ready at once, and so is one that returns for the first time.
 		ready := k.since
 		if n := k.fade(now); n >= 1.5 {
 			ready += min(settle<<min(int(n-0.5), 10), mostSettle)
@@ -396,7 +403,7 @@
 	return k
 }
 
-// drained counts one more time that an endpoint went out of service.
+// drained counts a drain or removal of an endpoint, if it was ready until then.
 func (k *known) drained(now time.Duration, was bool) {
 	k.fade(now)
 	if was {
@@ -404,7 +411,7 @@
 	}
 }
 
-// fade lets what was counted be forgotten.
+// fade brings the decay of flaps up to date and returns flaps.
 func (k *known) fade(now time.Duration) float64 {
 	for now-k.fadedAt >= halfLife && k.flaps > 0 {
 		k.flaps /= 2
@@ -416,8 +423,7 @@
 	return k.flaps
 }
 
-// Sources tells of each source how many endpoints it has, how many of those that
-// it lost are doubted, and how long ago it was heard; below 0 for never.
+// Sources returns the state of each source.
 func (l *List) Sources(now time.Duration) (out []SourceState) {
 	for _, s := range l.sources {
 		k := SourceState{Name: s.Name, Endpoints: len(s.told), Lost: len(s.lost), Silent: -1}
@@ -434,11 +440,11 @@
 	return out
 }
 
-// SourceState is what a report shows of a source.
+// SourceState is the state of a source as it is shown to operators.
 type SourceState struct {
 	Name      string        `json:"name"`
-	Endpoints int           `json:"endpoints"`
-	Lost      int           `json:"lost"`
-	Doubted   int           `json:"doubted"`
-	Silent    time.Duration `json:"silent_ns"`
+	Endpoints int           `json:"endpoints"` // in its latest report
+	Lost      int           `json:"lost"`      // no longer reported, and not removed yet
+	Doubted   int           `json:"doubted"`   // of these, the ones whose disappearance isn't acted on yet
+	Silent    time.Duration `json:"silent_ns"` // since the latest sign of life; below 0 if there was none
 }
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-// bench feeds a List and keeps what it told last.
+// bench drives a List and applies the changes that Step returns.
 type bench struct {
 	*List
 	list map[string]Told
@@ -48,7 +48,7 @@
 	return b
 }
 
-// count tells how many endpoints are ready and how many drain.
+// count returns the number of endpoints that are ready and that are draining.
 func (b *bench) count() (ready, draining int) {
 	for _, e := range b.list {
 		if e.Draining {
@@ -67,44 +67,47 @@
 	}
 }
 
-// One endpoint that vanishes takes no new work at once and is gone after a
-// while; half a list, all of a list, all of a partner, and whatever a server that
-// is behind lacks, stay until told for long enough.
+// Guards against endpoints that stay on the list after they disappeared, and against an
+// implausible report that empties it. A single endpoint that disappears drains at once and
+// is removed after a while. If half of the list, all of it or all of a partner disappears,
+// or the server is behind, the endpoints stay until the absence has lasted long enough.
 func TestVanishing(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		left        []Entry
 		fresh       bool
-		ready, soon int // right away, and draining then
+		ready, soon int // ready and draining endpoints just after the second report
 	}{
-		{"one", entries(12, 5), true, 11, 1},
-		{"half", entries(6), true, 12, 0},
-		{"all", nil, true, 12, 0},
-		{"one partner's", entries(8), true, 12, 0},
-		{"behind", entries(12, 5), false, 12, 0},
+		{"one disappears", entries(12, 5), true, 11, 1},
+		{"half disappear", entries(6), true, 12, 0},
+		{"all disappear", nil, true, 12, 0},
+		{"all of a partner disappear", entries(8), true, 12, 0},
+		{"server is behind", entries(12, 5), false, 12, 0},
 	} {
 		b := newBench(SourceSettings{Name: "c"})
 		b.Report(0, 0, Report{entries(12), true})
-		b.step(0).want(t, c.name+" at first", 12, 0)
+		b.step(0).want(t, c.name+", before", 12, 0)
 		b.Report(s, 0, Report{c.left, c.fresh})
-		b.step(s).want(t, c.name+" vanished", c.ready, c.soon)
+		b.step(s).want(t, c.name+", just after", c.ready, c.soon)
 		b.step(12 * s)
 		if c.soon > 0 {
-			b.want(t, c.name+" a while after", 11, 0)
+			b.want(t, c.name+", after the time to removal", 11, 0)
 			continue
 		}
-		b.want(t, c.name+" a while after", 12, 0)
+		b.want(t, c.name+", after the time to removal", 12, 0)
 		if b.next < 0 {
-			t.Fatalf("%s: no wake-up asked for", c.name)
+			t.Fatalf("%s: no next step was requested", c.name)
 		}
-		b.step(62*s).want(t, c.name+" told for long", len(c.left), 12-len(c.left))
-		b.step(80*s).want(t, c.name+" in the end", len(c.left), 0)
+		b.step(62*s).want(t, c.name+", after the time to confirm", len(c.left), 12-len(c.left))
+		b.step(80*s).want(t, c.name+", in the end", len(c.left), 0)
 	}
 }
 
-// A drain is told in the same step, in doubt too; a file's word that something is
-// gone is believed; an id that moves takes its old address out without doubt; an
-// address under another id is the same endpoint.
+// Guards against drains and moves that are held back as implausible, and against changes
+// without effect that are returned as such. A drain takes effect in the same step even if
+// much of the list disappeared with it. What a list file no longer has is removed at once.
+// If an ID moves to another address, the old address drains at once. A new ID at the same
+// address changes nothing.
 func TestTold(t *testing.T) {
 	b := newBench(SourceSettings{Name: "c"}, SourceSettings{Name: "file", Sure: true})
 	b.Report(0, 0, Report{entries(8), true})
@@ -112,19 +115,19 @@
 	half := entries(4)
 	half[0].Draining = true
 	b.Report(s, 0, Report{half, true})
-	b.step(s).want(t, "half gone, one drained", 7, 1)
+	b.step(s).want(t, "half disappear and one drains", 7, 1)
 	b = newBench(SourceSettings{Name: "file", Sure: true})
 	b.Report(0, 0, Report{entries(8), true})
 	b.step(0)
 	b.Report(s, 0, Report{nil, true})
-	b.step(s).want(t, "a file is sure", 0, 0)
+	b.step(s).want(t, "removed from a list file", 0, 0)
 	b = newBench(SourceSettings{Name: "c"})
 	b.Report(0, 0, Report{entries(2), true})
 	b.step(0)
 	moved := entries(2)
 	moved[0].Addr, moved[1].Addr = "10.1.0.0:80", "10.1.0.1:80"
 	b.Report(s, 0, Report{moved, true})
-	b.step(s).want(t, "moved", 2, 2)
+	b.step(s).want(t, "IDs moved to other addresses", 2, 2)
 	renamed := entries(2)
 	renamed[0].ID = "another"
 	b = newBench(SourceSettings{Name: "c"})
@@ -132,12 +135,13 @@
 	b.step(0)
 	b.Report(s, 0, Report{renamed, true})
 	if told, gone, _ := b.Step(s); len(told)+len(gone) > 0 {
-		t.Error("another id at the same address was news")
+		t.Error("another ID at the same address was returned as a change")
 	}
 }
 
-// An endpoint that flaps ten times in a second drains at once each time, and
-// comes back ever later; left alone it is ready again in the end.
+// Guards against a flapping endpoint that keeps returning to service. One that flaps ten
+// times in a second must drain at once each time, return later and later, and be ready in
+// the end when it no longer flaps.
 func TestFlapping(t *testing.T) {
 	b := newBench(SourceSettings{Name: "c"})
 	now, ready := time.Duration(0), 0
@@ -147,7 +151,7 @@
 		b.Report(now, 0, Report{e, true})
 		b.step(now)
 		if _, d := b.count(); e[0].Draining && d != 1 {
-			t.Fatalf("%v: a drain was not told", now)
+			t.Fatalf("%v: a drain did not take effect at once", now)
 		}
 		if r, _ := b.count(); r == 1 {
 			ready++
@@ -155,7 +159,7 @@
 		now += 50 * time.Millisecond
 	}
 	if ready > 3 {
-		t.Errorf("ready %d times in a second", ready)
+		t.Errorf("ready %d times in a second, want 3 at most", ready)
 	}
 	b.Report(now, 0, Report{entries(1), true})
 	for b.step(now); b.next >= 0 && now < 5*time.Minute; b.step(now) {
@@ -164,8 +168,9 @@
 	b.want(t, "in the end", 1, 0)
 }
 
-// Health: critical takes no new work and is not gone; where more than half of a
-// partner is critical it is not heard; where it is barred nothing depends on it.
+// Guards against wrong use of health checks. A critical endpoint drains and is not
+// removed. If more than half of a partner's endpoints are critical, health is ignored. If a
+// source's health is not used, no result depends on it.
 func TestHealth(t *testing.T) {
 	sick := func(n int) (out []Entry) {
 		out = entries(4)
@@ -176,10 +181,10 @@
 	}
 	b := newBench(SourceSettings{Name: "c", Health: true})
 	b.Report(0, 0, Report{sick(1), true})
-	b.step(0).want(t, "one critical", 3, 1)
-	b.step(time.Hour).want(t, "an hour later", 3, 1)
+	b.step(0).want(t, "one of four critical", 3, 1)
+	b.step(time.Hour).want(t, "one of four critical for an hour", 3, 1)
 	b.Report(time.Hour, 0, Report{sick(3), true})
-	b.step(time.Hour).want(t, "three of four", 4, 0)
+	b.step(time.Hour).want(t, "three of four critical", 4, 0)
 	rapid.Check(t, func(t *rapid.T) {
 		x, y := newBench(SourceSettings{Name: "c"}), newBench(SourceSettings{Name: "c"})
 		now := time.Duration(0)
@@ -203,8 +208,9 @@
 	})
 }
 
-// Whatever sources say: what one of them drains is never ready; what all of them
-// have, none draining, is on the list; the next step asked for comes in time.
+// Guards against a wrong merge of two sources with random reports. An endpoint that one of
+// them drains must not be ready. One that both report must be on the list. If one waits to
+// become ready again, a next step must be requested.
 func TestListAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBench(SourceSettings{Name: "a"}, SourceSettings{Name: "b"})
@@ -226,17 +232,17 @@
 			b.step(now)
 			for addr, e := range b.list {
 				if !e.Draining && (last[0][addr].Draining || last[1][addr].Draining) {
-					t.Fatalf("%s is ready though it drains", addr)
+					t.Fatalf("%s is ready although a source drains it", addr)
 				}
 			}
 			for addr := range last[0] {
 				if _, both := last[1][addr]; both && b.list[addr].Addr == "" {
-					t.Fatalf("%s is missing", addr)
+					t.Fatalf("%s is not on the list although both sources have it", addr)
 				}
 			}
 			for addr, k := range b.known {
 				if k.told && k.drain && k.since >= 0 && b.next < 0 {
-					t.Fatalf("%s waits to be ready and nothing wakes it", addr)
+					t.Fatalf("%s waits to become ready, but no next step was requested", addr)
 				}
 			}
 		}
