--- a/internal/catalog/consul.go
+++ b/internal/catalog/consul.go
@@ -1,6 +1,6 @@
-// Package catalog follows Consul's catalogue and health API by blocking queries,
-// and keeps a relay registered there. When to ask and what an answer is worth
-// decides Pacer; what follows from it, package member.
+// Package catalog follows services in Consul's catalogue and health API with blocking
+// queries, and keeps a relay registered there. Pacer decides when to query and whether an
+// answer is up to date; what follows from an answer is decided by package member.
 package catalog
 
 import (
@@ -24,40 +24,41 @@
 	"basaltcross.example/basaltcross/internal/pause"
 )
 
-// Options of a Client.
+// Options configures a Client.
 type Options struct {
-	Address     string // host:port, or http:// or https:// and that
+	Address     string // host:port, which http:// or https:// may precede
 	Token       string
-	TokenFile   string // read again by the library at each start
+	TokenFile   string // read by the Consul library once for each Client
 	Datacenter  string
 	Namespace   string
 	Partition   string
 	Consistency string        // "default", "stale" or "consistent"
-	MaxStale    time.Duration // since the server heard its leader; past it absence proves nothing
-	Wait        time.Duration // of a blocking query
-	MostBytes   int64         // of one answer
-	TLS         *tls.Config   // nil for the library's
+	MaxStale    time.Duration // limit on the time since the server's last contact with its leader
+	Wait        time.Duration // how long a blocking query may wait for a change
+	MostBytes   int64         // limit on the size of a response
+	TLS         *tls.Config   // nil for the defaults
 }
 
-// slack is the time of a query beyond its wait and the sixteenth that servers add
-// to it: that of the wait, within bounds.
+// slack returns the time that a query may take beyond its wait and the sixteenth of it
+// that servers add: as long as the wait, but 2 s at least and 10 s at most.
 func (o *Options) slack() time.Duration { return min(max(o.Wait, 2*time.Second), 10*time.Second) }
 
-// Client asks one Consul agent or server.
+// Client queries one Consul agent or server.
 type Client struct {
 	api *api.Client
 	opt Options
 }
 
-// errTooLarge ends an answer past Options.MostBytes.
-var errTooLarge = errors.New("catalog: the answer is larger than allowed")
+// errTooLarge is the read error of a response that is larger than Options.MostBytes.
+var errTooLarge = errors.New("catalog: response is larger than allowed")
 
-// limited bounds the body of each answer.
+// limited is a transport that limits the size of each response body.
 type limited struct {
 	http.RoundTripper
-	most int64
+	most int64 // bytes
 }
 
+// limitedBody is a response body that fails with errTooLarge after a number of bytes.
 type limitedBody struct {
 	io.ReadCloser
 	left int64
@@ -80,7 +81,7 @@
 	return n, err
 }
 
-// New makes a client; it opens no connection.
+// New returns a client. It opens no connection.
 func New(opt Options) (*Client, error) {
 	t := &http.Transport{DialContext: (&net.Dialer{Timeout: opt.slack()}).DialContext, TLSClientConfig: opt.TLS,
 		MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute, TLSHandshakeTimeout: opt.slack()}
@@ -96,23 +97,23 @@
 	return &Client{c, opt}, nil
 }
 
-// Mapping says what the instances of a service are here.
+// Mapping describes how the instances of a service become endpoints.
 type Mapping struct {
 	Service string
-	Tags    []string // all of which an instance must have
-	Filter  string   // an expression of the API's filtering
-	Partner string
-	Zone    string   // where neither service nor node tells one
-	Tagged  []string // names of tagged addresses to reach it by, in this order
-	Health  bool     // its health is heard
-	Barred  bool     // health is not even asked for: the catalogue is, so that maintenance is not seen
+	Tags    []string // tags that an instance must all have
+	Filter  string   // expression in the filter language of Consul's API
+	Partner string   // partner of the endpoints
+	Zone    string   // default for instances without a zone in the metadata of service or node
+	Tagged  []string // names of the tagged addresses to connect to, in order of preference
+	Health  bool     // health is used
+	Barred  bool     // health is not queried, only the catalogue, which doesn't show maintenance mode
 }
 
-// News takes what a watch finds.
+// News holds the functions that receive what a watch finds.
 type News struct {
 	Report func(member.Report)
-	Heard  func()          // an answer, whatever it was
-	Failed func(err error) // a query failed, or an instance cannot be used
+	Heard  func()          // called for each answer, also one without changes
+	Failed func(err error) // called for a failed query, and for an instance that can't be used
 }
 
 // Follow watches a service until ctx ends.
@@ -151,12 +152,13 @@
 	}, n.Heard)
 }
 
-// watch repeats one blocking query.
+// watch repeats one blocking query until ctx ends. ask sends the query and returns a
+// function that reports its result, which is called if the result is new.
 func (c *Client) watch(ctx context.Context, failed func(error),
 	ask func(*api.QueryOptions) (*api.QueryMeta, func(fresh bool), error), heard func()) {
 	p := NewPacer(c.opt.Wait, c.opt.MaxStale, rand.Uint64())
 	epoch := time.Now()
-	certain := false // the last answer was too stale: ask the leader
+	certain := false // the last answer was too stale, so don't allow a stale one again
 	for ctx.Err() == nil {
 		index := p.Ask()
 		within := c.opt.slack()
@@ -192,14 +194,14 @@
 	}
 }
 
-// draining is the tag, and the value of the metadata key "state", by which
-// an instance is taken out of service.
+// draining is the tag, and the value of the metadata key "state", that takes an instance
+// out of service.
 const draining = "draining"
 
-// entry reads one instance.
+// entry translates one instance.
 func (m *Mapping) entry(s *api.ServiceEntry) (e member.Entry, err error) {
 	if s == nil || s.Service == nil || s.Node == nil {
-		return e, errors.New("an instance lacks its node or service")
+		return e, errors.New("instance without a node or service")
 	}
 	v := s.Service
 	join := func(host string, port int) (string, error) {
@@ -245,14 +247,14 @@
 	}
 	if r := v.Meta["rate"]; r != "" {
 		if e.Rate, err = strconv.ParseFloat(r, 64); err != nil || !(e.Rate >= 0 && e.Rate < 1e9) {
-			return e, fmt.Errorf("instance %q: rate %q is no number of calls a second", v.ID, r)
+			return e, fmt.Errorf("instance %q: rate %q is not a valid number of calls a second", v.ID, r)
 		}
 	}
 	e.Draining = v.Meta["state"] == draining || slices.Contains(v.Tags, draining)
 	for _, k := range s.Checks {
 		switch {
 		case k.CheckID == api.NodeMaint || strings.HasPrefix(k.CheckID, api.ServiceMaintPrefix):
-			// Maintenance is somebody's word, not a matter of health.
+			// An operator sets maintenance mode, so it is a drain and doesn't count as health.
 			e.Draining = e.Draining || k.Status == api.HealthCritical
 		case k.Status == api.HealthCritical:
 			e.Health = member.Critical
@@ -268,19 +270,20 @@
 	return e, nil
 }
 
-// Registration is a relay's own entry.
+// Registration is the entry of a relay in the catalogue.
 type Registration struct {
 	Service string
 	Self    member.Peer
-	Address string        // host, informative
-	Port    int           // of its front, informative
-	TTL     time.Duration // of its check; refreshed three times within
+	Address string        // host, for information only
+	Port    int           // port of a front, for information only
+	TTL     time.Duration // time to live of the health check, which is refreshed every third of it
 }
 
-// forget is how long after its check failed a relay is dropped by the catalogue.
+// forget is the time after the health check of a relay has turned critical until Consul
+// deregisters the relay.
 const forget = "30m"
 
-// Enrol keeps a relay registered until ctx ends, then takes it out.
+// Enrol keeps a relay registered until ctx ends, and then deregisters it.
 func (c *Client) Enrol(ctx context.Context, r Registration, failed func(error)) {
 	id := r.Service + "-" + r.Self.Name + "-" + r.Self.Boot
 	check := "service:" + id
@@ -300,7 +303,7 @@
 		} else {
 			err = c.api.Agent().UpdateTTLOpts(check, "", api.HealthPassing, new(api.QueryOptions).WithContext(ctx))
 		}
-		// An agent that was started anew knows nothing of the check.
+		// Register again after an error: a restarted agent has lost the check.
 		known = err == nil
 		after := r.TTL / 3
 		if err != nil && ctx.Err() == nil {
@@ -318,7 +321,7 @@
 	}
 }
 
-// Peers watches the relays that are registered, until ctx ends.
+// Peers watches the registered relays until ctx ends.
 func (c *Client) Peers(ctx context.Context, service string, report func(peers []member.Peer, fresh bool), failed func(error)) {
 	c.watch(ctx, failed, func(q *api.QueryOptions) (*api.QueryMeta, func(bool), error) {
 		list, meta, err := c.api.Health().Service(service, "", false, q)
--- a/internal/catalog/pacer_test.go
+++ b/internal/catalog/pacer_test.go
@@ -7,7 +7,7 @@
 
 const second = time.Second
 
-// ask plays answers that come after took each and counts queries within a minute.
+// ask simulates queries that are each answered after took, and counts them for a minute.
 func ask(p *Pacer, took time.Duration, answer func(n int) Answer) (queries int) {
 	for now := time.Duration(0); now < time.Minute; queries++ {
 		now += took
@@ -17,53 +17,54 @@
 	return queries
 }
 
-// A server that answers each query at once makes no spin: not with one index, not
-// with none, not with one that always moves.
+// Guards against a busy loop of queries when a server answers each of them at once: with
+// the same index, without an index, or with one that always rises or falls.
 func TestNoSpin(t *testing.T) {
 	for name, answer := range map[string]func(int) Answer{
-		"same":  func(int) Answer { return Answer{Index: 7, Leader: true} },
-		"none":  func(int) Answer { return Answer{Leader: true} },
-		"moves": func(n int) Answer { return Answer{Index: uint64(n + 1), Leader: true} },
-		"back":  func(n int) Answer { return Answer{Index: uint64(1000000 - n), Leader: true} },
+		"same index":    func(int) Answer { return Answer{Index: 7, Leader: true} },
+		"no index":      func(int) Answer { return Answer{Leader: true} },
+		"rising index":  func(n int) Answer { return Answer{Index: uint64(n + 1), Leader: true} },
+		"falling index": func(n int) Answer { return Answer{Index: uint64(1000000 - n), Leader: true} },
 	} {
 		n := ask(NewPacer(time.Minute, second, 1), time.Millisecond, answer)
 		limit := 60
-		if name == "moves" || name == "back" {
+		if name == "rising index" || name == "falling index" {
 			limit = changes + 10*60 + 1
 		}
 		if n > limit {
-			t.Errorf("%s: %d queries in a minute", name, n)
+			t.Errorf("%s: %d queries in a minute, want %d at most", name, n, limit)
 		}
 	}
 }
 
-// An index that goes back is asked for anew from 0, and what its answers lack is
-// doubted for a while; so is a server without a leader, or long out of touch.
+// Guards against endpoints removed on the word of a server that lacks them for a while.
+// After an index that went back, queries start from 0 and answers don't count as up to date
+// for some time. Nor do those of a server without a leader, or without recent contact to it.
 func TestBelieved(t *testing.T) {
 	p := NewPacer(time.Minute, second, 1)
 	good := Answer{Index: 100, Leader: true}
 	if fresh, news, _ := p.Answered(0, 0, good); !fresh || !news || p.Ask() != 100 {
-		t.Fatalf("first: %v, %v, %d", fresh, news, p.Ask())
+		t.Fatalf("first answer: %v, %v, %d", fresh, news, p.Ask())
 	}
 	if fresh, news, _ := p.Answered(second, time.Minute, good); !fresh || news {
-		t.Errorf("same: %v, %v", fresh, news)
+		t.Errorf("same index: %v, %v", fresh, news)
 	}
 	if fresh, news, _ := p.Answered(2*second, 0, Answer{Index: 3, Leader: true}); fresh || !news || p.Ask() != 0 {
-		t.Errorf("back: %v, %v, %d", fresh, news, p.Ask())
+		t.Errorf("lower index: %v, %v, %d", fresh, news, p.Ask())
 	}
 	if fresh, _, _ := p.Answered(90*second, 0, Answer{Index: 4, Leader: true}); !fresh {
-		t.Error("still doubted")
+		t.Error("still not up to date 88 s after the index went back")
 	}
 	if fresh, _, _ := p.Answered(91*second, 0, Answer{Index: 5}); fresh {
-		t.Error("without a leader")
+		t.Error("an answer without a leader counts as up to date")
 	}
 	if fresh, _, _ := p.Answered(91*second, 0, Answer{Index: 6, Leader: true, Contact: 2 * second}); fresh {
-		t.Error("out of touch")
+		t.Error("an answer counts as up to date 2 s after the last contact with the leader")
 	}
 }
 
-// 280 relays lose the catalogue for some time: when it is back, their queries are
-// spread, and none comes back later than the longest pause.
+// Guards against a burst of queries when the catalogue is back after an outage: those of
+// 280 relays must be spread out, and none may come later than the longest pause.
 func TestReturnSpread(t *testing.T) {
 	const relays, outage = 280, 30 * second
 	perTenth := map[int]int{}
@@ -75,12 +76,12 @@
 		}
 		perTenth[int((now-outage)/(100*time.Millisecond))]++
 		if now > outage+mostRetry {
-			t.Errorf("relay %d asks %v after", i, now-outage)
+			t.Errorf("relay %d queries %v after the outage", i, now-outage)
 		}
 	}
 	for at, n := range perTenth {
 		if n > relays/10 {
-			t.Errorf("%d of %d relays ask within the same tenth of a second (%d)", n, relays, at)
+			t.Errorf("%d of %d relays query within the same tenth of a second (%d)", n, relays, at)
 		}
 	}
 }
