--- a/internal/journal/fault_test.go
+++ b/internal/journal/fault_test.go
@@ -16,18 +16,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.files[len(l.files)-1]
-	whole := s.f
+	whole := s.file
 	readOnly, err := os.Open(whole.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.f = readOnly
+	s.file = readOnly
 	return func() {
 		l.mu.Lock()
-		s.f = whole
+		s.file = whole
 		l.mu.Unlock()
 		_ = readOnly.Close()
-		l.again()
+		l.retryWrites()
 	}
 }
 
@@ -157,7 +157,7 @@
 	repair := brokenDisk(t, l)
 	l.mu.Lock()
 	s := l.files[len(l.files)-1]
-	name, size := s.f.Name(), s.size
+	name, size := s.file.Name(), s.size
 	l.mu.Unlock()
 	l.Taken(Message{Seq: 2, Identity: "torn", At: l.Stamp()})
 	part, err := os.OpenFile(name, os.O_WRONLY, 0)
@@ -192,7 +192,7 @@
 		repair := brokenDisk(t, l)
 		l.mu.Lock()
 		s := l.files[len(l.files)-1]
-		name, size := s.f.Name(), s.size
+		name, size := s.file.Name(), s.size
 		l.mu.Unlock()
 		l.Taken(Message{Seq: 2, Identity: "taken back", Body: make([]byte, 3000), At: l.Stamp()})
 		l.mu.Lock()
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -41,7 +41,7 @@
 // op is one change of the store: a key that is set or deleted, or a deleted range of keys.
 type op struct {
 	key, value []byte // without a value, the key is deleted
-	end        []byte // if set, all keys from key up to but not including end are deleted
+	rangeEnd   []byte // if set, all keys from key up to but not including end are deleted
 }
 
 // Journal stores records in a pebble database. It is safe for concurrent use.
@@ -50,19 +50,19 @@
 	db  *pebble.DB
 	run Run
 
-	mu     sync.Mutex
-	ops    []op           // waiting for the writer
-	bytes  int            // size of the ops that aren't on disk yet
-	done   []func()       // to be called once the ops before them are on disk
-	wake   *sync.Cond     // signals the writer
-	closed bool           // Close was called
-	broken error          // first failure of a write or sync
-	over   chan struct{}  // closed when the writer has returned
-	full   bool           // the limit on disk use is exceeded
-	stats  Stats          // of this run
-	group  uint64         // number of the last group
-	mark   vfs.File       // holds the number of the last group that was synced
-	ends   map[string]End // final answers that may still be updated, by identity
+	mu          sync.Mutex
+	ops         []op           // waiting for the writer
+	queuedBytes int            // size of the ops that aren't on disk yet
+	callbacks   []func()       // to be called once the ops before them are on disk
+	wake        *sync.Cond     // signals the writer
+	closed      bool           // Close was called
+	failure     error          // first failure of a write or sync
+	writerDone  chan struct{}  // closed when the writer has returned
+	overLimit   bool           // the limit on disk use is exceeded
+	stats       Stats          // of this run
+	lastGroup   uint64         // number of the last group
+	mark        vfs.File       // holds the number of the last group that was synced
+	ends        map[string]End // final answers that may still be updated, by identity
 }
 
 // Stats counts what a run wrote.
@@ -86,9 +86,9 @@
 	Last     uint64 // highest number of a message
 }
 
-// refers reports whether the stamp of any record refers to a run. Runs without such a
+// refersTo reports whether the stamp of any record refers to a run. Runs without such a
 // record are deleted.
-func (k *Kept) refers(run uint32) bool {
+func (k *Kept) refersTo(run uint32) bool {
 	is := func(s Stamp) bool { return s.Run == run }
 	for _, l := range k.Attempts {
 		if slices.ContainsFunc(l, func(a Attempt) bool { return is(a.At) }) {
@@ -110,13 +110,13 @@
 // ErrLocked reports that another process has the journal open.
 var ErrLocked = errors.New("journal: another process has the directory open")
 
-// quiet is pebble's logger. It discards messages, and treats a fatal error as a failed
-// write of the journal.
-type quiet struct{ j *Journal }
+// errorLogger is pebble's logger. It discards messages, and treats a fatal error as a
+// failed write of the journal.
+type errorLogger struct{ j *Journal }
 
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Errorf(string, ...any) {}
-func (q quiet) Fatalf(f string, v ...any) {
+func (errorLogger) Infof(string, ...any)  {}
+func (errorLogger) Errorf(string, ...any) {}
+func (q errorLogger) Fatalf(f string, v ...any) {
 	if q.j.opt.Broken == nil {
 		panic(fmt.Sprintf("journal: "+f, v...))
 	}
@@ -124,15 +124,15 @@
 	select {} // pebble must not continue; the process is about to end
 }
 
-// machine returns a run that starts now by the clocks of the machine.
-func machine() Run {
+// machineClocks returns a run that starts now, by the clocks of the machine.
+func machineClocks() Run {
 	boot, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
-	return Run{Boot: strings.TrimSpace(string(boot)), Clock: clock(), Wall: time.Now().UnixNano()}
+	return Run{Boot: strings.TrimSpace(string(boot)), Clock: bootClock(), Wall: time.Now().UnixNano()}
 }
 
-// clock returns the ns since the machine booted, including the time that it was
+// bootClock returns the ns since the machine booted, including the time that it was
 // suspended.
-func clock() int64 {
+func bootClock() int64 {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
 	return t.Nano()
@@ -144,14 +144,14 @@
 		opt.FS = vfs.Default
 	}
 	if opt.Now == nil {
-		opt.Now = machine
+		opt.Now = machineClocks
 	}
 	if opt.Clock == nil {
-		opt.Clock = clock
+		opt.Clock = bootClock
 	}
-	j := &Journal{opt: opt, over: make(chan struct{}), ends: map[string]End{}}
+	j := &Journal{opt: opt, writerDone: make(chan struct{}), ends: map[string]End{}}
 	j.wake = sync.NewCond(&j.mu)
-	db, err := pebble.Open(opt.Dir, &pebble.Options{FS: opt.FS, Logger: quiet{j}, MemTableSize: 16 << 20,
+	db, err := pebble.Open(opt.Dir, &pebble.Options{FS: opt.FS, Logger: errorLogger{j}, MemTableSize: 16 << 20,
 		FormatMajorVersion: pebble.FormatNewest, MaxOpenFiles: 128})
 	if err != nil {
 		if strings.Contains(err.Error(), "lock") || errors.Is(err, unix.EAGAIN) {
@@ -175,7 +175,7 @@
 	}
 	b := db.NewBatch()
 	for n := range kept.Runs {
-		if !kept.refers(n) {
+		if !kept.refersTo(n) {
 			delete(kept.Runs, n)
 			err = errors.Join(err, b.Delete(runKey(n), nil))
 		}
@@ -196,7 +196,7 @@
 	if _, err := os.Stat(dir); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	db, err := pebble.Open(dir, &pebble.Options{Logger: quiet{j}, ReadOnly: true, ErrorIfNotExists: true})
+	db, err := pebble.Open(dir, &pebble.Options{Logger: errorLogger{j}, ReadOnly: true, ErrorIfNotExists: true})
 	if err != nil {
 		return nil, fmt.Errorf("journal: %s: %w", dir, err)
 	}
@@ -238,7 +238,7 @@
 				err = errors.New("group number is not 8 bytes long")
 				break
 			}
-			j.group = binary.BigEndian.Uint64(value)
+			j.lastGroup = binary.BigEndian.Uint64(value)
 		case kindSpent:
 			k.Spent = &Spent{}
 			err = cbor.Unmarshal(value, k.Spent)
@@ -282,38 +282,38 @@
 // Stamp returns the current time.
 func (j *Journal) Stamp() Stamp { return Stamp{j.run.Number, j.opt.Clock()} }
 
-// put queues changes for the writer. After a failure or Close it does nothing.
-func (j *Journal) put(ops ...op) {
+// enqueue queues changes for the writer. After a failure or Close it does nothing.
+func (j *Journal) enqueue(ops ...op) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.broken != nil || j.closed {
+	if j.failure != nil || j.closed {
 		return
 	}
 	for _, o := range ops {
-		j.bytes += len(o.key) + len(o.value)
+		j.queuedBytes += len(o.key) + len(o.value)
 	}
 	j.ops = append(j.ops, ops...)
 	j.wake.Signal()
 }
 
 // Taken records an accepted message.
-func (j *Journal) Taken(m Message) { j.put(op{key: seqKey(kindMessage, m.Seq), value: encode(m)}) }
+func (j *Journal) Taken(m Message) { j.enqueue(op{key: seqKey(kindMessage, m.Seq), value: encode(m)}) }
 
 // Tried records an attempt before it is sent, and again with Clear set when it is
 // certain that the host never processed it.
-func (j *Journal) Tried(a Attempt) { j.put(op{key: attemptKey(a.Seq, a.N), value: encode(a)}) }
+func (j *Journal) Tried(a Attempt) { j.enqueue(op{key: attemptKey(a.Seq, a.N), value: encode(a)}) }
 
 // Ended records a final answer, which replaces the records of the message and its
 // attempts. Without an identity only these are deleted.
 func (j *Journal) Ended(e End) {
-	ops := []op{{key: seqKey(kindMessage, e.Seq)}, {key: seqKey(kindAttempt, e.Seq), end: seqKey(kindAttempt, e.Seq+1)}}
+	ops := []op{{key: seqKey(kindMessage, e.Seq)}, {key: seqKey(kindAttempt, e.Seq), rangeEnd: seqKey(kindAttempt, e.Seq+1)}}
 	if e.Identity != "" {
 		ops = append(ops, op{key: textKey(kindEnd, e.Identity), value: encode(e)})
 		j.mu.Lock()
 		j.ends[e.Identity] = e
 		j.mu.Unlock()
 	}
-	j.put(ops...)
+	j.enqueue(ops...)
 }
 
 // Handed records that the client has the final answer of an identity.
@@ -325,7 +325,7 @@
 	}
 	j.mu.Unlock()
 	if ok {
-		j.put(op{key: textKey(kindEnd, identity), value: encode(e)})
+		j.enqueue(op{key: textKey(kindEnd, identity), value: encode(e)})
 	}
 }
 
@@ -334,7 +334,7 @@
 	j.mu.Lock()
 	delete(j.ends, identity)
 	j.mu.Unlock()
-	j.put(op{key: textKey(kindEnd, identity)})
+	j.enqueue(op{key: textKey(kindEnd, identity)})
 }
 
 // Waits records the state of an endpoint. If no wait is left and the endpoint doesn't
@@ -344,12 +344,12 @@
 	if w.Left > 0 || w.Failing {
 		o.value = encode(w)
 	}
-	j.put(o)
+	j.enqueue(o)
 }
 
 // Spent records what remains of the zone budget.
 func (j *Journal) Spent(levels []float64) {
-	j.put(op{key: []byte{kindSpent}, value: encode(Spent{j.Stamp(), levels})})
+	j.enqueue(op{key: []byte{kindSpent}, value: encode(Spent{j.Stamp(), levels})})
 }
 
 // Session records the state that a front stores for a client; a nil value deletes it.
@@ -358,7 +358,7 @@
 	if value != nil {
 		o.value = encode(Session{front, id, j.Stamp(), value})
 	}
-	j.put(o)
+	j.enqueue(o)
 }
 
 // Then calls done from the writer's goroutine once everything submitted before is on
@@ -367,8 +367,8 @@
 func (j *Journal) Then(done func()) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.broken == nil && !j.closed {
-		j.done = append(j.done, done)
+	if j.failure == nil && !j.closed {
+		j.callbacks = append(j.callbacks, done)
 		j.wake.Signal()
 	}
 	return false
@@ -378,38 +378,38 @@
 func (j *Journal) Room(int) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.broken == nil && !j.full && j.bytes < j.opt.Queue
+	return j.failure == nil && !j.overLimit && j.queuedBytes < j.opt.Queue
 }
 
-// checkEvery is the number of groups between two checks of the disk use.
-const checkEvery = 256
+// diskCheckGroups is the number of groups between two checks of the disk use.
+const diskCheckGroups = 256
 
 // write is the writer's goroutine. It writes what is queued as one group, syncs it, and
 // then calls the functions that wait for it.
 func (j *Journal) write() {
-	defer close(j.over)
-	how := pebble.Sync
+	defer close(j.writerDone)
+	syncMode := pebble.Sync
 	if j.opt.NoSync {
-		how = pebble.NoSync
+		syncMode = pebble.NoSync
 	}
 	for {
 		j.mu.Lock()
-		for len(j.ops) == 0 && len(j.done) == 0 && !j.closed {
+		for len(j.ops) == 0 && len(j.callbacks) == 0 && !j.closed {
 			j.wake.Wait()
 		}
-		ops, done := j.ops, j.done
-		j.ops, j.done = nil, nil
+		ops, done := j.ops, j.callbacks
+		j.ops, j.callbacks = nil, nil
 		closed := j.closed
 		j.mu.Unlock()
 		if len(ops) > 0 {
 			b := j.db.NewBatch()
 			size := 0
-			j.group++
-			err := b.Set([]byte{kindGroup}, binary.BigEndian.AppendUint64(nil, j.group), nil)
+			j.lastGroup++
+			err := b.Set([]byte{kindGroup}, binary.BigEndian.AppendUint64(nil, j.lastGroup), nil)
 			for _, o := range ops {
 				switch {
-				case o.end != nil:
-					err = errors.Join(err, b.DeleteRange(o.key, o.end, nil))
+				case o.rangeEnd != nil:
+					err = errors.Join(err, b.DeleteRange(o.key, o.rangeEnd, nil))
 				case o.value == nil:
 					err = errors.Join(err, b.Delete(o.key, nil))
 				default:
@@ -417,22 +417,22 @@
 				}
 				size += len(o.key) + len(o.value)
 			}
-			if err = errors.Join(err, b.Commit(how)); err == nil && !j.opt.NoSync {
-				err = j.marked()
+			if err = errors.Join(err, b.Commit(syncMode)); err == nil && !j.opt.NoSync {
+				err = j.writeMark()
 			}
 			if err != nil {
 				j.fail(fmt.Errorf("journal: %w", err))
 				return
 			}
 			j.mu.Lock()
-			j.bytes -= size
+			j.queuedBytes -= size
 			j.stats.Groups++
 			j.stats.Records += uint64(len(ops))
 			j.stats.Bytes += uint64(size)
-			look := j.stats.Groups%checkEvery == 0
+			checkDue := j.stats.Groups%diskCheckGroups == 0
 			j.mu.Unlock()
-			if look {
-				j.look()
+			if checkDue {
+				j.checkDisk()
 			}
 		}
 		for _, f := range done {
@@ -465,44 +465,44 @@
 	n, _ := f.ReadAt(slots[:], 0)
 	for at := 0; at+slotSize <= n; at += slotSize {
 		group, sum := binary.BigEndian.Uint64(slots[at:]), binary.BigEndian.Uint64(slots[at+8:])
-		if group > j.group && sum == xxhash.Sum64(slots[at:at+8]) { // a slot torn by a crash is ignored
+		if group > j.lastGroup && sum == xxhash.Sum64(slots[at:at+8]) { // a slot torn by a crash is ignored
 			_ = f.Close()
 			return fmt.Errorf("%w: group %d was written, but the last one found is group %d (according to %s)",
-				ErrDamaged, group, j.group, name)
+				ErrDamaged, group, j.lastGroup, name)
 		}
 	}
 	j.mark = f
 	return nil
 }
 
-// marked writes the number of the last group into the mark file.
-func (j *Journal) marked() error {
-	slot := binary.BigEndian.AppendUint64(nil, j.group)
+// writeMark writes the number of the last group into the mark file.
+func (j *Journal) writeMark() error {
+	slot := binary.BigEndian.AppendUint64(nil, j.lastGroup)
 	slot = binary.BigEndian.AppendUint64(slot, xxhash.Sum64(slot))
-	_, err := j.mark.WriteAt(slot, int64(j.group%2)*slotSize)
+	_, err := j.mark.WriteAt(slot, int64(j.lastGroup%2)*slotSize)
 	return err
 }
 
-// look compares the disk use with its limit. Once it is exceeded, Room reports false
+// checkDisk compares the disk use with its limit. Once it is exceeded, Room reports false
 // until compaction has brought the use down to nine tenths of the limit.
-func (j *Journal) look() {
+func (j *Journal) checkDisk() {
 	used := j.db.Metrics().DiskSpaceUsage()
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.stats.Disk = used
 	if j.opt.Most > 0 {
-		j.full = int64(used) > j.opt.Most || j.full && int64(used) > j.opt.Most*9/10
+		j.overLimit = int64(used) > j.opt.Most || j.overLimit && int64(used) > j.opt.Most*9/10
 	}
 }
 
 // fail stops all writing, drops what is queued and reports the first failure.
 func (j *Journal) fail(err error) {
 	j.mu.Lock()
-	first := j.broken == nil
+	first := j.failure == nil
 	if first {
-		j.broken = err
+		j.failure = err
 	}
-	j.ops, j.done = nil, nil
+	j.ops, j.callbacks = nil, nil
 	j.mu.Unlock()
 	if first && j.opt.Broken != nil {
 		j.opt.Broken(err)
@@ -511,7 +511,7 @@
 
 // Stats returns what was written in this run, and the current disk use.
 func (j *Journal) Stats() Stats {
-	j.look()
+	j.checkDisk()
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.stats
@@ -522,13 +522,13 @@
 func (j *Journal) Close() error {
 	j.mu.Lock()
 	j.closed = true
-	broken := j.broken
+	broken := j.failure
 	j.wake.Signal()
 	j.mu.Unlock()
 	if broken != nil {
 		return broken
 	}
-	<-j.over
+	<-j.writerDone
 	_ = j.mark.Close()
 	if err := j.db.Close(); err != nil {
 		return fmt.Errorf("journal: %w", err)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -249,7 +249,7 @@
 	other := t.TempDir()
 	k, _ := open(t, Options{Dir: other})
 	k.run.Version = Version + 1
-	k.put(op{key: []byte{kindRun, 0, 0, 0, 9}, value: encode(k.run)})
+	k.enqueue(op{key: []byte{kindRun, 0, 0, 0, 9}, value: encode(k.run)})
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/journal/log.go
+++ b/internal/journal/log.go
@@ -36,75 +36,75 @@
 //
 // It is safe for concurrent use.
 type Log struct {
-	dir    string
-	most   int64 // limit on the size of all files, each rounded up to whole blocks
-	seg    int64 // size at which a segment is full
-	clocks func() (Run, error)
-	epoch  time.Time // when the clocks of run were read
-	run    Run
-
-	mu      sync.Mutex
-	files   []*segment               // oldest first; records are appended to the last one
-	live    map[string]*place        // index of the live records, by key
-	seqs    map[uint64][]string      // keys of the records of a message and its attempts
-	ends    map[string]End           // final answers by key
-	forget  map[string]bool          // keys of final answers to be forgotten once the client has them
-	owes    func(verdict uint8) bool // see LogOptions
-	big     int64                    // size of the longest record
-	lives   int64                    // size of all live records
-	waiting []record                 // records that couldn't be written yet, in order
-	behind  map[uint64]int           // number of waiting records, by message
-	noted   map[string]bool          // hosts with a recorded wait that hasn't been deleted
-	done    []func()                 // to be called once nothing waits
-	caught  func()                   // called when waiting records were written; may be nil
-	since   time.Time                // when the oldest waiting record was submitted
-	retry   *time.Timer
-	closed  bool
-	failed  func(error)
-	healed  func(time.Duration)
-	stats   Stats
+	dir          string
+	maxBytes     int64 // limit on the size of all files, each rounded up to whole blocks
+	segmentBytes int64 // size at which a segment is full
+	readClocks   func() (Run, error)
+	epoch        time.Time // when the clocks of run were read
+	run          Run
+
+	mu               sync.Mutex
+	files            []*segment               // oldest first; records are appended to the last one
+	live             map[string]*location     // index of the live records, by key
+	messageKeys      map[uint64][]string      // keys of the records of a message and its attempts
+	ends             map[string]End           // final answers by key
+	forgetOnceHanded map[string]bool          // keys of final answers to be forgotten once the client has them
+	needsNotice      func(verdict uint8) bool // see LogOptions
+	longestRecord    int64                    // size of the longest record
+	liveBytes        int64                    // size of all live records
+	waiting          []record                 // records that couldn't be written yet, in order
+	waitingByMessage map[uint64]int           // number of waiting records, by message
+	waitHosts        map[string]bool          // hosts with a recorded wait that hasn't been deleted
+	callbacks        []func()                 // to be called once nothing waits
+	onProgress       func()                   // called when waiting records were written; may be nil
+	waitingSince     time.Time                // when the oldest waiting record was submitted
+	retryTimer       *time.Timer
+	closed           bool
+	onWriteError     func(error)
+	onRecovered      func(time.Duration)
+	stats            Stats
 }
 
 // segment is one file of a Log.
 type segment struct {
-	n    uint64 // number, also the name of the file
-	f    *os.File
-	size int64    // size of the whole records
-	torn int64    // end of partial records written since the last truncation; 0 for none
-	keys []string // keys of all records written here, live or not, in order
+	number     uint64 // number, also the name of the file
+	file       *os.File
+	size       int64    // size of the whole records
+	partialEnd int64    // end of partial records written since the last truncation; 0 for none
+	keys       []string // keys of all records written here, live or not, in order
 }
 
 // record is a record to be written, with the changes to the index that follow from it.
 type record struct {
-	kind  byte
-	key   string
-	of    uint64 // number of the message that the record is about; 0 for none
-	seq   uint64 // number of the message that the record ends; 0 for none
-	stays bool   // not copied to newer segments: nobody waits for the final answer that it holds
-	frame []byte // bytes to be written
+	kind        byte
+	key         string
+	messageSeq  uint64 // number of the message that the record is about; 0 for none
+	endedSeq    uint64 // number of the message that the record ends; 0 for none
+	discardable bool   // not copied to newer segments: nobody waits for the final answer that it holds
+	frame       []byte // bytes to be written
 }
 
-// place is the position of a live record.
-type place struct {
+// location is the position of a live record.
+type location struct {
 	in     *segment
-	at     int64 // offset in the file
+	offset int64 // offset in the file
 	length int64
 }
 
 const (
-	block     = 512 // bytes; the size of a file is rounded up to whole blocks
-	segments  = 12  // approximate number of segments of a full log
-	frame     = 8   // bytes of length and checksum before each record
-	suffix    = ".log"
-	retryWait = 5 * time.Millisecond // pause after a failed write
-	longest   = 1 << 20              // bytes; a longer length field counts as damage
+	blockSize      = 512 // bytes; the size of a file is rounded up to whole blocks
+	targetSegments = 12  // approximate number of segments of a full log
+	headerSize     = 8   // bytes of length and checksum before each record
+	segmentSuffix  = ".log"
+	retryInterval  = 5 * time.Millisecond // pause after a failed write
+	maxRecordBytes = 1 << 20              // bytes; a longer length field counts as damage
 )
 
 // Kinds of log records that have no key of their own: a message has ended without a
 // final answer that must be stored; the record of a key is deleted.
 const (
-	kindOver = 'o'
-	kindGone = 'x'
+	kindMessageEnded = 'o'
+	kindDeleted      = 'x'
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -142,19 +142,19 @@
 	if opt.Clocks == nil {
 		opt.Clocks = Clocks
 	}
-	l := &Log{dir: dir, most: opt.Most - opt.Most/16, clocks: opt.Clocks, live: map[string]*place{}, seqs: map[uint64][]string{},
-		ends: map[string]End{}, forget: map[string]bool{}, noted: map[string]bool{}, behind: map[uint64]int{}, owes: opt.Owes, failed: opt.Failed,
-		healed: opt.Recovered}
-	if l.seg = l.most / segments; l.seg < 8*block {
+	l := &Log{dir: dir, maxBytes: opt.Most - opt.Most/16, readClocks: opt.Clocks, live: map[string]*location{}, messageKeys: map[uint64][]string{},
+		ends: map[string]End{}, forgetOnceHanded: map[string]bool{}, waitHosts: map[string]bool{}, waitingByMessage: map[uint64]int{}, needsNotice: opt.Owes, onWriteError: opt.Failed,
+		onRecovered: opt.Recovered}
+	if l.segmentBytes = l.maxBytes / targetSegments; l.segmentBytes < 8*blockSize {
 		return nil, nil, nil, fmt.Errorf("%w: %d bytes", ErrSmall, opt.Most)
 	}
-	if l.run, err = l.clocks(); err != nil {
+	if l.run, err = l.readClocks(); err != nil {
 		return nil, nil, nil, fmt.Errorf("journal: %w", err)
 	}
 	l.epoch = time.Now()
 	defer func() {
 		if err != nil {
-			l.closeAll()
+			l.closeFiles()
 			err = fmt.Errorf("journal: %w", err)
 		}
 	}()
@@ -165,11 +165,11 @@
 	k := &Kept{Runs: map[uint32]Run{}, Attempts: map[uint64][]Attempt{}}
 	r := &reader{l: l, runs: k.Runs, messages: map[uint64]Message{}, attempts: map[string]Attempt{}, waits: map[string]Wait{}}
 	for i, name := range names {
-		n, err := strconv.ParseUint(strings.TrimSuffix(filepath.Base(name), suffix), 16, 64)
+		n, err := strconv.ParseUint(strings.TrimSuffix(filepath.Base(name), segmentSuffix), 16, 64)
 		if err != nil {
 			continue // not a file of the log
 		}
-		torn, err := r.segment(name, n)
+		torn, err := r.readSegment(name, n)
 		if err != nil {
 			return nil, nil, nil, err
 		}
@@ -181,11 +181,11 @@
 	for n := range k.Runs {
 		l.run.Number = max(l.run.Number, n+1)
 	}
-	r.kept(k)
+	r.fillContents(k)
 	for n := range k.Runs {
-		if !k.refers(n) {
+		if !k.refersTo(n) {
 			delete(k.Runs, n)
-			l.drop(string(runKey(n)))
+			l.unindex(string(runKey(n)))
 		}
 	}
 	k.Now, k.Runs[l.run.Number] = l.run, l.run
@@ -197,7 +197,7 @@
 		}
 	}
 	for _, w := range k.Waits {
-		l.noted[w.Host] = true
+		l.waitHosts[w.Host] = true
 	}
 	l.put(newRecord(kindRun, runKey(l.run.Number), encode(l.run)))
 	return l, k, damaged, nil
@@ -212,7 +212,7 @@
 	}
 	var names []string
 	for _, e := range entries {
-		if strings.HasSuffix(e.Name(), suffix) {
+		if strings.HasSuffix(e.Name(), segmentSuffix) {
 			names = append(names, filepath.Join(dir, e.Name()))
 		}
 	}
@@ -226,42 +226,42 @@
 	messages map[uint64]Message
 	attempts map[string]Attempt // by key
 	waits    map[string]Wait    // by key
-	last     uint64             // highest number of a message
+	lastSeq  uint64             // highest number of a message
 }
 
-// segment reads one file up to the first record that can't be read, and truncates it
-// there. It returns as torn why that record can't be read.
-func (r *reader) segment(name string, n uint64) (torn, err error) {
+// readSegment reads one file up to the first record that can't be read, and truncates it
+// there. The error torn says what is wrong with that record.
+func (r *reader) readSegment(name string, n uint64) (torn, err error) {
 	f, err := os.OpenFile(name, os.O_RDWR, 0)
 	if err != nil {
 		return nil, err
 	}
-	s := &segment{n: n, f: f}
+	s := &segment{number: n, file: f}
 	r.l.files = append(r.l.files, s)
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
 	}
 	for rest := data; len(rest) > 0; {
-		if len(rest) < frame {
+		if len(rest) < headerSize {
 			torn = errors.New("record header is incomplete")
 			break
 		}
 		length := int64(binary.BigEndian.Uint32(rest))
-		if length < 3 || length > longest || length > int64(len(rest)-frame) {
+		if length < 3 || length > maxRecordBytes || length > int64(len(rest)-headerSize) {
 			torn = errors.New("record is incomplete, or its length is out of range")
 			break
 		}
-		payload := rest[frame : frame+length]
+		payload := rest[headerSize : headerSize+length]
 		if binary.BigEndian.Uint32(rest[4:]) != crc32.Checksum(payload, castagnoli) {
 			torn = errors.New("record checksum does not match")
 			break
 		}
-		if torn = r.record(s, payload, frame+length); torn != nil {
+		if torn = r.readRecord(s, payload, headerSize+length); torn != nil {
 			break
 		}
-		s.size += frame + length
-		rest = rest[frame+length:]
+		s.size += headerSize + length
+		rest = rest[headerSize+length:]
 	}
 	if torn != nil {
 		err = f.Truncate(s.size)
@@ -269,9 +269,9 @@
 	return torn, err
 }
 
-// record reads one record and applies it. The payload is the kind (1 byte), the length of
-// the key (2 bytes), the key and the value.
-func (r *reader) record(s *segment, payload []byte, size int64) error {
+// readRecord reads one record and applies it. The payload is the kind (1 byte), the length
+// of the key (2 bytes), the key and the value.
+func (r *reader) readRecord(s *segment, payload []byte, size int64) error {
 	kind := payload[0]
 	length := int(binary.BigEndian.Uint16(payload[1:]))
 	if length > len(payload)-3 {
@@ -281,14 +281,14 @@
 	l := r.l
 	var err error
 	switch kind {
-	case kindOver:
+	case kindMessageEnded:
 		seq := binary.BigEndian.Uint64([]byte(key))
-		r.last = max(r.last, seq)
-		l.over(seq)
+		r.lastSeq = max(r.lastSeq, seq)
+		l.unindexMessage(seq)
 		delete(r.messages, seq)
 		return nil
-	case kindGone:
-		l.drop(key)
+	case kindDeleted:
+		l.unindex(key)
 		delete(r.waits, key)
 		delete(l.ends, key)
 		return nil
@@ -301,19 +301,19 @@
 	case kindMessage:
 		var x Message
 		err = cbor.Unmarshal(value, &x)
-		r.messages[x.Seq], r.last = x, max(r.last, x.Seq)
+		r.messages[x.Seq], r.lastSeq = x, max(r.lastSeq, x.Seq)
 	case kindAttempt:
 		var x Attempt
 		err = cbor.Unmarshal(value, &x)
-		r.attempts[key], r.last = x, max(r.last, x.Seq)
+		r.attempts[key], r.lastSeq = x, max(r.lastSeq, x.Seq)
 	case kindEnd:
 		var x End
 		err = cbor.Unmarshal(value, &x)
-		l.ends[key], r.last = x, max(r.last, x.Seq)
-		l.over(x.Seq)
+		l.ends[key], r.lastSeq = x, max(r.lastSeq, x.Seq)
+		l.unindexMessage(x.Seq)
 		delete(r.messages, x.Seq)
 		if x.Handed {
-			l.drop(key)
+			l.unindex(key)
 			return err
 		}
 	case kindWait:
@@ -326,13 +326,13 @@
 	if err != nil {
 		return err
 	}
-	l.note(s, key, size)
+	l.indexRecord(s, key, size)
 	return nil
 }
 
-// kept fills in what the log holds, after all segments were read.
-func (r *reader) kept(k *Kept) {
-	k.Last = r.last
+// fillContents sets what the log holds, after all segments were read.
+func (r *reader) fillContents(k *Kept) {
+	k.Last = r.lastSeq
 	for _, m := range r.messages {
 		k.Messages = append(k.Messages, m)
 	}
@@ -343,7 +343,7 @@
 		if _, held := r.messages[a.Seq]; held {
 			k.Attempts[a.Seq] = append(k.Attempts[a.Seq], a)
 		} else {
-			r.l.drop(key) // the message's own record is damaged
+			r.l.unindex(key) // the message's own record is damaged
 		}
 	}
 	for _, list := range k.Attempts {
@@ -357,33 +357,33 @@
 	}
 }
 
-// note enters a record in the index as the live one of its key. It must be called before
-// the size of the segment is advanced past the record.
-func (l *Log) note(s *segment, key string, size int64) {
+// indexRecord enters a record in the index as the live one of its key. It must be called
+// before the size of the segment is advanced past the record.
+func (l *Log) indexRecord(s *segment, key string, size int64) {
 	if kind := key[0]; l.live[key] == nil && (kind == kindMessage || kind == kindAttempt) {
 		seq := binary.BigEndian.Uint64([]byte(key[1:]))
-		l.seqs[seq] = append(l.seqs[seq], key)
+		l.messageKeys[seq] = append(l.messageKeys[seq], key)
 	}
-	l.drop(key)
-	l.live[key] = &place{s, s.size, size}
-	l.lives += size
+	l.unindex(key)
+	l.live[key] = &location{s, s.size, size}
+	l.liveBytes += size
 	s.keys = append(s.keys, key)
 }
 
-// drop removes a record from the index.
-func (l *Log) drop(key string) {
+// unindex removes the record of a key from the index.
+func (l *Log) unindex(key string) {
 	if p := l.live[key]; p != nil {
-		l.lives -= p.length
+		l.liveBytes -= p.length
 		delete(l.live, key)
 	}
 }
 
-// over removes the records of a message and its attempts from the index.
-func (l *Log) over(seq uint64) {
-	for _, key := range l.seqs[seq] {
-		l.drop(key)
+// unindexMessage removes the records of a message and its attempts from the index.
+func (l *Log) unindexMessage(seq uint64) {
+	for _, key := range l.messageKeys[seq] {
+		l.unindex(key)
 	}
-	delete(l.seqs, seq)
+	delete(l.messageKeys, seq)
 }
 
 // Clocks returns a run that starts now by the clocks of the machine. Ages across a restart
@@ -417,7 +417,7 @@
 func (l *Log) Room(bytes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.waiting) == 0 && !l.closed && l.lives+int64(bytes)+2*block < l.most/2
+	return len(l.waiting) == 0 && !l.closed && l.liveBytes+int64(bytes)+2*blockSize < l.maxBytes/2
 }
 
 // Taken records an accepted message.
@@ -425,7 +425,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := newRecord(kindMessage, seqKey(kindMessage, m.Seq), encode(m))
-	r.of = m.Seq
+	r.messageSeq = m.Seq
 	l.put(r)
 }
 
@@ -435,7 +435,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := newRecord(kindAttempt, attemptKey(a.Seq, a.N), encode(a))
-	r.of = a.Seq
+	r.messageSeq = a.Seq
 	l.put(r)
 }
 
@@ -446,21 +446,21 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e.Identity == "" {
-		r := newRecord(kindOver, binary.BigEndian.AppendUint64(nil, e.Seq), nil)
-		r.seq = e.Seq
+		r := newRecord(kindMessageEnded, binary.BigEndian.AppendUint64(nil, e.Seq), nil)
+		r.endedSeq = e.Seq
 		l.put(r)
 		return
 	}
-	e.Handed = e.Handed || !l.owes(e.Verdict)
-	l.end(e)
+	e.Handed = e.Handed || !l.needsNotice(e.Verdict)
+	l.putEnd(e)
 }
 
-// end submits the record of a final answer.
-func (l *Log) end(e End) {
+// putEnd submits the record of a final answer.
+func (l *Log) putEnd(e End) {
 	key := textKey(kindEnd, e.Identity)
 	l.ends[string(key)] = e
 	r := newRecord(kindEnd, key, encode(e))
-	r.of, r.seq, r.stays = e.Seq, e.Seq, e.Handed
+	r.messageSeq, r.endedSeq, r.discardable = e.Seq, e.Seq, e.Handed
 	l.put(r)
 }
 
@@ -474,9 +474,9 @@
 		return
 	}
 	e.Handed = true
-	l.end(e)
-	if l.forget[string(key)] {
-		delete(l.forget, string(key))
+	l.putEnd(e)
+	if l.forgetOnceHanded[string(key)] {
+		delete(l.forgetOnceHanded, string(key))
 		delete(l.ends, string(key))
 	}
 }
@@ -488,7 +488,7 @@
 	defer l.mu.Unlock()
 	key := textKey(kindEnd, identity)
 	if e, ok := l.ends[string(key)]; ok && !e.Handed {
-		l.forget[string(key)] = true
+		l.forgetOnceHanded[string(key)] = true
 		return
 	}
 	delete(l.ends, string(key))
@@ -501,11 +501,11 @@
 	defer l.mu.Unlock()
 	key := textKey(kindWait, w.Host)
 	if w.Left > 0 || w.Failing {
-		l.noted[w.Host] = true
+		l.waitHosts[w.Host] = true
 		l.put(newRecord(kindWait, key, encode(w)))
-	} else if l.noted[w.Host] {
-		delete(l.noted, w.Host)
-		l.put(newRecord(kindGone, key, nil))
+	} else if l.waitHosts[w.Host] {
+		delete(l.waitHosts, w.Host)
+		l.put(newRecord(kindDeleted, key, nil))
 	}
 }
 
@@ -520,17 +520,17 @@
 	if len(l.waiting) == 0 {
 		return true
 	}
-	l.done = append(l.done, done)
+	l.callbacks = append(l.callbacks, done)
 	return false
 }
 
 // newRecord returns a record with its frame: length, checksum and payload.
 func newRecord(kind byte, key, value []byte) record {
-	b := make([]byte, frame, frame+3+len(key)+len(value))
+	b := make([]byte, headerSize, headerSize+3+len(key)+len(value))
 	b = append(b, kind, byte(len(key)>>8), byte(len(key)))
 	b = append(append(b, key...), value...)
-	binary.BigEndian.PutUint32(b, uint32(len(b)-frame))
-	binary.BigEndian.PutUint32(b[4:], crc32.Checksum(b[frame:], castagnoli))
+	binary.BigEndian.PutUint32(b, uint32(len(b)-headerSize))
+	binary.BigEndian.PutUint32(b[4:], crc32.Checksum(b[headerSize:], castagnoli))
 	return record{kind: kind, key: string(key), frame: b}
 }
 
@@ -547,22 +547,22 @@
 		if err == nil {
 			return
 		}
-		l.failed(fmt.Errorf("journal: write failed; no message is accepted until it succeeds: %w", err))
+		l.onWriteError(fmt.Errorf("journal: write failed; no message is accepted until it succeeds: %w", err))
 	}
 	if len(l.waiting) == 0 {
-		l.since = time.Now()
+		l.waitingSince = time.Now()
 	}
 	l.waiting = append(l.waiting, r)
-	l.behind[r.of]++
-	if l.retry == nil {
-		l.retry = time.AfterFunc(retryWait, l.again)
+	l.waitingByMessage[r.messageSeq]++
+	if l.retryTimer == nil {
+		l.retryTimer = time.AfterFunc(retryInterval, l.retryWrites)
 	}
 }
 
-// caughtUp accounts for a waiting record that has been written.
-func (l *Log) caughtUp(r record) {
-	if l.behind[r.of]--; l.behind[r.of] == 0 {
-		delete(l.behind, r.of)
+// countWritten accounts for a waiting record that has been written.
+func (l *Log) countWritten(r record) {
+	if l.waitingByMessage[r.messageSeq]--; l.waitingByMessage[r.messageSeq] == 0 {
+		delete(l.waitingByMessage, r.messageSeq)
 	}
 }
 
@@ -570,7 +570,7 @@
 func (l *Log) Waiting(seq uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.behind[seq] > 0
+	return l.waitingByMessage[seq] > 0
 }
 
 // Backlogged reports whether any record waits to be written.
@@ -585,7 +585,7 @@
 func (l *Log) Progress(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.caught = f
+	l.onProgress = f
 }
 
 // Cancel withdraws a message whose own record is not on disk yet, with all waiting records
@@ -599,36 +599,36 @@
 		return false
 	}
 	l.waiting = slices.DeleteFunc(l.waiting, func(r record) bool {
-		if r.of == seq && r.kind == kindEnd {
+		if r.messageSeq == seq && r.kind == kindEnd {
 			delete(l.ends, r.key)
 		}
-		return r.of == seq
+		return r.messageSeq == seq
 	})
-	delete(l.behind, seq)
+	delete(l.waitingByMessage, seq)
 	return true
 }
 
-// again tries to write the waiting records.
-func (l *Log) again() {
+// retryWrites tries to write the waiting records.
+func (l *Log) retryWrites() {
 	l.mu.Lock()
-	l.retry = nil
+	l.retryTimer = nil
 	before := len(l.waiting)
 	for len(l.waiting) > 0 && !l.closed && l.write(l.waiting[0]) == nil {
-		l.caughtUp(l.waiting[0])
+		l.countWritten(l.waiting[0])
 		l.waiting = l.waiting[1:]
 	}
 	var done []func()
-	if (len(l.waiting) < before || len(l.waiting) == 0) && l.caught != nil {
-		done = append(done, l.caught)
+	if (len(l.waiting) < before || len(l.waiting) == 0) && l.onProgress != nil {
+		done = append(done, l.onProgress)
 	}
 	if len(l.waiting) == 0 {
-		done = append(done, l.done...)
-		l.done = nil
-		if l.healed != nil {
-			l.healed(time.Since(l.since))
+		done = append(done, l.callbacks...)
+		l.callbacks = nil
+		if l.onRecovered != nil {
+			l.onRecovered(time.Since(l.waitingSince))
 		}
 	} else if !l.closed {
-		l.retry = time.AfterFunc(retryWait, l.again)
+		l.retryTimer = time.AfterFunc(retryInterval, l.retryWrites)
 	}
 	l.mu.Unlock()
 	for _, f := range done {
@@ -638,7 +638,7 @@
 
 // write frees space for a record and appends it.
 func (l *Log) write(r record) error {
-	if err := l.clean(int64(len(r.frame))); err != nil {
+	if err := l.freeSpace(int64(len(r.frame))); err != nil {
 		return err
 	}
 	return l.append(r)
@@ -647,73 +647,73 @@
 // append writes a record after the last whole one, and updates the index if that succeeds.
 func (l *Log) append(r record) error {
 	s := l.files[len(l.files)-1]
-	if s.size >= l.seg {
+	if s.size >= l.segmentBytes {
 		if err := l.roll(); err != nil {
 			return err
 		}
 		s = l.files[len(l.files)-1]
 	}
 	end := s.size + int64(len(r.frame))
-	if end < s.torn { // the rest of a longer partial record would follow this one
-		if err := s.cut(); err != nil {
+	if end < s.partialEnd { // the rest of a longer partial record would follow this one
+		if err := s.truncate(); err != nil {
 			return err
 		}
 	}
-	if _, err := s.f.WriteAt(r.frame, s.size); err != nil {
-		s.torn = max(s.torn, end) // os.File may report 0 bytes although a part was written
-		return errors.Join(err, s.cut())
+	if _, err := s.file.WriteAt(r.frame, s.size); err != nil {
+		s.partialEnd = max(s.partialEnd, end) // os.File may report 0 bytes although a part was written
+		return errors.Join(err, s.truncate())
 	}
-	l.book(s, r)
+	l.updateIndex(s, r)
 	s.size = end
-	l.big = max(l.big, int64(len(r.frame)))
+	l.longestRecord = max(l.longestRecord, int64(len(r.frame)))
 	return nil
 }
 
-// cut truncates what a failed write may have left after the last whole record.
-func (s *segment) cut() error {
-	if s.torn == 0 {
+// truncate removes what a failed write may have left after the last whole record.
+func (s *segment) truncate() error {
+	if s.partialEnd == 0 {
 		return nil
 	}
-	if err := s.f.Truncate(s.size); err != nil {
+	if err := s.file.Truncate(s.size); err != nil {
 		return err
 	}
-	s.torn = 0
+	s.partialEnd = 0
 	return nil
 }
 
-// book updates the index with a record that is on disk.
-func (l *Log) book(s *segment, r record) {
+// updateIndex enters a record that is on disk, and removes those that it ends or deletes.
+func (l *Log) updateIndex(s *segment, r record) {
 	switch r.kind {
-	case kindOver:
-		l.over(r.seq)
-	case kindGone:
-		l.drop(r.key)
+	case kindMessageEnded:
+		l.unindexMessage(r.endedSeq)
+	case kindDeleted:
+		l.unindex(r.key)
 	default:
-		l.note(s, r.key, int64(len(r.frame)))
-		if r.seq > 0 {
-			l.over(r.seq)
+		l.indexRecord(s, r.key, int64(len(r.frame)))
+		if r.endedSeq > 0 {
+			l.unindexMessage(r.endedSeq)
 		}
-		if r.stays {
-			l.drop(r.key)
+		if r.discardable {
+			l.unindex(r.key)
 		}
 	}
 }
 
-// used returns the size of the files, each rounded up to whole blocks.
-func (l *Log) used() (n int64) {
+// usedBytes returns the size of the files, each rounded up to whole blocks.
+func (l *Log) usedBytes() (n int64) {
 	for _, s := range l.files {
-		n += (s.size + block - 1) / block * block
+		n += (s.size + blockSize - 1) / blockSize * blockSize
 	}
 	return n
 }
 
-// clean frees space for a record: it copies the live records of the oldest segment to the
-// end of the log and removes the segment, until there is space for the record and for what
-// the next such step needs.
-func (l *Log) clean(bytes int64) error {
+// freeSpace makes space for a record: it copies the live records of the oldest segment to
+// the end of the log and removes the segment, until there is space for the record and for
+// what the next such step needs.
+func (l *Log) freeSpace(bytes int64) error {
 	for range 2 * (len(l.files) + 1) {
 		oldest := l.files[0]
-		if l.used()+bytes+2*block+l.seg+l.big <= l.most {
+		if l.usedBytes()+bytes+2*blockSize+l.segmentBytes+l.longestRecord <= l.maxBytes {
 			return nil
 		}
 		if oldest == l.files[len(l.files)-1] {
@@ -727,20 +727,20 @@
 				continue
 			}
 			b := make([]byte, p.length)
-			if _, err := oldest.f.ReadAt(b, p.at); err != nil {
+			if _, err := oldest.file.ReadAt(b, p.offset); err != nil {
 				return err
 			}
 			if err := l.append(record{kind: key[0], key: key, frame: b}); err != nil {
 				return err
 			}
 		}
-		if err := os.Remove(oldest.f.Name()); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := os.Remove(oldest.file.Name()); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
-		_ = oldest.f.Close()
+		_ = oldest.file.Close()
 		l.files = slices.Delete(l.files, 0, 1)
 	}
-	return fmt.Errorf("journal: no space left: live records have %d bytes, the new record %d", l.lives, bytes)
+	return fmt.Errorf("journal: no space left: live records have %d bytes, the new record %d", l.liveBytes, bytes)
 }
 
 // roll starts a new segment.
@@ -748,16 +748,16 @@
 	n := uint64(1)
 	if len(l.files) > 0 {
 		last := l.files[len(l.files)-1]
-		if err := last.cut(); err != nil {
+		if err := last.truncate(); err != nil {
 			return err
 		}
-		n = last.n + 1
+		n = last.number + 1
 	}
-	f, err := os.OpenFile(filepath.Join(l.dir, fmt.Sprintf("%016x%s", n, suffix)), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	f, err := os.OpenFile(filepath.Join(l.dir, fmt.Sprintf("%016x%s", n, segmentSuffix)), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	l.files = append(l.files, &segment{n: n, f: f})
+	l.files = append(l.files, &segment{number: n, file: f})
 	return nil
 }
 
@@ -773,13 +773,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stats
-	s.Disk = uint64(l.used())
+	s.Disk = uint64(l.usedBytes())
 	return s
 }
 
-func (l *Log) closeAll() {
+func (l *Log) closeFiles() {
 	for _, s := range l.files {
-		_ = s.f.Close()
+		_ = s.file.Close()
 	}
 }
 
@@ -788,10 +788,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	if l.retry != nil {
-		l.retry.Stop()
+	if l.retryTimer != nil {
+		l.retryTimer.Stop()
 	}
-	l.closeAll()
+	l.closeFiles()
 	if n := len(l.waiting); n > 0 {
 		return fmt.Errorf("journal: %d records were lost because they could not be written", n)
 	}
--- a/internal/journal/log_test.go
+++ b/internal/journal/log_test.go
@@ -34,7 +34,7 @@
 	}
 	for _, f := range files {
 		if info, err := f.Info(); err == nil {
-			n += (info.Size() + block - 1) / block * block
+			n += (info.Size() + blockSize - 1) / blockSize * blockSize
 		}
 	}
 	return n
@@ -86,14 +86,14 @@
 		dir, most := t.TempDir(), int64(1<<20+int(seed)<<18)
 		l, _ := openLog(t, dir, most)
 		want := held{map[uint64]Message{}, map[uint64]map[int]bool{}, map[string]bool{}}
-		next, turned, top := uint64(0), 0, int64(0)
+		lastSeq, withoutRoom, peak := uint64(0), 0, int64(0)
 		ended := []string{}
 		for step := range 6000 {
-			var some []uint64
+			var open []uint64
 			for seq := range want.messages {
-				some = append(some, seq)
+				open = append(open, seq)
 			}
-			slices.Sort(some)
+			slices.Sort(open)
 			size := r.IntN(400)
 			if r.IntN(10) == 0 {
 				size = r.IntN(64 << 10)
@@ -101,15 +101,15 @@
 			switch n := r.IntN(10); {
 			case n < 4:
 				if !l.Room(size) {
-					turned++
+					withoutRoom++
 					continue
 				}
-				next++
-				m := Message{Seq: next, Identity: fmt.Sprint("id", next), Class: "c", Key: "k", Body: make([]byte, size), Left: 5, At: l.Stamp()}
+				lastSeq++
+				m := Message{Seq: lastSeq, Identity: fmt.Sprint("id", lastSeq), Class: "c", Key: "k", Body: make([]byte, size), Left: 5, At: l.Stamp()}
 				l.Taken(m)
-				want.messages[next] = m
-			case n < 6 && len(some) > 0:
-				seq := some[r.IntN(len(some))]
+				want.messages[lastSeq] = m
+			case n < 6 && len(open) > 0:
+				seq := open[r.IntN(len(open))]
 				if want.attempts[seq] == nil {
 					want.attempts[seq] = map[int]bool{}
 				}
@@ -121,8 +121,8 @@
 					l.Tried(a)
 					want.attempts[seq][a.N] = true
 				}
-			case n < 9 && len(some) > 0:
-				seq := some[r.IntN(len(some))]
+			case n < 9 && len(open) > 0:
+				seq := open[r.IntN(len(open))]
 				id, verdict := fmt.Sprint("id", seq), uint8(1+r.IntN(3))
 				l.Ended(End{Seq: seq, Identity: id, Verdict: verdict, At: l.Stamp()})
 				delete(want.messages, seq)
@@ -143,7 +143,7 @@
 			if n := used(t, dir); n > most {
 				t.Fatalf("seed %d, step %d: %d bytes of %d", seed, step, n, most)
 			} else {
-				top = max(top, n)
+				peak = max(peak, n)
 			}
 			if step%1500 == 1499 {
 				var k *Kept
@@ -158,16 +158,16 @@
 				if ends != len(want.owed) {
 					t.Fatalf("%d live final answers, want %d that clients wait for", ends, len(want.owed))
 				}
-				if k.Last != next {
-					t.Fatalf("last number %d, want %d", k.Last, next)
+				if k.Last != lastSeq {
+					t.Fatalf("last number %d, want %d", k.Last, lastSeq)
 				}
 			}
 		}
-		if top < most/2 || turned == 0 {
+		if peak < most/2 || withoutRoom == 0 {
 			t.Errorf("seed %d: at most %d of %d bytes in use, %d messages without room: the limit was never reached",
-				seed, top, most, turned)
+				seed, peak, most, withoutRoom)
 		}
-		if n := len(l.live) + len(l.seqs) + len(l.ends); n > 3*(len(want.messages)+len(want.owed))+2*len(ended)+100 {
+		if n := len(l.live) + len(l.messageKeys) + len(l.ends); n > 3*(len(want.messages)+len(want.owed))+2*len(ended)+100 {
 			t.Errorf("%d entries in the tables in memory, more than the held records need", n)
 		}
 	}
@@ -180,7 +180,7 @@
 	dir := t.TempDir()
 	l, _ := openLog(t, dir, 1<<20)
 	l.Taken(Message{Seq: 1, Identity: "a", Body: []byte("one")})
-	name := l.files[0].f.Name()
+	name := l.files[0].file.Name()
 	before := l.files[0].size
 	l.Taken(Message{Seq: 2, Identity: "b", Body: []byte("two")})
 	whole, err := os.ReadFile(name)
@@ -229,8 +229,8 @@
 		t.Fatalf("%+v, want the answer that the client waits for", k.Ends)
 	}
 	l.Handed("a")
-	if len(l.ends)+len(l.forget)+len(l.seqs) != 0 {
-		t.Errorf("%v %v are left of a message that is over", l.ends, l.forget)
+	if len(l.ends)+len(l.forgetOnceHanded)+len(l.messageKeys) != 0 {
+		t.Errorf("%v %v are left of a message that is over", l.ends, l.forgetOnceHanded)
 	}
 }
 
@@ -240,13 +240,13 @@
 	dir := t.TempDir()
 	l, _ := openLog(t, dir, 1<<20)
 	l.Taken(Message{Seq: 1, Identity: "a"})
-	full := l.files[len(l.files)-1].f
+	full := l.files[len(l.files)-1].file
 	broken, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
 	if err != nil {
 		t.Skip(err)
 	}
 	l.mu.Lock()
-	l.files[len(l.files)-1].f = broken
+	l.files[len(l.files)-1].file = broken
 	l.mu.Unlock()
 	l.Taken(Message{Seq: 2, Identity: "b"})
 	l.Tried(Attempt{Seq: 2, Host: "h"})
@@ -256,7 +256,7 @@
 		t.Fatal("Then or Room reports true while nothing can be written")
 	}
 	l.mu.Lock()
-	l.files[len(l.files)-1].f = full
+	l.files[len(l.files)-1].file = full
 	l.mu.Unlock()
 	select {
 	case <-done:
--- a/internal/journal/small_test.go
+++ b/internal/journal/small_test.go
@@ -13,10 +13,10 @@
 // compares the Log with a limit of 3 MB to pebble with the smallest tables that it works
 // with, written like Journal but without syncs.
 func BenchmarkSmallFolder(b *testing.B) {
-	life := func(b *testing.B, taken func(Message), tried func(Attempt), ended func(End), size func() int64) {
+	run := func(b *testing.B, taken func(Message), tried func(Attempt), ended func(End), size func() int64) {
 		r := rand.New(rand.NewPCG(1, 1))
 		var live []uint64
-		top := int64(0)
+		peak := int64(0)
 		for i := uint64(1); b.Loop(); i++ {
 			n := 200
 			if i%16 == 0 {
@@ -32,9 +32,9 @@
 				ended(End{Seq: live[0], Identity: fmt.Sprint("id", live[0]), Verdict: 1})
 				live = live[1:]
 			}
-			top = max(top, size())
+			peak = max(peak, size())
 		}
-		b.ReportMetric(float64(top)/(1<<20), "MB-at-most")
+		b.ReportMetric(float64(peak)/(1<<20), "MB-at-most")
 	}
 	b.Run("log", func(b *testing.B) {
 		dir := b.TempDir()
@@ -43,11 +43,11 @@
 			b.Fatal(err)
 		}
 		defer l.Close()
-		life(b, l.Taken, l.Tried, func(e End) { l.Ended(e); l.Forget(e.Identity) }, func() int64 { return used(b, dir) })
+		run(b, l.Taken, l.Tried, func(e End) { l.Ended(e); l.Forget(e.Identity) }, func() int64 { return used(b, dir) })
 	})
 	b.Run("pebble", func(b *testing.B) {
 		dir := b.TempDir()
-		db, err := pebble.Open(dir, &pebble.Options{Logger: quiet{&Journal{}}, MemTableSize: 256 << 10, FormatMajorVersion: pebble.FormatNewest,
+		db, err := pebble.Open(dir, &pebble.Options{Logger: errorLogger{&Journal{}}, MemTableSize: 256 << 10, FormatMajorVersion: pebble.FormatNewest,
 			L0CompactionThreshold: 1, L0StopWritesThreshold: 2, MaxOpenFiles: 64})
 		if err != nil {
 			b.Fatal(err)
@@ -58,7 +58,7 @@
 				b.Fatal(err)
 			}
 		}
-		life(b, func(m Message) { set(seqKey(kindMessage, m.Seq), encode(m)) }, func(a Attempt) { set(attemptKey(a.Seq, a.N), encode(a)) },
+		run(b, func(m Message) { set(seqKey(kindMessage, m.Seq), encode(m)) }, func(a Attempt) { set(attemptKey(a.Seq, a.N), encode(a)) },
 			func(e End) {
 				batch := db.NewBatch()
 				_ = batch.Delete(seqKey(kindMessage, e.Seq), nil)
