--- a/internal/member/fleet.go
+++ b/internal/member/fleet.go
@@ -26,9 +26,10 @@
 	Hold time.Duration // the same, for peers that were lost together with much of the fleet
 }
 
-// goneShare is the share of the fleet that may be lost within FleetSettings.Late. A greater
-// loss more likely means a network partition or a wrong catalogue than failed relays.
-const goneShare = 1.0 / 3
+// fleetLossShare is the share of the fleet that may be lost within FleetSettings.Late. A
+// greater loss more likely means a network partition or a wrong catalogue than failed
+// relays.
+const fleetLossShare = 1.0 / 3
 
 // Fleet determines how many relays the fleet has, and the index of this one. Each relay
 // gets its share of the fleet's limits by the size of the fleet, so Fleet errs on the
@@ -37,59 +38,59 @@
 // partition, those relays count for much longer. A relay that is cut off from its peers
 // thus sends too little rather than too much. Fleet is not safe for concurrent use.
 type Fleet struct {
-	set   FleetSettings
-	peers map[string]*peer // by id
-	heard time.Duration    // time of the first fresh report; below 0 for none
+	settings    FleetSettings
+	peers       map[string]*peer // by id
+	firstReport time.Duration    // time of the first fresh report; below 0 for none
 }
 
 // peer is the state of one Peer.
 type peer struct {
 	Peer
-	lost time.Duration // since when it is unhealthy or gone; below 0 while it is neither
-	hold bool          // lost together with much of the fleet: counts for FleetSettings.Hold
-	gone bool          // missing in the latest fresh report
+	lostSince time.Duration // since when it is unhealthy or gone; below 0 while it is neither
+	massLoss  bool          // lost together with much of the fleet: counts for FleetSettings.Hold
+	gone      bool          // missing in the latest fresh report
 }
 
 // NewFleet returns a fleet of which only this relay is known.
 func NewFleet(set FleetSettings) *Fleet {
-	f := &Fleet{set: set, peers: map[string]*peer{}, heard: -1}
-	f.peers[set.Self.id()] = &peer{Peer: set.Self, lost: -1}
+	f := &Fleet{settings: set, peers: map[string]*peer{}, firstReport: -1}
+	f.peers[set.Self.id()] = &peer{Peer: set.Self, lostSince: -1}
 	return f
 }
 
 // Report processes the peers that the catalogue has. fresh says that the catalogue's server
 // is up to date; otherwise peers that it doesn't list are not taken for gone.
 func (f *Fleet) Report(now time.Duration, peers []Peer, fresh bool) {
-	if f.heard < 0 && fresh {
-		f.heard = now
+	if f.firstReport < 0 && fresh {
+		f.firstReport = now
 	}
-	has := map[string]bool{f.set.Self.id(): true}
+	has := map[string]bool{f.settings.Self.id(): true}
 	for _, p := range peers {
 		k := f.peers[p.id()]
 		if k == nil {
-			k = &peer{lost: -1}
+			k = &peer{lostSince: -1}
 			if !p.Well {
-				k.lost = now
+				k.lostSince = now
 			}
 			f.peers[p.id()] = k
 		}
-		if p.id() == f.set.Self.id() {
+		if p.id() == f.settings.Self.id() {
 			continue // the relay knows its own state better than the catalogue
 		}
 		k.Peer, k.gone = p, false
 		switch {
 		case p.Well:
-			k.lost, k.hold = -1, false
-		case k.lost < 0:
-			k.lost = now
+			k.lostSince, k.massLoss = -1, false
+		case k.lostSince < 0:
+			k.lostSince = now
 		}
 		has[p.id()] = true
 	}
 	if fresh {
 		for id, k := range f.peers {
 			if !has[id] && !k.gone {
-				if k.gone = true; k.lost < 0 {
-					k.lost = now
+				if k.gone = true; k.lostSince < 0 {
+					k.lostSince = now
 				}
 			}
 		}
@@ -97,14 +98,14 @@
 	// Peers lost within Late of each other count as lost at once.
 	lost := 0
 	for _, k := range f.peers {
-		if k.lost >= 0 && now-k.lost < f.set.Late && !f.replaced(k) {
+		if k.lostSince >= 0 && now-k.lostSince < f.settings.Late && !f.replaced(k) {
 			lost++
 		}
 	}
-	if n := f.size(now); lost >= 2 && float64(lost) >= goneShare*float64(n) {
+	if n := f.size(now); lost >= 2 && float64(lost) >= fleetLossShare*float64(n) {
 		for _, k := range f.peers {
-			if k.lost >= 0 && now-k.lost < f.set.Late {
-				k.hold = true
+			if k.lostSince >= 0 && now-k.lostSince < f.settings.Late {
+				k.massLoss = true
 			}
 		}
 	}
@@ -114,7 +115,7 @@
 // same name is healthy.
 func (f *Fleet) replaced(k *peer) bool {
 	for _, o := range f.peers {
-		if o != k && o.Name == k.Name && o.lost < 0 && o.Since >= k.Since {
+		if o != k && o.Name == k.Name && o.lostSince < 0 && o.Since >= k.Since {
 			return true
 		}
 	}
@@ -124,12 +125,12 @@
 // counts reports whether a peer counts towards the size of the fleet, and for a lost one
 // until when; below 0 for a peer that isn't lost.
 func (f *Fleet) counts(now time.Duration, k *peer) (bool, time.Duration) {
-	if k.lost < 0 {
+	if k.lostSince < 0 {
 		return true, -1
 	}
-	until := k.lost + f.set.Late
-	if k.hold {
-		until = k.lost + f.set.Hold
+	until := k.lostSince + f.settings.Late
+	if k.massLoss {
+		until = k.lostSince + f.settings.Hold
 	}
 	return now < until && !f.replaced(k), until
 }
@@ -147,7 +148,7 @@
 // View returns the index of this relay, from 0 in the order of names, the size of the
 // fleet, when these may change without a report (below 0 for never), and the names that
 // several running relays have in common.
-func (f *Fleet) View(now time.Duration) (index, size int, next time.Duration, twice []string) {
+func (f *Fleet) View(now time.Duration) (index, size int, next time.Duration, duplicates []string) {
 	next = -1
 	var ids []string
 	names := map[string]int{}
@@ -156,7 +157,7 @@
 		switch {
 		case ok:
 			ids = append(ids, id)
-			if k.lost < 0 {
+			if k.lostSince < 0 {
 				names[k.Name]++
 			} else if next < 0 || until < next {
 				next = until
@@ -167,20 +168,20 @@
 	}
 	slices.Sort(ids)
 	size = len(ids)
-	index = slices.Index(ids, f.set.Self.id())
-	if early := f.heard + f.set.Late; f.heard < 0 || now < early {
-		if size < f.set.Size {
-			size = f.set.Size
+	index = slices.Index(ids, f.settings.Self.id())
+	if early := f.firstReport + f.settings.Late; f.firstReport < 0 || now < early {
+		if size < f.settings.Size {
+			size = f.settings.Size
 		}
-		if f.heard >= 0 && (next < 0 || early < next) {
+		if f.firstReport >= 0 && (next < 0 || early < next) {
 			next = early
 		}
 	}
 	for name, n := range names {
 		if n > 1 {
-			twice = append(twice, name)
+			duplicates = append(duplicates, name)
 		}
 	}
-	slices.SortFunc(twice, cmp.Compare)
-	return index, size, next, twice
+	slices.SortFunc(duplicates, cmp.Compare)
+	return index, size, next, duplicates
 }
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -67,64 +67,65 @@
 const (
 	// It is implausible that half of a list, and three endpoints at least, disappear at
 	// once, or all endpoints of a partner, if these are two at least.
-	muchShare, muchLeast = 0.5, 3
+	massLossShare, massLossMin = 0.5, 3
 	// panicShare is the share of a partner's endpoints above which critical health is
 	// ignored: then the checks are more likely broken than the endpoints.
 	panicShare = 0.5
 	// Flap damping, as RFC 2439 has it for routes. An endpoint that repeatedly returns
-	// from draining must stay ready for settle before it takes new work, which doubles
-	// with each return, up to mostSettle. The count of drains halves every halfLife.
+	// from draining must stay ready for flapDelay before it takes new work, which
+	// doubles with each return, up to maxFlapDelay. The count of drains halves every
+	// flapHalfLife.
 	// The change to draining is never delayed.
-	settle     = time.Second
-	mostSettle = time.Minute
-	halfLife   = 30 * time.Second
+	flapDelay    = time.Second
+	maxFlapDelay = time.Minute
+	flapHalfLife = 30 * time.Second
 )
 
-// lost is an entry that its source no longer reports.
-type lost struct {
+// lostEntry is an entry that its source no longer reports.
+type lostEntry struct {
 	Entry
-	since   time.Duration
-	doubted bool // implausible, or not in a fresh report: not acted on until Settings.Believe after since
-	moved   bool // the source reports its ID at another address now
+	since       time.Duration
+	unconfirmed bool // implausible, or not in a fresh report: not acted on until Settings.Believe after since
+	moved       bool // the source reports its ID at another address now
 }
 
 // source is the state of one source.
 type source struct {
 	SourceSettings
-	told  map[string]Entry // latest report, by address
-	lost  map[string]*lost // by address
-	heard time.Duration    // time of the latest sign of life
-	ever  bool             // whether it has reported at all
+	entries   map[string]Entry      // latest report, by address
+	lost      map[string]*lostEntry // by address
+	lastHeard time.Duration         // time of the latest sign of life
+	reported  bool                  // whether it has reported at all
 	// number of endpoints in the latest report by partner, and of critical ones among them
-	all, critical map[string]int
+	endpoints, critical map[string]int
 }
 
-// known is an endpoint as Step last returned it, with the state of its flap damping.
-type known struct {
+// knownEndpoint is an endpoint as Step last returned it, with the state of its flap damping.
+type knownEndpoint struct {
 	Entry
-	told    bool // on the list; otherwise kept only for its flap damping
-	drain   bool
-	flaps   float64       // number of drains, decaying
-	fadedAt time.Duration // time up to which the decay of flaps is accounted for
-	since   time.Duration // since when all sources want it ready; below 0 if they don't
+	listed     bool // on the list; otherwise kept only for its flap damping
+	draining   bool
+	flaps      float64       // number of drains, decaying
+	decayedAt  time.Duration // time up to which the decay of flaps is accounted for
+	readySince time.Duration // since when all sources want it ready; below 0 if they don't
 }
 
 // List merges the reports of several sources into one list of endpoints. It is not safe
 // for concurrent use.
 type List struct {
-	set     Settings
-	sources []*source
-	known   map[string]*known // by address
-	touched map[string]bool   // addresses to be decided on in the next Step
-	every   bool              // whether all addresses are to be decided on
-	next    time.Duration     // when the list may change without a report; below 0 for never
+	settings Settings
+	sources  []*source
+	known    map[string]*knownEndpoint // by address
+	dirty    map[string]bool           // addresses to be decided on in the next Step
+	allDirty bool                      // whether all addresses are to be decided on
+	nextStep time.Duration             // when the list may change without a report; below 0 for never
 }
 
 // NewList returns an empty list. Sources take precedence in their order.
 func NewList(set Settings, sources []SourceSettings) *List {
-	l := &List{set: set, known: map[string]*known{}, touched: map[string]bool{}, next: -1}
+	l := &List{settings: set, known: map[string]*knownEndpoint{}, dirty: map[string]bool{}, nextStep: -1}
 	for _, s := range sources {
-		l.sources = append(l.sources, &source{SourceSettings: s, told: map[string]Entry{}, lost: map[string]*lost{}})
+		l.sources = append(l.sources, &source{SourceSettings: s, entries: map[string]Entry{}, lost: map[string]*lostEntry{}})
 	}
 	return l
 }
@@ -132,10 +133,10 @@
 // Heard records a sign of life of a source, such as an answer without changes.
 func (l *List) Heard(now time.Duration, from int) {
 	s := l.sources[from]
-	if l.set.Trust > 0 && s.ever && now-s.heard > l.set.Trust {
-		l.every = true // the source was ignored until now
+	if l.settings.Trust > 0 && s.reported && now-s.lastHeard > l.settings.Trust {
+		l.allDirty = true // the source was ignored until now
 	}
-	s.heard = now
+	s.lastHeard = now
 }
 
 // Report processes the list of a source. Of several entries with one address the first
@@ -151,119 +152,119 @@
 		}
 		ids[cmp.Or(e.ID, e.Addr)] = true
 	}
-	var fresh []*lost
-	for addr, e := range s.told {
+	var newlyLost []*lostEntry
+	for addr, e := range s.entries {
 		if _, still := next[addr]; still || s.Sure {
 			continue
 		}
-		gone := &lost{Entry: e, since: now, moved: ids[cmp.Or(e.ID, e.Addr)]}
+		gone := &lostEntry{Entry: e, since: now, moved: ids[cmp.Or(e.ID, e.Addr)]}
 		s.lost[addr] = gone
-		l.touched[addr] = true
+		l.dirty[addr] = true
 		if !gone.moved {
-			fresh = append(fresh, gone)
+			newlyLost = append(newlyLost, gone)
 		}
 	}
-	shaken := map[string]bool{} // partners whose share of critical endpoints may have changed
+	healthChanged := map[string]bool{} // partners whose share of critical endpoints may have changed
 	for addr, e := range next {
 		delete(s.lost, addr)
-		old, was := s.told[addr]
+		old, was := s.entries[addr]
 		if !was || !old.same(&e) || old.Draining != e.Draining || s.Health && old.Health != e.Health {
-			l.touched[addr] = true
+			l.dirty[addr] = true
 		}
 		if s.Health && (!was || old.Health != e.Health) {
-			shaken[e.Partner] = true
+			healthChanged[e.Partner] = true
 		}
 	}
-	for addr, e := range s.told {
+	for addr, e := range s.entries {
 		if _, still := next[addr]; !still {
-			l.touched[addr], shaken[e.Partner] = true, true
+			l.dirty[addr], healthChanged[e.Partner] = true, true
 		}
 	}
-	s.told, s.ever = next, true
-	s.all, s.critical = map[string]int{}, map[string]int{}
+	s.entries, s.reported = next, true
+	s.endpoints, s.critical = map[string]int{}, map[string]int{}
 	for addr, e := range next {
-		if s.all[e.Partner]++; e.Health == Critical {
+		if s.endpoints[e.Partner]++; e.Health == Critical {
 			s.critical[e.Partner]++
 		}
-		if s.Health && shaken[e.Partner] {
-			l.touched[addr] = true
+		if s.Health && healthChanged[e.Partner] {
+			l.dirty[addr] = true
 		}
 	}
-	if doubted := !r.Fresh || s.much(now, l.set.Believe); doubted {
-		for _, x := range fresh {
-			x.doubted = true
+	if doubted := !r.Fresh || s.massLoss(now, l.settings.Believe); doubted {
+		for _, x := range newlyLost {
+			x.unconfirmed = true
 		}
 	} else {
 		// Implausible only for partners that would be left without endpoints.
 		left, had := map[string]int{}, map[string]int{}
-		for _, e := range s.told {
+		for _, e := range s.entries {
 			left[e.Partner]++
 		}
 		for _, x := range s.lost {
 			had[x.Partner]++
 		}
-		for _, x := range fresh {
-			x.doubted = left[x.Partner] == 0 && had[x.Partner] >= 2
+		for _, x := range newlyLost {
+			x.unconfirmed = left[x.Partner] == 0 && had[x.Partner] >= 2
 		}
 	}
 }
 
-// much reports whether so much of the list disappeared lately that it is implausible.
-func (s *source) much(now, within time.Duration) bool {
+// massLoss reports whether so much of the list disappeared lately that it is implausible.
+func (s *source) massLoss(now, within time.Duration) bool {
 	n := 0
 	for _, x := range s.lost {
 		if !x.moved && now-x.since < within {
 			n++
 		}
 	}
-	return n > 0 && (len(s.told) == 0 || n >= muchLeast && float64(n) >= muchShare*float64(n+len(s.told)))
+	return n > 0 && (len(s.entries) == 0 || n >= massLossMin && float64(n) >= massLossShare*float64(n+len(s.entries)))
 }
 
-// wish is the state of an endpoint that follows from all sources together, before flap
+// desired is the state of an endpoint that follows from all sources together, before flap
 // damping.
-type wish struct {
+type desired struct {
 	Entry
-	drain bool
-	only  bool // no source reports the endpoint any more
+	draining bool
+	lostOnly bool // no source reports the endpoint any more
 }
 
-// wish merges what the sources have on an address. It returns nil if none has it.
-func (l *List) wish(now time.Duration, addr string) (w *wish) {
+// merge combines what the sources have on an address. It returns nil if none has it.
+func (l *List) merge(now time.Duration, addr string) (w *desired) {
 	for i, s := range l.sources {
-		e, has := s.told[addr]
+		e, has := s.entries[addr]
 		x, lost := s.lost[addr]
 		if has && l.yields(now, i, e.Partner) || lost && l.yields(now, i, x.Partner) {
 			continue
 		}
 		if has {
-			sick := s.Health && e.Health == Critical &&
-				float64(s.critical[e.Partner]) <= panicShare*float64(s.all[e.Partner])
+			unhealthy := s.Health && e.Health == Critical &&
+				float64(s.critical[e.Partner]) <= panicShare*float64(s.endpoints[e.Partner])
 			switch {
 			case w == nil:
-				w = &wish{Entry: e, drain: e.Draining || sick}
-			case w.only:
-				w.Entry, w.only, w.drain = e, false, e.Draining || sick
+				w = &desired{Entry: e, draining: e.Draining || unhealthy}
+			case w.lostOnly:
+				w.Entry, w.lostOnly, w.draining = e, false, e.Draining || unhealthy
 			default:
-				w.drain = w.drain || e.Draining || sick
+				w.draining = w.draining || e.Draining || unhealthy
 			}
 		}
 		if !lost {
 			continue
 		}
 		age := now - x.since
-		if x.doubted && !x.moved {
-			age -= l.set.Believe
+		if x.unconfirmed && !x.moved {
+			age -= l.settings.Believe
 		}
-		if age >= l.set.Gone {
+		if age >= l.settings.Gone {
 			delete(s.lost, addr)
 			continue
 		}
 		if age < 0 {
-			l.at(now - age)
+			l.stepBy(now - age)
 		}
-		l.at(now - age + l.set.Gone)
+		l.stepBy(now - age + l.settings.Gone)
 		if w == nil {
-			w = &wish{Entry: x.Entry, drain: age >= 0 || x.Draining, only: true}
+			w = &desired{Entry: x.Entry, draining: age >= 0 || x.Draining, lostOnly: true}
 		}
 	}
 	return w
@@ -271,7 +272,7 @@
 
 // silent reports whether a source has given no sign of life for longer than allowed.
 func (l *List) silent(now time.Duration, s *source) bool {
-	return l.set.Trust > 0 && s.ever && now-s.heard > l.set.Trust
+	return l.settings.Trust > 0 && s.reported && now-s.lastHeard > l.settings.Trust
 }
 
 // yields reports whether the entries of a source for a partner are ignored: it is silent
@@ -281,17 +282,17 @@
 		return false
 	}
 	for i, o := range l.sources {
-		if i != from && !l.silent(now, o) && o.all[partner] > 0 {
+		if i != from && !l.silent(now, o) && o.endpoints[partner] > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// at has the next Step called at a time at the latest.
-func (l *List) at(t time.Duration) {
-	if l.next < 0 || t < l.next {
-		l.next = t
+// stepBy has the next Step called at a time at the latest.
+func (l *List) stepBy(t time.Duration) {
+	if l.nextStep < 0 || t < l.nextStep {
+		l.nextStep = t
 	}
 }
 
@@ -306,119 +307,119 @@
 // addresses. It also returns when Step must be called again at the latest, even without a
 // report; below 0 for never.
 func (l *List) Step(now time.Duration) (told []Told, gone []string, next time.Duration) {
-	if l.next >= 0 && now >= l.next {
-		l.every = true
+	if l.nextStep >= 0 && now >= l.nextStep {
+		l.allDirty = true
 	}
-	if !l.every && len(l.touched) == 0 {
-		return nil, nil, l.next
+	if !l.allDirty && len(l.dirty) == 0 {
+		return nil, nil, l.nextStep
 	}
-	if l.every {
-		l.every, l.next = false, -1
+	if l.allDirty {
+		l.allDirty, l.nextStep = false, -1
 		for addr := range l.known {
-			l.touched[addr] = true
+			l.dirty[addr] = true
 		}
 		for _, s := range l.sources {
-			for addr := range s.told {
-				l.touched[addr] = true
+			for addr := range s.entries {
+				l.dirty[addr] = true
 			}
 			for addr := range s.lost {
-				l.touched[addr] = true
+				l.dirty[addr] = true
 			}
-			if l.set.Trust > 0 && s.ever && !l.silent(now, s) {
-				l.at(s.heard + l.set.Trust + 1)
+			if l.settings.Trust > 0 && s.reported && !l.silent(now, s) {
+				l.stepBy(s.lastHeard + l.settings.Trust + 1)
 			}
 		}
 	}
-	for _, addr := range slices.Sorted(maps.Keys(l.touched)) {
-		w := l.wish(now, addr)
+	for _, addr := range slices.Sorted(maps.Keys(l.dirty)) {
+		w := l.merge(now, addr)
 		if w == nil {
-			if l.forget(now, addr) {
+			if l.remove(now, addr) {
 				gone = append(gone, addr)
 			}
 			continue
 		}
-		if k := l.tell(now, addr, w); k != nil {
-			told = append(told, Told{k.Entry, k.drain})
+		if k := l.update(now, addr, w); k != nil {
+			told = append(told, Told{k.Entry, k.draining})
 		}
 	}
-	clear(l.touched)
-	return told, gone, l.next
+	clear(l.dirty)
+	return told, gone, l.nextStep
 }
 
-// forget removes an endpoint that no source has. It reports whether it was on the list.
-func (l *List) forget(now time.Duration, addr string) (was bool) {
+// remove takes out an endpoint that no source has. It reports whether it was on the list.
+func (l *List) remove(now time.Duration, addr string) (was bool) {
 	k := l.known[addr]
 	if k == nil {
 		return false
 	}
-	if was = k.told; was {
-		k.told = false
-		k.drained(now, !k.drain)
+	if was = k.listed; was {
+		k.listed = false
+		k.countDrain(now, !k.draining)
 	}
-	if k.fade(now) < 0.5 { // no drains left that flap damping would count
+	if k.decay(now) < 0.5 { // no drains left that flap damping would count
 		delete(l.known, addr)
 	} else {
-		l.at(now + 2*halfLife)
+		l.stepBy(now + 2*flapHalfLife)
 	}
 	return was
 }
 
-// tell updates one endpoint. It returns nil if nothing changed.
-func (l *List) tell(now time.Duration, addr string, w *wish) *known {
+// update decides on one endpoint anew. It returns nil if nothing changed.
+func (l *List) update(now time.Duration, addr string, w *desired) *knownEndpoint {
 	k := l.known[addr]
 	if k == nil {
-		k = &known{since: -1}
+		k = &knownEndpoint{readySince: -1}
 		l.known[addr] = k
 	}
-	changed := !k.told || !k.same(&w.Entry)
+	changed := !k.listed || !k.same(&w.Entry)
 	k.Entry = w.Entry
 	switch {
-	case w.drain:
-		k.since = -1
-		if !k.told || !k.drain {
-			k.drained(now, k.told)
+	case w.draining:
+		k.readySince = -1
+		if !k.listed || !k.draining {
+			k.countDrain(now, k.listed)
 			changed = true
 		}
-		k.drain = true
+		k.draining = true
 	default:
-		if k.since < 0 {
-			k.since = now
+		if k.readySince < 0 {
+			k.readySince = now
 		}
 		// A new endpoint is ready at once, and so is one that returns for the first time.
-		ready := k.since
-		if n := k.fade(now); n >= 1.5 {
-			ready += min(settle<<min(int(n-0.5), 10), mostSettle)
+		ready := k.readySince
+		if n := k.decay(now); n >= 1.5 {
+			ready += min(flapDelay<<min(int(n-0.5), 10), maxFlapDelay)
 		}
 		if now < ready {
-			l.at(ready)
-			k.drain = k.drain || !k.told
-		} else if k.drain {
-			k.drain, changed = false, true
+			l.stepBy(ready)
+			k.draining = k.draining || !k.listed
+		} else if k.draining {
+			k.draining, changed = false, true
 		}
 	}
-	k.told = true
+	k.listed = true
 	if !changed {
 		return nil
 	}
 	return k
 }
 
-// drained counts a drain or removal of an endpoint, if it was ready until then.
-func (k *known) drained(now time.Duration, was bool) {
-	k.fade(now)
+// countDrain counts a drain or removal of an endpoint, if it was ready until then.
+func (k *knownEndpoint) countDrain(now time.Duration, was bool) {
+	k.decay(now)
 	if was {
 		k.flaps = min(k.flaps+1, 8)
 	}
 }
 
-// fade brings the decay of flaps up to date and returns flaps.
-func (k *known) fade(now time.Duration) float64 {
-	for now-k.fadedAt >= halfLife && k.flaps > 0 {
+// decay accounts for the time since the last call and returns flaps.
+func (k *knownEndpoint) decay(now time.Duration) float64 {
+	for now-k.decayedAt >= flapHalfLife && k.flaps > 0 {
 		k.flaps /= 2
-		k.fadedAt += halfLife
+		k.decayedAt += flapHalfLife
 	}
-	if k.flaps < 0.1 || now-k.fadedAt >= halfLife {
-		k.fadedAt = now
+	if k.flaps < 0.1 || now-k.decayedAt >= flapHalfLife {
+		k.decayedAt = now
 	}
 	return k.flaps
 }
@@ -426,14 +427,14 @@
 // Sources returns the state of each source.
 func (l *List) Sources(now time.Duration) (out []SourceState) {
 	for _, s := range l.sources {
-		k := SourceState{Name: s.Name, Endpoints: len(s.told), Lost: len(s.lost), Silent: -1}
+		k := SourceState{Name: s.Name, Endpoints: len(s.entries), Lost: len(s.lost), Silent: -1}
 		for _, x := range s.lost {
-			if x.doubted && now-x.since < l.set.Believe {
+			if x.unconfirmed && now-x.since < l.settings.Believe {
 				k.Doubted++
 			}
 		}
-		if s.ever {
-			k.Silent = now - s.heard
+		if s.reported {
+			k.Silent = now - s.lastHeard
 		}
 		out = append(out, k)
 	}
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -241,7 +241,7 @@
 				}
 			}
 			for addr, k := range b.known {
-				if k.told && k.drain && k.since >= 0 && b.next < 0 {
+				if k.listed && k.draining && k.readySince >= 0 && b.next < 0 {
 					t.Fatalf("%s waits to become ready, but no next step was requested", addr)
 				}
 			}
