--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -52,32 +52,32 @@
 }
 
 // host translates one entry and its addresses.
-func (n *Names) host(e *member.Entry) (h choice.Host, at addr.Endpoint, err error) {
+func (n *Names) host(e *member.Entry) (h choice.Host, endpoint addr.Endpoint, err error) {
 	if n.Host != nil {
 		if h, err = n.Host(e); err != nil {
-			return h, at, err
+			return h, endpoint, err
 		}
 		h.State = choice.Ready
-		at = addr.Endpoint{Host: e.Addr, Partner: h.Dest}
-		at.Addrs, err = ways(e)
-		return h, at, err
+		endpoint = addr.Endpoint{Host: e.Addr, Partner: h.Dest}
+		endpoint.Addrs, err = entryAddresses(e)
+		return h, endpoint, err
 	}
 	p, ok := n.Partners[e.Partner]
 	if !ok {
-		return h, at, fmt.Errorf("partner: %q is not in the configuration", e.Partner)
+		return h, endpoint, fmt.Errorf("partner: %q is not in the configuration", e.Partner)
 	}
 	z, ok := n.Zones[e.Zone]
 	if !ok {
-		return h, at, fmt.Errorf("zone: %q is not in the configuration", e.Zone)
+		return h, endpoint, fmt.Errorf("zone: %q is not in the configuration", e.Zone)
 	}
 	h = choice.Host{Addr: e.Addr, Dest: p, Kind: n.Kinds[p], Zone: z, Rate: e.Rate, State: choice.Ready}
-	at = addr.Endpoint{Host: e.Addr, Partner: p, Secure: p < len(n.Secure) && n.Secure[p]}
-	at.Addrs, err = ways(e)
-	return h, at, err
+	endpoint = addr.Endpoint{Host: e.Addr, Partner: p, Secure: p < len(n.Secure) && n.Secure[p]}
+	endpoint.Addrs, err = entryAddresses(e)
+	return h, endpoint, err
 }
 
-// ways parses the addresses of an entry.
-func ways(e *member.Entry) (all []addr.Address, err error) {
+// entryAddresses parses the addresses of an entry.
+func entryAddresses(e *member.Entry) (all []addr.Address, err error) {
 	list := e.Addrs
 	if len(list) == 0 {
 		list = []string{e.Addr}
@@ -128,13 +128,13 @@
 	epoch time.Time
 	wake  chan struct{}
 
-	mu      sync.Mutex
-	list    *member.List
-	last    map[string]choice.Host   // endpoints in force, as passed to the sink; nil before the first list
-	at      map[string]addr.Endpoint // their addresses
-	reports []member.Report          // latest report of each source
-	unsaved bool                     // reports differ from the saved list
-	count   int                      // number of endpoints in force
+	mu        sync.Mutex
+	list      *member.List
+	inForce   map[string]choice.Host   // endpoints in force, as passed to the sink; nil before the first list
+	addresses map[string]addr.Endpoint // their addresses
+	reports   []member.Report          // latest report of each source
+	unsaved   bool                     // reports differ from the saved list
+	count     int                      // number of endpoints in force
 }
 
 // New returns a directory that starts with the saved list if there is one. Authoritative
@@ -173,60 +173,60 @@
 // now returns the time on the clock that the list uses.
 func (d *Directory) now() time.Duration { return time.Since(d.epoch) }
 
-// news receives what one source finds.
-type news struct {
+// sourceNews receives what one source finds.
+type sourceNews struct {
 	d    *Directory
 	from int
 }
 
-func (n news) Report(r member.Report) {
+func (n sourceNews) Report(r member.Report) {
 	d := n.d
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reports[n.from], d.unsaved = r, true
 	d.list.Report(d.now(), n.from, r)
-	d.step()
-	d.nudge()
+	d.publish()
+	d.wakeRun()
 }
 
-// nudge has Run compute anew when the next step is due.
-func (d *Directory) nudge() {
+// wakeRun has Run compute anew when publish must be called next.
+func (d *Directory) wakeRun() {
 	select {
 	case d.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (n news) Heard() {
+func (n sourceNews) Heard() {
 	n.d.mu.Lock()
 	defer n.d.mu.Unlock()
 	n.d.list.Heard(n.d.now(), n.from)
-	n.d.nudge()
+	n.d.wakeRun()
 }
 
-func (n news) Failed(err error) {
+func (n sourceNews) Failed(err error) {
 	n.d.opt.Failed(n.d.opt.Sources[n.from].Settings().Name, err)
 	if n.d.opt.Sources[n.from].Settings().Sure {
 		n.d.opt.To.List(choice.Listing{Failed: true})
 	}
 }
 
-// saveEvery is the shortest interval between two writes of the saved list.
-const saveEvery = time.Second
+// saveInterval is the shortest interval between two writes of the saved list.
+const saveInterval = time.Second
 
 // Run follows all sources until ctx ends.
 func (d *Directory) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	d.mu.Lock()
-	d.step()
+	d.publish()
 	d.mu.Unlock()
 	for i, s := range d.opt.Sources {
-		wait.Go(func() { s.Follow(ctx, news{d, i}) })
+		wait.Go(func() { s.Follow(ctx, sourceNews{d, i}) })
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	save := time.NewTicker(saveEvery)
+	save := time.NewTicker(saveInterval)
 	defer save.Stop()
 	for {
 		select {
@@ -239,7 +239,7 @@
 		case <-timer.C:
 		}
 		d.mu.Lock()
-		next := d.step()
+		next := d.publish()
 		now := d.now()
 		d.mu.Unlock()
 		sleep := time.Hour
@@ -254,7 +254,7 @@
 // left out: they are read again after a restart.
 func (d *Directory) save() {
 	d.mu.Lock()
-	s := &saved{At: time.Now().Unix()}
+	s := &savedList{At: time.Now().Unix()}
 	for i, r := range d.reports {
 		if set := d.opt.Sources[i].Settings(); !set.Sure {
 			s.Sources = append(s.Sources, savedSource{set.Name, d.opt.Sources[i].Origin(), r.Entries})
@@ -270,16 +270,16 @@
 	}
 }
 
-// step passes changes of the list to the sink, and returns when it must be called again at
-// the latest. The caller holds mu, so that changes are passed on in their order.
-func (d *Directory) step() (next time.Duration) {
+// publish passes changes of the list to the sink, and returns when it must be called again
+// at the latest. The caller holds mu, so that changes are passed on in their order.
+func (d *Directory) publish() (next time.Duration) {
 	told, gone, next := d.list.Step(d.now())
-	if len(told)+len(gone) == 0 && d.last != nil {
+	if len(told)+len(gone) == 0 && d.inForce != nil {
 		return next
 	}
-	news := choice.Listing{Whole: d.last == nil}
-	if d.last == nil {
-		d.last, d.at = map[string]choice.Host{}, map[string]addr.Endpoint{}
+	listing := choice.Listing{Whole: d.inForce == nil}
+	if d.inForce == nil {
+		d.inForce, d.addresses = map[string]choice.Host{}, map[string]addr.Endpoint{}
 	}
 	moved := false
 	for i := range told {
@@ -292,30 +292,30 @@
 		if told[i].Draining {
 			h.State = choice.Draining
 		}
-		if old := d.at[a.Host]; old.Partner != a.Partner || !slices.Equal(old.Addrs, a.Addrs) {
-			d.at[a.Host], moved = a, true
+		if old := d.addresses[a.Host]; old.Partner != a.Partner || !slices.Equal(old.Addrs, a.Addrs) {
+			d.addresses[a.Host], moved = a, true
 		}
-		d.last[a.Host] = h
-		news.Hosts = append(news.Hosts, h)
+		d.inForce[a.Host] = h
+		listing.Hosts = append(listing.Hosts, h)
 	}
 	for _, host := range gone {
-		if h, was := d.last[host]; was {
+		if h, was := d.inForce[host]; was {
 			h.State = choice.Gone
-			news.Hosts = append(news.Hosts, h)
-			delete(d.last, host)
-			delete(d.at, host)
+			listing.Hosts = append(listing.Hosts, h)
+			delete(d.inForce, host)
+			delete(d.addresses, host)
 			moved = true
 		}
 	}
 	if moved && d.opt.Addresses != nil {
-		at := make([]addr.Endpoint, 0, len(d.at))
-		for _, host := range slices.Sorted(maps.Keys(d.at)) {
-			at = append(at, d.at[host])
+		at := make([]addr.Endpoint, 0, len(d.addresses))
+		for _, host := range slices.Sorted(maps.Keys(d.addresses)) {
+			at = append(at, d.addresses[host])
 		}
 		d.opt.Addresses(at)
 	}
-	if d.count = len(d.last); len(news.Hosts) > 0 || news.Whole {
-		d.opt.To.List(news)
+	if d.count = len(d.inForce); len(listing.Hosts) > 0 || listing.Whole {
+		d.opt.To.List(listing)
 	}
 	d.opt.Listed(d.count)
 	return next
--- a/internal/directory/file.go
+++ b/internal/directory/file.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	quiet = 20 * time.Millisecond // how long the file must stay unchanged, so that no partial write is read
-	poll  = time.Second           // interval of checks for changes that the watcher missed
+	settleTime   = 20 * time.Millisecond // how long the file must stay unchanged, so that no partial write is read
+	pollInterval = time.Second           // interval of checks for changes that the watcher missed
 )
 
 // Settings returns the settings of the source. It is authoritative, since people write the
@@ -96,10 +96,10 @@
 	if err != nil {
 		to.Failed(fmt.Errorf("directory: watch: %w", err))
 	}
-	var stamp os.FileInfo
+	var lastInfo os.FileInfo
 	read := func() {
 		if st, err := os.Stat(f.Path); err == nil {
-			stamp = st
+			lastInfo = st
 		}
 		if list, err := f.Load(); err != nil {
 			to.Failed(err)
@@ -110,7 +110,7 @@
 	read()
 	settle := time.NewTimer(time.Hour)
 	settle.Stop()
-	tick := time.NewTicker(poll)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	name := filepath.Clean(f.Path)
 	for {
@@ -119,7 +119,7 @@
 			return
 		case e, ok := <-events:
 			if ok && filepath.Clean(e.Name) == name && !e.Has(fsnotify.Chmod) {
-				settle.Reset(quiet)
+				settle.Reset(settleTime)
 			}
 		case err, ok := <-errs:
 			if ok {
@@ -127,9 +127,9 @@
 			}
 		case <-tick.C:
 			st, err := os.Stat(f.Path)
-			if err == nil && (stamp == nil || !os.SameFile(st, stamp) || st.ModTime() != stamp.ModTime() ||
-				st.Size() != stamp.Size()) {
-				settle.Reset(quiet)
+			if err == nil && (lastInfo == nil || !os.SameFile(st, lastInfo) || st.ModTime() != lastInfo.ModTime() ||
+				st.Size() != lastInfo.Size()) {
+				settle.Reset(settleTime)
 			}
 			to.Heard()
 		case <-settle.C:
--- a/internal/directory/saved.go
+++ b/internal/directory/saved.go
@@ -15,8 +15,8 @@
 	"basaltcross.example/basaltcross/internal/member"
 )
 
-// saved is the last good list on disk. The file has a header line and then this as JSON.
-type saved struct {
+// savedList is the last good list on disk. The file has a header line and then this as JSON.
+type savedList struct {
 	At      int64         `json:"at"` // time of the write, Unix s
 	Sources []savedSource `json:"sources"`
 }
@@ -28,8 +28,8 @@
 	Entries []member.Entry `json:"entries"`
 }
 
-// savedHead is the first line of the file.
-type savedHead struct {
+// savedHeader is the first line of the file.
+type savedHeader struct {
 	Format  string `json:"format"`
 	Version int    `json:"version"`
 	Length  int    `json:"length"` // bytes after the first line
@@ -43,12 +43,12 @@
 
 // write replaces the file by way of a temporary one, so that a crash leaves either the old
 // list or the new one.
-func (s *saved) write(path string) error {
+func (s *savedList) write(path string) error {
 	body, err := json.Marshal(s)
 	if err != nil {
 		return fmt.Errorf("directory: %w", err)
 	}
-	head, err := json.Marshal(savedHead{savedFormat, savedVersion, len(body), fmt.Sprintf("%016x", xxhash.Sum64(body))})
+	head, err := json.Marshal(savedHeader{savedFormat, savedVersion, len(body), fmt.Sprintf("%016x", xxhash.Sum64(body))})
 	if err != nil {
 		return fmt.Errorf("directory: %w", err)
 	}
@@ -85,7 +85,7 @@
 }
 
 // readSaved reads a saved list. It returns nil without an error if there is no file.
-func readSaved(path string, most int) (*saved, error) {
+func readSaved(path string, most int) (*savedList, error) {
 	st, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -101,7 +101,7 @@
 		return nil, fmt.Errorf("directory: %w", err)
 	}
 	line, body, _ := bytes.Cut(text, []byte{'\n'})
-	var head savedHead
+	var head savedHeader
 	if err := json.Unmarshal(line, &head); err != nil || head.Format != savedFormat {
 		return nil, fmt.Errorf("directory: %s is not a saved endpoint list", path)
 	}
@@ -111,7 +111,7 @@
 	if len(body) != head.Length || fmt.Sprintf("%016x", xxhash.Sum64(body)) != head.Sum {
 		return nil, fmt.Errorf("directory: %s is damaged: its length or checksum does not match", path)
 	}
-	s := &saved{}
+	s := &savedList{}
 	if err := json.Unmarshal(body, s); err != nil {
 		return nil, fmt.Errorf("directory: %s: %w", path, err)
 	}
@@ -119,4 +119,4 @@
 }
 
 // age returns the age of a saved list; 0 if its time is in the future.
-func (s *saved) age(now time.Time) time.Duration { return max(0, now.Sub(time.Unix(s.At, 0))) }
+func (s *savedList) age(now time.Time) time.Duration { return max(0, now.Sub(time.Unix(s.At, 0))) }
