--- a/internal/catalog/consul.go
+++ b/internal/catalog/consul.go
@@ -39,9 +39,9 @@
 	TLS         *tls.Config   // nil for the defaults
 }
 
-// slack returns the time that a query may take beyond its wait and the sixteenth of it
-// that servers add: as long as the wait, but 2 s at least and 10 s at most.
-func (o *Options) slack() time.Duration { return min(max(o.Wait, 2*time.Second), 10*time.Second) }
+// queryMargin returns the time that a query may take beyond its wait and the sixteenth of
+// it that servers add: as long as the wait, but 2 s at least and 10 s at most.
+func (o *Options) queryMargin() time.Duration { return min(max(o.Wait, 2*time.Second), 10*time.Second) }
 
 // Client queries one Consul agent or server.
 type Client struct {
@@ -52,41 +52,41 @@
 // errTooLarge is the read error of a response that is larger than Options.MostBytes.
 var errTooLarge = errors.New("catalog: response is larger than allowed")
 
-// limited is a transport that limits the size of each response body.
-type limited struct {
+// limitedTransport is a transport that limits the size of each response body.
+type limitedTransport struct {
 	http.RoundTripper
-	most int64 // bytes
+	maxBytes int64 // bytes
 }
 
 // limitedBody is a response body that fails with errTooLarge after a number of bytes.
 type limitedBody struct {
 	io.ReadCloser
-	left int64
+	remaining int64
 }
 
-func (l limited) RoundTrip(q *http.Request) (*http.Response, error) {
+func (l limitedTransport) RoundTrip(q *http.Request) (*http.Response, error) {
 	r, err := l.RoundTripper.RoundTrip(q)
 	if err == nil {
-		r.Body = &limitedBody{r.Body, l.most}
+		r.Body = &limitedBody{r.Body, l.maxBytes}
 	}
 	return r, err
 }
 
 func (b *limitedBody) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+	if b.remaining <= 0 {
 		return 0, errTooLarge
 	}
-	n, err := b.ReadCloser.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
+	n, err := b.ReadCloser.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
 	return n, err
 }
 
 // New returns a client. It opens no connection.
 func New(opt Options) (*Client, error) {
-	t := &http.Transport{DialContext: (&net.Dialer{Timeout: opt.slack()}).DialContext, TLSClientConfig: opt.TLS,
-		MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute, TLSHandshakeTimeout: opt.slack()}
+	t := &http.Transport{DialContext: (&net.Dialer{Timeout: opt.queryMargin()}).DialContext, TLSClientConfig: opt.TLS,
+		MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute, TLSHandshakeTimeout: opt.queryMargin()}
 	cfg := &api.Config{Address: opt.Address, Token: opt.Token, TokenFile: opt.TokenFile, Datacenter: opt.Datacenter,
-		Namespace: opt.Namespace, Partition: opt.Partition, HttpClient: &http.Client{Transport: limited{t, opt.MostBytes}}}
+		Namespace: opt.Namespace, Partition: opt.Partition, HttpClient: &http.Client{Transport: limitedTransport{t, opt.MostBytes}}}
 	if opt.TLS != nil && !strings.Contains(opt.Address, "://") {
 		cfg.Scheme = "https"
 	}
@@ -158,11 +158,11 @@
 	ask func(*api.QueryOptions) (*api.QueryMeta, func(fresh bool), error), heard func()) {
 	p := NewPacer(c.opt.Wait, c.opt.MaxStale, rand.Uint64())
 	epoch := time.Now()
-	certain := false // the last answer was too stale, so don't allow a stale one again
+	refuseStale := false // the last answer was too stale, so don't allow a stale one again
 	for ctx.Err() == nil {
 		index := p.Ask()
-		within := c.opt.slack()
-		q := &api.QueryOptions{WaitIndex: index, AllowStale: c.opt.Consistency == "stale" && !certain,
+		within := c.opt.queryMargin()
+		q := &api.QueryOptions{WaitIndex: index, AllowStale: c.opt.Consistency == "stale" && !refuseStale,
 			RequireConsistent: c.opt.Consistency == "consistent"}
 		if index > 0 {
 			q.WaitTime = c.opt.Wait
@@ -182,7 +182,7 @@
 		default:
 			fresh, news, wait := p.Answered(time.Since(epoch), time.Since(began), Answer{Index: meta.LastIndex,
 				Contact: meta.LastContact, Leader: meta.KnownLeader})
-			certain = q.AllowStale && meta.LastContact > c.opt.MaxStale
+			refuseStale = q.AllowStale && meta.LastContact > c.opt.MaxStale
 			after = wait
 			if heard(); news {
 				report(fresh)
@@ -279,9 +279,9 @@
 	TTL     time.Duration // time to live of the health check, which is refreshed every third of it
 }
 
-// forget is the time after the health check of a relay has turned critical until Consul
-// deregisters the relay.
-const forget = "30m"
+// deregisterAfter is the time from when the health check of a relay turns critical until
+// Consul deregisters the relay.
+const deregisterAfter = "30m"
 
 // Enrol keeps a relay registered until ctx ends, and then deregisters it.
 func (c *Client) Enrol(ctx context.Context, r Registration, failed func(error)) {
@@ -292,7 +292,7 @@
 			Port: r.Port, Meta: map[string]string{"name": r.Self.Name, "boot": r.Self.Boot,
 				"since": strconv.FormatInt(r.Self.Since, 10)},
 			Check: &api.AgentServiceCheck{CheckID: check, TTL: r.TTL.String(), Status: api.HealthPassing,
-				DeregisterCriticalServiceAfter: forget}},
+				DeregisterCriticalServiceAfter: deregisterAfter}},
 			api.ServiceRegisterOpts{}.WithContext(ctx))
 	}
 	p := NewPacer(r.TTL, 0, rand.Uint64())
--- a/internal/catalog/pacer_test.go
+++ b/internal/catalog/pacer_test.go
@@ -29,10 +29,10 @@
 		n := ask(NewPacer(time.Minute, second, 1), time.Millisecond, answer)
 		limit := 60
 		if name == "rising index" || name == "falling index" {
-			limit = changes + 10*60 + 1
+			limit = burst + 10*60 + 1
 		}
 		if n > limit {
-			t.Errorf("%s: %d queries in a minute, want %d at most", name, n, limit)
+			t.Errorf("%s: %d queries in a minute, too many", name, n)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 			now += p.Failed()
 		}
 		perTenth[int((now-outage)/(100*time.Millisecond))]++
-		if now > outage+mostRetry {
+		if now > outage+maxRetry {
 			t.Errorf("relay %d queries %v after the outage", i, now-outage)
 		}
 	}
