--- a/internal/catalog/consul.go
+++ b/internal/catalog/consul.go
@@ -86,7 +86,8 @@
 	t := &http.Transport{DialContext: (&net.Dialer{Timeout: opt.queryMargin()}).DialContext, TLSClientConfig: opt.TLS,
 		MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute, TLSHandshakeTimeout: opt.queryMargin()}
 	cfg := &api.Config{Address: opt.Address, Token: opt.Token, TokenFile: opt.TokenFile, Datacenter: opt.Datacenter,
-		Namespace: opt.Namespace, Partition: opt.Partition, HttpClient: &http.Client{Transport: limitedTransport{t, opt.MostBytes}}}
+		Namespace: opt.Namespace, Partition: opt.Partition,
+		HttpClient: &http.Client{Transport: limitedTransport{t, opt.MostBytes}}}
 	if opt.TLS != nil && !strings.Contains(opt.Address, "://") {
 		cfg.Scheme = "https"
 	}
@@ -128,8 +129,8 @@
 			all, meta, err = c.api.Catalog().ServiceMultipleTags(m.Service, m.Tags, q)
 			for _, s := range all {
 				list = append(list, &api.ServiceEntry{Node: &api.Node{Address: s.Address, Meta: s.NodeMeta},
-					Service: &api.AgentService{ID: s.ServiceID, Address: s.ServiceAddress, Port: s.ServicePort, Tags: s.ServiceTags,
-						Meta: s.ServiceMeta, TaggedAddresses: s.ServiceTaggedAddresses}})
+					Service: &api.AgentService{ID: s.ServiceID, Address: s.ServiceAddress, Port: s.ServicePort,
+						Tags: s.ServiceTags, Meta: s.ServiceMeta, TaggedAddresses: s.ServiceTaggedAddresses}})
 			}
 		} else {
 			list, meta, err = c.api.Health().ServiceMultipleTags(m.Service, m.Tags, false, q)
@@ -288,8 +289,8 @@
 	id := r.Service + "-" + r.Self.Name + "-" + r.Self.Boot
 	check := "service:" + id
 	register := func() error {
-		return c.api.Agent().ServiceRegisterOpts(&api.AgentServiceRegistration{ID: id, Name: r.Service, Address: r.Address,
-			Port: r.Port, Meta: map[string]string{"name": r.Self.Name, "boot": r.Self.Boot,
+		return c.api.Agent().ServiceRegisterOpts(&api.AgentServiceRegistration{ID: id, Name: r.Service,
+			Address: r.Address, Port: r.Port, Meta: map[string]string{"name": r.Self.Name, "boot": r.Self.Boot,
 				"since": strconv.FormatInt(r.Self.Since, 10)},
 			Check: &api.AgentServiceCheck{CheckID: check, TTL: r.TTL.String(), Status: api.HealthPassing,
 				DeregisterCriticalServiceAfter: deregisterAfter}},
@@ -322,7 +323,8 @@
 }
 
 // Peers watches the registered relays until ctx ends.
-func (c *Client) Peers(ctx context.Context, service string, report func(peers []member.Peer, fresh bool), failed func(error)) {
+func (c *Client) Peers(ctx context.Context, service string, report func(peers []member.Peer, fresh bool),
+	failed func(error)) {
 	c.watch(ctx, failed, func(q *api.QueryOptions) (*api.QueryMeta, func(bool), error) {
 		list, meta, err := c.api.Health().Service(service, "", false, q)
 		if err != nil {
@@ -335,8 +337,8 @@
 					continue
 				}
 				since, _ := strconv.ParseInt(s.Service.Meta["since"], 10, 64)
-				peers = append(peers, member.Peer{Name: s.Service.Meta["name"], Boot: s.Service.Meta["boot"], Since: since,
-					Well: s.Checks.AggregatedStatus() != api.HealthCritical})
+				peers = append(peers, member.Peer{Name: s.Service.Meta["name"], Boot: s.Service.Meta["boot"],
+					Since: since, Well: s.Checks.AggregatedStatus() != api.HealthCritical})
 			}
 			report(peers, fresh)
 		}, nil
--- a/internal/catalog/pacer_test.go
+++ b/internal/catalog/pacer_test.go
@@ -19,7 +19,7 @@
 
 // Guards against a busy loop of queries when a server answers each of them at once: with
 // the same index, without an index, or with one that always rises or falls.
-func TestNoSpin(t *testing.T) {
+func TestNoBusyLoop(t *testing.T) {
 	for name, answer := range map[string]func(int) Answer{
 		"same index":    func(int) Answer { return Answer{Index: 7, Leader: true} },
 		"no index":      func(int) Answer { return Answer{Leader: true} },
@@ -40,7 +40,7 @@
 // Guards against endpoints removed on the word of a server that lacks them for a while.
 // After an index that went back, queries start from 0 and answers don't count as up to date
 // for some time. Nor do those of a server without a leader, or without recent contact to it.
-func TestBelieved(t *testing.T) {
+func TestAnswersUpToDate(t *testing.T) {
 	p := NewPacer(time.Minute, second, 1)
 	good := Answer{Index: 100, Leader: true}
 	if fresh, news, _ := p.Answered(0, 0, good); !fresh || !news || p.Ask() != 100 {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -140,7 +140,8 @@
 // New returns a directory that starts with the saved list if there is one. Authoritative
 // sources, and sources whose origin differs from that in the saved list, start without.
 func New(opt Options) *Directory {
-	d := &Directory{opt: opt, epoch: time.Now(), wake: make(chan struct{}, 1), reports: make([]member.Report, len(opt.Sources))}
+	d := &Directory{opt: opt, epoch: time.Now(), wake: make(chan struct{}, 1),
+		reports: make([]member.Report, len(opt.Sources))}
 	var set []member.SourceSettings
 	for _, s := range opt.Sources {
 		set = append(set, s.Settings())
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -28,15 +28,16 @@
 		b.Fatal(err)
 	}
 	defer c.Close()
-	cl, err := catalog.New(catalog.Options{Address: c.Addr, Wait: time.Minute, MaxStale: time.Minute, MostBytes: 1 << 24})
+	cl, err := catalog.New(catalog.Options{Address: c.Addr, Wait: time.Minute, MaxStale: time.Minute,
+		MostBytes: 1 << 24})
 	if err != nil {
 		b.Fatal(err)
 	}
 	names := Names{Partners: map[string]int{}, Zones: map[string]int{"default": 0}}
 	var sources []Source
 	instance := func(i int, state string) standin.Instance {
-		return standin.Instance{ID: strconv.Itoa(i), Service: fmt.Sprint("p", i%services), Address: "127.0.0.1", Port: 1000 + i,
-			Check: "passing", Meta: map[string]string{"state": state}}
+		return standin.Instance{ID: strconv.Itoa(i), Service: fmt.Sprint("p", i%services),
+			Address: "127.0.0.1", Port: 1000 + i, Check: "passing", Meta: map[string]string{"state": state}}
 	}
 	var all []standin.Instance
 	for i := range services * each {
@@ -46,10 +47,12 @@
 	for i := range services {
 		name := fmt.Sprint("p", i)
 		names.Partners[name], names.Kinds = i, append(names.Kinds, 0)
-		sources = append(sources, &Consul{Name: name, Client: cl, Mapping: catalog.Mapping{Service: name, Partner: name, Zone: "default"}})
+		sources = append(sources, &Consul{Name: name, Client: cl,
+			Mapping: catalog.Mapping{Service: name, Partner: name, Zone: "default"}})
 	}
 	to := make(listings, 10000)
-	d := New(Options{Names: names, Sources: sources, Settings: member.Settings{Gone: time.Second, Believe: time.Minute}, To: to,
+	d := New(Options{Names: names, Sources: sources,
+		Settings: member.Settings{Gone: time.Second, Believe: time.Minute}, To: to,
 		Listed: func(int) {}, Failed: func(string, error) {}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/directory/saved.go
+++ b/internal/directory/saved.go
@@ -48,7 +48,8 @@
 	if err != nil {
 		return fmt.Errorf("directory: %w", err)
 	}
-	head, err := json.Marshal(savedHeader{savedFormat, savedVersion, len(body), fmt.Sprintf("%016x", xxhash.Sum64(body))})
+	head, err := json.Marshal(savedHeader{savedFormat, savedVersion, len(body),
+		fmt.Sprintf("%016x", xxhash.Sum64(body))})
 	if err != nil {
 		return fmt.Errorf("directory: %w", err)
 	}
@@ -106,7 +107,8 @@
 		return nil, fmt.Errorf("directory: %s is not a saved endpoint list", path)
 	}
 	if head.Version != savedVersion {
-		return nil, fmt.Errorf("directory: %s has format version %d, this program reads %d", path, head.Version, savedVersion)
+		return nil, fmt.Errorf("directory: %s has format version %d, this program reads %d",
+			path, head.Version, savedVersion)
 	}
 	if len(body) != head.Length || fmt.Sprintf("%016x", xxhash.Sum64(body)) != head.Sum {
 		return nil, fmt.Errorf("directory: %s is damaged: its length or checksum does not match", path)
--- a/internal/journal/fault_test.go
+++ b/internal/journal/fault_test.go
@@ -88,7 +88,7 @@
 // Guards against answers that were sent but are not on disk. Random messages are recorded
 // while writes fail now and then. The log is reopened without a close, as after a kill,
 // and must hold all that Then reported as written.
-func TestWhatWasToldSurvivesFailingWrites(t *testing.T) {
+func TestWrittenRecordsSurviveFailingWrites(t *testing.T) {
 	const most = 192 << 10
 	for seed := range uint64(20) {
 		r := rand.New(rand.NewPCG(seed, 7))
@@ -184,7 +184,7 @@
 // Guards against a message that was refused (503) and is forwarded by a later process: its
 // record was withdrawn while a part of it was on disk and could not be truncated, shorter
 // records overwrote the start of that part, and then the process was killed.
-func TestTakenBackIsUnknownAfterAKill(t *testing.T) {
+func TestWithdrawnMessageIsUnknownAfterAKill(t *testing.T) {
 	for _, shorter := range []bool{false, true} {
 		dir := t.TempDir()
 		l, _ := openLog(t, dir, 1<<20)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -95,7 +95,8 @@
 			return true
 		}
 	}
-	return k.Spent != nil && is(k.Spent.At) || slices.ContainsFunc(k.Messages, func(m Message) bool { return is(m.At) }) ||
+	return k.Spent != nil && is(k.Spent.At) ||
+		slices.ContainsFunc(k.Messages, func(m Message) bool { return is(m.At) }) ||
 		slices.ContainsFunc(k.Ends, func(e End) bool { return is(e.At) }) ||
 		slices.ContainsFunc(k.Waits, func(w Wait) bool { return is(w.At) }) ||
 		slices.ContainsFunc(k.Sessions, func(s Session) bool { return is(s.At) })
@@ -306,7 +307,8 @@
 // Ended records a final answer, which replaces the records of the message and its
 // attempts. Without an identity only these are deleted.
 func (j *Journal) Ended(e End) {
-	ops := []op{{key: seqKey(kindMessage, e.Seq)}, {key: seqKey(kindAttempt, e.Seq), rangeEnd: seqKey(kindAttempt, e.Seq+1)}}
+	ops := []op{{key: seqKey(kindMessage, e.Seq)},
+		{key: seqKey(kindAttempt, e.Seq), rangeEnd: seqKey(kindAttempt, e.Seq+1)}}
 	if e.Identity != "" {
 		ops = append(ops, op{key: textKey(kindEnd, e.Identity), value: encode(e)})
 		j.mu.Lock()
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -102,7 +102,8 @@
 		defer mu.Unlock()
 		if on && op.Kind.ReadOrWrite() == errorfs.OpIsWrite {
 			for _, percent := range []int{0, 50, 100} {
-				crashes = append(crashes, crash{mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: chance}), told})
+				crashes = append(crashes, crash{mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent,
+					RNG: chance}), told})
 			}
 		}
 		return nil
@@ -197,7 +198,7 @@
 
 // Guards against opening what is not a whole journal of this version: one that another
 // process has open, flipped bits, another version of the format, a file.
-func TestForeign(t *testing.T) {
+func TestOpenRefusesForeignData(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := open(t, Options{Dir: dir})
 	if _, _, err := Open(Options{Dir: dir}); !errors.Is(err, ErrLocked) {
@@ -308,19 +309,19 @@
 
 // Guards against records that change between writing and reading, and against runs that
 // pile up in the journal.
-func TestReadAgain(t *testing.T) {
+func TestRecordsSurviveReopen(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := open(t, Options{Dir: dir})
-	m := Message{Seq: 7, Identity: "i", Source: "s", Class: "c", Partner: "p", Key: "k", At: j.Stamp(), Left: 5, Head: []byte("h"),
-		Body: []byte("b"), Front: "f", Way: []byte("w")}
+	m := Message{Seq: 7, Identity: "i", Source: "s", Class: "c", Partner: "p", Key: "k", At: j.Stamp(), Left: 5,
+		Head: []byte("h"), Body: []byte("b"), Front: "f", Way: []byte("w")}
 	j.Taken(m)
 	j.Ended(End{Seq: 6, Identity: "e", Verdict: 2, After: 3, At: j.Stamp()})
 	j.Handed("e")
 	_ = j.Close()
 	j, k := open(t, Options{Dir: dir})
 	defer func() { _ = j.Close() }()
-	if len(k.Messages) != 1 || !reflect.DeepEqual(k.Messages[0], m) || len(k.Ends) != 1 || !k.Ends[0].Handed || k.Last != 7 ||
-		k.Now.Number != 2 || len(k.Runs) != 2 {
+	if len(k.Messages) != 1 || !reflect.DeepEqual(k.Messages[0], m) || len(k.Ends) != 1 || !k.Ends[0].Handed ||
+		k.Last != 7 || k.Now.Number != 2 || len(k.Runs) != 2 {
 		t.Errorf("%+v", k)
 	}
 	// Runs that no record refers to are deleted.
@@ -339,7 +340,8 @@
 	dir := b.TempDir()
 	j, _ := open(b, Options{Dir: dir, Queue: 1 << 30})
 	for i := range uint64(100_000) {
-		j.Taken(Message{Seq: i + 1, Identity: fmt.Sprint("identity ", i), Class: "charge", Partner: "p", Body: make([]byte, 256)})
+		j.Taken(Message{Seq: i + 1, Identity: fmt.Sprint("identity ", i), Class: "charge", Partner: "p",
+			Body: make([]byte, 256)})
 		if i%3 == 0 {
 			j.Tried(Attempt{Seq: i + 1, Host: "127.0.0.1:1"})
 		}
--- a/internal/journal/log.go
+++ b/internal/journal/log.go
@@ -142,9 +142,10 @@
 	if opt.Clocks == nil {
 		opt.Clocks = Clocks
 	}
-	l := &Log{dir: dir, maxBytes: opt.Most - opt.Most/16, readClocks: opt.Clocks, live: map[string]*location{}, messageKeys: map[uint64][]string{},
-		ends: map[string]End{}, forgetOnceHanded: map[string]bool{}, waitHosts: map[string]bool{}, waitingByMessage: map[uint64]int{}, needsNotice: opt.Owes, onWriteError: opt.Failed,
-		onRecovered: opt.Recovered}
+	l := &Log{dir: dir, maxBytes: opt.Most - opt.Most/16, readClocks: opt.Clocks, live: map[string]*location{},
+		messageKeys: map[uint64][]string{}, ends: map[string]End{}, forgetOnceHanded: map[string]bool{},
+		waitHosts: map[string]bool{}, waitingByMessage: map[uint64]int{}, needsNotice: opt.Owes,
+		onWriteError: opt.Failed, onRecovered: opt.Recovered}
 	if l.segmentBytes = l.maxBytes / targetSegments; l.segmentBytes < 8*blockSize {
 		return nil, nil, nil, fmt.Errorf("%w: %d bytes", ErrSmall, opt.Most)
 	}
@@ -163,7 +164,8 @@
 		return nil, nil, nil, err
 	}
 	k := &Kept{Runs: map[uint32]Run{}, Attempts: map[uint64][]Attempt{}}
-	r := &reader{l: l, runs: k.Runs, messages: map[uint64]Message{}, attempts: map[string]Attempt{}, waits: map[string]Wait{}}
+	r := &reader{l: l, runs: k.Runs, messages: map[uint64]Message{},
+		attempts: map[string]Attempt{}, waits: map[string]Wait{}}
 	for i, name := range names {
 		n, err := strconv.ParseUint(strings.TrimSuffix(filepath.Base(name), segmentSuffix), 16, 64)
 		if err != nil {
@@ -395,7 +397,8 @@
 		return Run{}, err
 	}
 	var t syscall.Timespec
-	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, unix.CLOCK_MONOTONIC, uintptr(unsafe.Pointer(&t)), 0); errno != 0 {
+	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, unix.CLOCK_MONOTONIC, uintptr(unsafe.Pointer(&t)),
+		0); errno != 0 {
 		return Run{}, errno
 	}
 	return Run{Boot: strings.TrimSpace(string(boot)), Clock: t.Nano(), Wall: time.Now().UnixNano()}, nil
@@ -753,7 +756,8 @@
 		}
 		n = last.number + 1
 	}
-	f, err := os.OpenFile(filepath.Join(l.dir, fmt.Sprintf("%016x%s", n, segmentSuffix)), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	f, err := os.OpenFile(filepath.Join(l.dir, fmt.Sprintf("%016x%s", n, segmentSuffix)),
+		os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
--- a/internal/journal/log_test.go
+++ b/internal/journal/log_test.go
@@ -105,7 +105,8 @@
 					continue
 				}
 				lastSeq++
-				m := Message{Seq: lastSeq, Identity: fmt.Sprint("id", lastSeq), Class: "c", Key: "k", Body: make([]byte, size), Left: 5, At: l.Stamp()}
+				m := Message{Seq: lastSeq, Identity: fmt.Sprint("id", lastSeq), Class: "c", Key: "k",
+					Body: make([]byte, size), Left: 5, At: l.Stamp()}
 				l.Taken(m)
 				want.messages[lastSeq] = m
 			case n < 6 && len(open) > 0:
@@ -167,7 +168,8 @@
 			t.Errorf("seed %d: at most %d of %d bytes in use, %d messages without room: the limit was never reached",
 				seed, peak, most, withoutRoom)
 		}
-		if n := len(l.live) + len(l.messageKeys) + len(l.ends); n > 3*(len(want.messages)+len(want.owed))+2*len(ended)+100 {
+		if n := len(l.live) + len(l.messageKeys) + len(l.ends); n > 3*(len(want.messages)+len(want.owed))+
+			2*len(ended)+100 {
 			t.Errorf("%d entries in the tables in memory, more than the held records need", n)
 		}
 	}
@@ -213,13 +215,14 @@
 	}
 	_, k, damaged, err := OpenLog(LogOptions{Dir: dir, Most: 1 << 20, Owes: owes, Failed: func(error) {}})
 	if err != nil || damaged == nil || len(k.Messages) != 2 {
-		t.Errorf("err %v, damaged %v, %d messages; want no error, damage and 2 messages", err, damaged, len(k.Messages))
+		t.Errorf("err %v, damaged %v, %d messages; want no error, damage and 2 messages",
+			err, damaged, len(k.Messages))
 	}
 }
 
 // Guards against a final answer that is dropped with its identity while the client still
 // waits for it: it must be kept until the client has it.
-func TestLogKeepsWhatIsOwed(t *testing.T) {
+func TestLogKeepsAnswerUntilClientHasIt(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openLog(t, dir, 1<<20)
 	l.Taken(Message{Seq: 1, Identity: "a"})
--- a/internal/journal/small_test.go
+++ b/internal/journal/small_test.go
@@ -38,17 +38,20 @@
 	}
 	b.Run("log", func(b *testing.B) {
 		dir := b.TempDir()
-		l, _, _, err := OpenLog(LogOptions{Dir: dir, Most: 3 << 20, Owes: owes, Failed: func(err error) { b.Fatal(err) }})
+		l, _, _, err := OpenLog(LogOptions{Dir: dir, Most: 3 << 20, Owes: owes,
+			Failed: func(err error) { b.Fatal(err) }})
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer l.Close()
-		run(b, l.Taken, l.Tried, func(e End) { l.Ended(e); l.Forget(e.Identity) }, func() int64 { return used(b, dir) })
+		run(b, l.Taken, l.Tried, func(e End) { l.Ended(e); l.Forget(e.Identity) },
+			func() int64 { return used(b, dir) })
 	})
 	b.Run("pebble", func(b *testing.B) {
 		dir := b.TempDir()
-		db, err := pebble.Open(dir, &pebble.Options{Logger: errorLogger{&Journal{}}, MemTableSize: 256 << 10, FormatMajorVersion: pebble.FormatNewest,
-			L0CompactionThreshold: 1, L0StopWritesThreshold: 2, MaxOpenFiles: 64})
+		db, err := pebble.Open(dir, &pebble.Options{Logger: errorLogger{&Journal{}}, MemTableSize: 256 << 10,
+			FormatMajorVersion: pebble.FormatNewest, L0CompactionThreshold: 1,
+			L0StopWritesThreshold: 2, MaxOpenFiles: 64})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -58,7 +61,8 @@
 				b.Fatal(err)
 			}
 		}
-		run(b, func(m Message) { set(seqKey(kindMessage, m.Seq), encode(m)) }, func(a Attempt) { set(attemptKey(a.Seq, a.N), encode(a)) },
+		run(b, func(m Message) { set(seqKey(kindMessage, m.Seq), encode(m)) },
+			func(a Attempt) { set(attemptKey(a.Seq, a.N), encode(a)) },
 			func(e End) {
 				batch := db.NewBatch()
 				_ = batch.Delete(seqKey(kindMessage, e.Seq), nil)
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -125,7 +125,8 @@
 func NewList(set Settings, sources []SourceSettings) *List {
 	l := &List{settings: set, known: map[string]*knownEndpoint{}, dirty: map[string]bool{}, nextStep: -1}
 	for _, s := range sources {
-		l.sources = append(l.sources, &source{SourceSettings: s, entries: map[string]Entry{}, lost: map[string]*lostEntry{}})
+		l.sources = append(l.sources, &source{SourceSettings: s, entries: map[string]Entry{},
+			lost: map[string]*lostEntry{}})
 	}
 	return l
 }
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -20,7 +20,8 @@
 				continue next
 			}
 		}
-		out = append(out, Entry{ID: fmt.Sprint("id", i), Addr: fmt.Sprintf("10.0.0.%d:80", i), Partner: fmt.Sprint("p", i/4), Zone: "z"})
+		out = append(out, Entry{ID: fmt.Sprint("id", i), Addr: fmt.Sprintf("10.0.0.%d:80", i),
+			Partner: fmt.Sprint("p", i/4), Zone: "z"})
 	}
 	return out
 }
@@ -71,7 +72,7 @@
 // implausible report that empties it. A single endpoint that disappears drains at once and
 // is removed after a while. If half of the list, all of it or all of a partner disappears,
 // or the server is behind, the endpoints stay until the absence has lasted long enough.
-func TestVanishing(t *testing.T) {
+func TestDisappearance(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		left        []Entry
@@ -108,7 +109,7 @@
 // much of the list disappeared with it. What a list file no longer has is removed at once.
 // If an ID moves to another address, the old address drains at once. A new ID at the same
 // address changes nothing.
-func TestTold(t *testing.T) {
+func TestDrainsAndMovesTakeEffectAtOnce(t *testing.T) {
 	b := newBench(SourceSettings{Name: "c"}, SourceSettings{Name: "file", Sure: true})
 	b.Report(0, 0, Report{entries(8), true})
 	b.step(0)
@@ -211,7 +212,7 @@
 // Guards against a wrong merge of two sources with random reports. An endpoint that one of
 // them drains must not be ready. One that both report must be on the list. If one waits to
 // become ready again, a next step must be requested.
-func TestListAnything(t *testing.T) {
+func TestMergeOfRandomReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBench(SourceSettings{Name: "a"}, SourceSettings{Name: "b"})
 		now := time.Duration(0)
