--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -687,7 +687,8 @@
 	}
 	if m.kept && !c.takeBack(m) {
 		c.opt.Journal.RecordEnd(journal.End{Seq: m.seq, Identity: m.Identity,
-			Class: c.opt.Settings.Classes[m.Class].Name, Verdict: uint8(a.Verdict), After: int64(a.After), At: c.opt.Journal.Stamp(), Front: m.Front, Way: m.Way})
+			Class: c.opt.Settings.Classes[m.Class].Name, Verdict: uint8(a.Verdict), After: int64(a.After),
+			At: c.opt.Journal.Stamp(), Front: m.Front, Way: m.Way})
 	}
 	tell := func() {
 		if m.told {
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -69,7 +69,8 @@
 
 func (d *disk) kept() *journal.Contents {
 	now := journal.Run{Number: 1, Boot: "x", Clock: int64(d.now())}
-	k := &journal.Contents{Runs: map[uint32]journal.Run{1: {Number: 1, Boot: "x"}}, ThisRun: now, Attempts: map[uint64][]journal.Attempt{}}
+	k := &journal.Contents{Runs: map[uint32]journal.Run{1: {Number: 1, Boot: "x"}}, ThisRun: now,
+		Attempts: map[uint64][]journal.Attempt{}}
 	for seq, m := range d.messages {
 		k.Messages = append(k.Messages, m)
 		k.LastSeq = max(k.LastSeq, seq)
--- a/internal/journal/log.go
+++ b/internal/journal/log.go
@@ -143,9 +143,9 @@
 		opt.ReadClocks = ReadClocks
 	}
 	l := &Log{dir: dir, maxBytes: opt.MaxBytes - opt.MaxBytes/16, readClocks: opt.ReadClocks,
-		live: map[string]*location{}, messageKeys: map[uint64][]string{}, ends: map[string]End{}, forgetOnceHanded: map[string]bool{},
-		waitHosts: map[string]bool{}, waitingByMessage: map[uint64]int{}, needsNotice: opt.NeedsNotice,
-		onWriteError: opt.OnWriteError, onRecovered: opt.OnRecovered}
+		live: map[string]*location{}, messageKeys: map[uint64][]string{}, ends: map[string]End{},
+		forgetOnceHanded: map[string]bool{}, waitHosts: map[string]bool{}, waitingByMessage: map[uint64]int{},
+		needsNotice: opt.NeedsNotice, onWriteError: opt.OnWriteError, onRecovered: opt.OnRecovered}
 	if l.segmentBytes = l.maxBytes / targetSegments; l.segmentBytes < 8*blockSize {
 		return nil, nil, nil, fmt.Errorf("%w: %d bytes", ErrTooSmall, opt.MaxBytes)
 	}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -139,8 +139,8 @@
 	owes := func(v uint8) bool { return ledger.Verdict(v) == ledger.Refused || ledger.Verdict(v) == ledger.Failed }
 	var kept *journal.Contents
 	var damaged error
-	n.keep, kept, damaged, err = journal.OpenLog(journal.LogOptions{Dir: cfg.State, MaxBytes: b.Disk, NeedsNotice: owes,
-		OnWriteError: func(err error) {
+	n.keep, kept, damaged, err = journal.OpenLog(journal.LogOptions{Dir: cfg.State, MaxBytes: b.Disk,
+		NeedsNotice: owes, OnWriteError: func(err error) {
 			n.warn("journal").Err(err).Msg("records wait to be written, nothing is taken")
 		}, OnRecovered: func(waited time.Duration) {
 			n.warn("journal").Dur("waited", waited).Msg("all records are written")
@@ -193,7 +193,9 @@
 	n.list = directory.New(directory.Options{Names: directory.Names{Host: n.host},
 		Sources: []directory.Source{&agent.Watch{Client: n.client, Known: known, Told: n.named, Keep: n.hosts.keep}},
 		Sink:    directory.Sinks{n.core, n.caller}, OnAddresses: n.addresses,
-		OnListed: func(int) {}, OnError: func(source string, err error) { n.warn("discovery").Str("source", source).Err(err).Msg("") }})
+		OnListed: func(int) {}, OnError: func(source string, err error) {
+			n.warn("discovery").Str("source", source).Err(err).Msg("")
+		}})
 	n.front, err = hookfront.New(hookfront.Options{Listen: cfg.Listen, Lanes: s.Lanes, Ordered: ordered, Dest: n.known,
 		Ready: n.ready.Load, Header: headerBytes, Body: bodyBytes, Connections: b.Clients, Lingering: b.Lingering, Kept: b.Kept, Request: 2 * clientWaits, Respond: respondWithin, Wait: clientWaits, Whole: whole, Idle: silent, Linger: linger,
 		WriteBuffer: b.WriteBuffer, Door: n.core, Keeper: n.keep, Notices: n.said, Guard: n.guard, Trace: trace(log),
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -197,7 +197,8 @@
 		t.Fatal(err)
 	}
 	wall := time.Now().Add(-time.Minute).UnixNano()
-	p, _ := plan(cfg, &journal.Contents{Runs: map[uint32]journal.Run{1: {Number: 1, Wall: wall}}, ThisRun: journal.Run{Number: 2, Wall: wall}, LastSeq: 1,
+	p, _ := plan(cfg, &journal.Contents{Runs: map[uint32]journal.Run{1: {Number: 1, Wall: wall}},
+		ThisRun: journal.Run{Number: 2, Wall: wall}, LastSeq: 1,
 		Messages: []journal.Message{{Seq: 1, Identity: "m", Class: "notice", Partner: "7", At: journal.Stamp{Run: 1},
 			Remaining: int64(7 * time.Second)}}},
 		journal.Run{Number: 2, Wall: time.Now().UnixNano()})
--- a/internal/recover/recover_test.go
+++ b/internal/recover/recover_test.go
@@ -27,7 +27,8 @@
 	at := func(before time.Duration) journal.Stamp { return journal.Stamp{Run: 1, Clock: int64(110*s - before)} }
 	return &journal.Contents{Runs: map[uint32]journal.Run{1: run, 2: now}, ThisRun: now,
 		Messages: []journal.Message{{Seq: 1, Identity: "i", Class: "charge", At: at(2 * s), Remaining: int64(5 * s)}},
-		Attempts: map[uint64][]journal.Attempt{1: {{Seq: 1, N: 0, At: at(2 * s), NeverRan: true}, {Seq: 1, N: 1, Zone: "z", At: at(s)}}},
+		Attempts: map[uint64][]journal.Attempt{1: {{Seq: 1, N: 0, At: at(2 * s), NeverRan: true},
+			{Seq: 1, N: 1, Zone: "z", At: at(s)}}},
 		Ends:     []journal.End{{Seq: 9, Identity: "e", Class: "charge", At: at(s), Handed: true}},
 		Waits:    []journal.Wait{{Host: "h", At: at(s), Remaining: int64(4 * s)}}}
 }
--- a/internal/relay/journal_test.go
+++ b/internal/relay/journal_test.go
@@ -73,8 +73,8 @@
 	identity := func(id string) string { return fmt.Sprintf("c0:1:c%d:%s", len(id), id) }
 	left(t, dir, func(j *journal.Journal) {
 		m := func(seq uint64, id string, left time.Duration) {
-			j.RecordMessage(journal.Message{Seq: seq, Identity: identity(id), Source: "c", Class: "charge", Partner: "p0", At: j.Stamp(),
-				Remaining: int64(left), Body: []byte(id)})
+			j.RecordMessage(journal.Message{Seq: seq, Identity: identity(id), Source: "c", Class: "charge", Partner: "p0",
+				At: j.Stamp(), Remaining: int64(left), Body: []byte(id)})
 		}
 		m(1, "doubt", 5*time.Second)
 		j.RecordAttempt(journal.Attempt{Seq: 1, Host: e.Addr, Zone: "default", At: j.Stamp()})
@@ -122,8 +122,8 @@
 	dir := b.TempDir()
 	left(b, dir, func(j *journal.Journal) {
 		for i := range uint64(n) {
-			j.RecordMessage(journal.Message{Seq: i + 1, Identity: fmt.Sprint("c0:1:c", i), Class: "order", Partner: "p0", At: j.Stamp(),
-				Remaining: int64(6 * time.Second), Body: make([]byte, 256)})
+			j.RecordMessage(journal.Message{Seq: i + 1, Identity: fmt.Sprint("c0:1:c", i), Class: "order", Partner: "p0",
+				At: j.Stamp(), Remaining: int64(6 * time.Second), Body: make([]byte, 256)})
 			if i%3 == 0 {
 				j.RecordAttempt(journal.Attempt{Seq: i + 1, Host: "127.0.0.1:1", At: j.Stamp()})
 			}
