--- a/internal/recover/recover_test.go
+++ b/internal/recover/recover_test.go
@@ -29,8 +29,8 @@
 		Messages: []journal.Message{{Seq: 1, Identity: "i", Class: "charge", At: at(2 * s), Remaining: int64(5 * s)}},
 		Attempts: map[uint64][]journal.Attempt{1: {{Seq: 1, N: 0, At: at(2 * s), NeverRan: true},
 			{Seq: 1, N: 1, Zone: "z", At: at(s)}}},
-		Ends:     []journal.End{{Seq: 9, Identity: "e", Class: "charge", At: at(s), Handed: true}},
-		Waits:    []journal.Wait{{Host: "h", At: at(s), Remaining: int64(4 * s)}}}
+		Ends:  []journal.End{{Seq: 9, Identity: "e", Class: "charge", At: at(s), Handed: true}},
+		Waits: []journal.Wait{{Host: "h", At: at(s), Remaining: int64(4 * s)}}}
 }
 
 // Within one run of the machine a wall clock that jumped changes nothing; across
