--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -38,33 +38,33 @@
 type Pair struct {
 	CertFile, KeyFile string
 	cert              atomic.Pointer[tls.Certificate]
-	stamp             [2]stamp
-	tried             bool
+	versions          [2]fileVersion
+	statErrorReported bool
 }
 
 // Pool is a file of authorities.
 type Pool struct {
-	File  string
-	pool  atomic.Pointer[x509.CertPool]
-	stamp stamp
+	File    string
+	pool    atomic.Pointer[x509.CertPool]
+	version fileVersion
 }
 
 // stamp tells one content of a file from the next.
-type stamp struct {
+type fileVersion struct {
 	size int64
 	at   time.Time
 	node os.FileInfo
 }
 
-func stampOf(file string) (stamp, error) {
+func versionOf(file string) (fileVersion, error) {
 	st, err := os.Stat(file)
 	if err != nil {
-		return stamp{}, err
+		return fileVersion{}, err
 	}
-	return stamp{st.Size(), st.ModTime(), st}, nil
+	return fileVersion{st.Size(), st.ModTime(), st}, nil
 }
 
-func (s stamp) same(o stamp) bool {
+func (s fileVersion) equal(o fileVersion) bool {
 	return s.size == o.size && s.at.Equal(o.at) && s.node != nil && o.node != nil && os.SameFile(s.node, o.node)
 }
 
@@ -138,8 +138,8 @@
 		return fmt.Errorf("keys: %s is not valid before %v", p.CertFile, cert.Leaf.NotBefore.UTC())
 	}
 	p.cert.Store(&cert)
-	p.stamp[0], _ = stampOf(p.CertFile)
-	p.stamp[1], _ = stampOf(p.KeyFile)
+	p.versions[0], _ = versionOf(p.CertFile)
+	p.versions[1], _ = versionOf(p.KeyFile)
 	return nil
 }
 
@@ -153,18 +153,18 @@
 		return fmt.Errorf("keys: %s holds no certificate in PEM", p.File)
 	}
 	p.pool.Store(pool)
-	p.stamp, _ = stampOf(p.File)
+	p.version, _ = versionOf(p.File)
 	return nil
 }
 
 // look is how often files are looked at.
-const look = time.Second
+const checkInterval = time.Second
 
 // Run takes replaced files into force until ctx ends. Connections that stand
 // are not touched. A file that cannot be taken leaves the old one in force, is
 // reported once, and is tried again when it changes.
 func (r *Ring) Run(ctx context.Context) {
-	tick := time.NewTicker(look)
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -181,29 +181,29 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pairs {
-		cert, err1 := stampOf(p.CertFile)
-		key, err2 := stampOf(p.KeyFile)
-		if err1 == nil && err2 == nil && cert.same(p.stamp[0]) && key.same(p.stamp[1]) {
+		cert, err1 := versionOf(p.CertFile)
+		key, err2 := versionOf(p.KeyFile)
+		if err1 == nil && err2 == nil && cert.equal(p.versions[0]) && key.equal(p.versions[1]) {
 			continue
 		}
 		if err := errors.Join(err1, err2); err != nil {
-			if !p.tried {
+			if !p.statErrorReported {
 				r.report(p.CertFile, p.Expires(), err)
 			}
-			p.tried = true
+			p.statErrorReported = true
 			continue
 		}
-		p.tried = false
+		p.statErrorReported = false
 		err := p.load(now)
-		p.stamp = [2]stamp{cert, key} // one that could not be taken is not tried until it changes
+		p.versions = [2]fileVersion{cert, key} // one that could not be taken is not tried until it changes
 		r.report(p.CertFile, p.Expires(), err)
 	}
 	for _, p := range r.pools {
-		if s, err := stampOf(p.File); err != nil || s.same(p.stamp) {
+		if s, err := versionOf(p.File); err != nil || s.equal(p.version) {
 			continue
 		}
 		err := p.load()
-		p.stamp, _ = stampOf(p.File)
+		p.version, _ = versionOf(p.File)
 		r.report(p.File, time.Time{}, err)
 	}
 }
--- a/internal/mqtt/encode.go
+++ b/internal/mqtt/encode.go
@@ -87,7 +87,7 @@
 }
 
 // packet appends fixed header and body.
-func packet(b []byte, first byte, body []byte) []byte {
+func appendPacket(b []byte, first byte, body []byte) []byte {
 	return append(AppendVarint(append(b, first), len(body)), body...)
 }
 
@@ -101,7 +101,7 @@
 		props := appendProps(nil, p)
 		body = append(AppendVarint(body, len(props)), props...)
 	}
-	return packet(b, CONNACK<<4, body)
+	return appendPacket(b, CONNACK<<4, body)
 }
 
 // AppendConnect appends a CONNECT.
@@ -130,7 +130,7 @@
 	if c.Password != nil {
 		body = appendBytes(body, c.Password)
 	}
-	return packet(b, CONNECT<<4, body)
+	return appendPacket(b, CONNECT<<4, body)
 }
 
 // AppendPublish appends a PUBLISH.
@@ -177,7 +177,7 @@
 			body = append(AppendVarint(body, len(props)), props...)
 		}
 	}
-	return packet(b, first, body)
+	return appendPacket(b, first, body)
 }
 
 // AppendSubscribe appends a SUBSCRIBE.
@@ -189,7 +189,7 @@
 	for _, f := range filters {
 		body = append(appendString(body, f.Topic), f.QoS)
 	}
-	return packet(b, SUBSCRIBE<<4|2, body)
+	return appendPacket(b, SUBSCRIBE<<4|2, body)
 }
 
 // AppendSuback appends a SUBACK or an UNSUBACK.
@@ -201,7 +201,7 @@
 	if version == V5 || kind == SUBACK {
 		body = append(body, codes...)
 	}
-	return packet(b, kind<<4, body)
+	return appendPacket(b, kind<<4, body)
 }
 
 // AppendDisconnect appends a DISCONNECT; only 5.0 servers send one.
@@ -211,7 +211,7 @@
 		props := appendProps(nil, &Props{ReasonString: reason})
 		body = append(AppendVarint(body, len(props)), props...)
 	}
-	return packet(b, DISCONNECT<<4, body)
+	return appendPacket(b, DISCONNECT<<4, body)
 }
 
 // AppendEmpty appends a PINGREQ or PINGRESP.
--- a/internal/mqtt/packet.go
+++ b/internal/mqtt/packet.go
@@ -78,11 +78,11 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("mqtt: %s (0x%02X)", e.Text, e.Code) }
 
-func fault(code byte, format string, args ...any) *Error {
+func errorf(code byte, format string, args ...any) *Error {
 	return &Error{code, fmt.Sprintf(format, args...)}
 }
 
-func malformed(format string, args ...any) *Error { return fault(MalformedPacket, format, args...) }
+func malformed(format string, args ...any) *Error { return errorf(MalformedPacket, format, args...) }
 
 // Frame finds the next packet in b. ok is false while more bytes are needed. A
 // packet of over max bytes, fixed header included, is a fault as soon as its
@@ -100,7 +100,7 @@
 	}
 	head := 1 + used
 	if head+length > max {
-		return 0, nil, b, false, fault(PacketTooLarge, "packet of %d bytes, at most %d are taken", head+length, max)
+		return 0, nil, b, false, errorf(PacketTooLarge, "packet of %d bytes, at most %d are taken", head+length, max)
 	}
 	if len(b) < head+length {
 		return 0, nil, b, false, nil
@@ -270,10 +270,10 @@
 }
 
 // mostUser bounds the user properties of one packet.
-const mostUser = 64
+const maxUserProps = 64
 
 // where a property may stand, a bit for each packet type; bit 0 for a will.
-var allowed = map[int]uint16{
+var allowedIn = map[int]uint16{
 	pPayloadFormat: 1 | 1<<PUBLISH, pMessageExpiry: 1 | 1<<PUBLISH, pContentType: 1 | 1<<PUBLISH,
 	pResponseTopic: 1 | 1<<PUBLISH, pCorrelation: 1 | 1<<PUBLISH, pSubscriptionID: 1<<PUBLISH | 1<<SUBSCRIBE,
 	pSessionExpiry: 1<<CONNECT | 1<<CONNACK | 1<<DISCONNECT, pAssignedID: 1 << CONNACK,
@@ -324,13 +324,13 @@
 		if in.err != nil {
 			break
 		}
-		where, known := allowed[id]
+		where, known := allowedIn[id]
 		if !known || where&(1<<kind) == 0 {
 			in.fail(malformed("property 0x%02X in packet type %d", id, kind))
 			break
 		}
 		if id != pUser && p.Has(id) {
-			in.fail(fault(ProtocolError, "property 0x%02X stands twice", id))
+			in.fail(errorf(ProtocolError, "property 0x%02X stands twice", id))
 			break
 		}
 		p.set |= 1 << id
@@ -345,7 +345,7 @@
 func (r *reader) flag(what string) byte {
 	v := r.byte(what)
 	if v > 1 {
-		r.fail(fault(ProtocolError, "%s is %d, must be 0 or 1", what, v))
+		r.fail(errorf(ProtocolError, "%s is %d, must be 0 or 1", what, v))
 	}
 	return v
 }
@@ -353,7 +353,7 @@
 func (r *reader) prop(id int, p *Props) {
 	nonzero := func(zero bool, what string) {
 		if zero && r.err == nil {
-			r.fail(fault(ProtocolError, "%s is 0", what))
+			r.fail(errorf(ProtocolError, "%s is 0", what))
 		}
 	}
 	switch id {
@@ -367,7 +367,7 @@
 		p.ResponseTopic = r.string("Response Topic")
 		if r.err == nil {
 			if err := CheckTopic(p.ResponseTopic); err != nil {
-				r.fail(fault(ProtocolError, "Response Topic: %s", err.Text))
+				r.fail(errorf(ProtocolError, "Response Topic: %s", err.Text))
 			}
 		}
 	case pCorrelation:
@@ -410,8 +410,8 @@
 		p.RetainAvailable = r.flag("Retain Available")
 	case pUser:
 		u := Pair{r.string("User Property"), r.string("User Property")}
-		if p.User = append(p.User, u); len(p.User) > mostUser {
-			r.fail(fault(QuotaExceeded, "over %d user properties", mostUser))
+		if p.User = append(p.User, u); len(p.User) > maxUserProps {
+			r.fail(errorf(QuotaExceeded, "over %d user properties", maxUserProps))
 		}
 	case pMaximumPacket:
 		p.MaximumPacket = r.uint32("Maximum Packet Size")
@@ -429,9 +429,9 @@
 func CheckTopic(t string) *Error {
 	switch {
 	case t == "":
-		return fault(TopicNameInvalid, "topic name is empty")
+		return errorf(TopicNameInvalid, "topic name is empty")
 	case strings.ContainsAny(t, "+#"):
-		return fault(TopicNameInvalid, "topic name %.80q holds a wildcard", t)
+		return errorf(TopicNameInvalid, "topic name %.80q holds a wildcard", t)
 	}
 	return nil
 }
@@ -471,7 +471,7 @@
 		return nil, r.err
 	}
 	if name != "MQTT" || c.Version != V311 && c.Version != V5 {
-		return c, fault(UnsupportedVersion, "protocol %.20q version %d; 3.1.1 and 5.0 are spoken", name, c.Version)
+		return c, errorf(UnsupportedVersion, "protocol %.20q version %d; 3.1.1 and 5.0 are spoken", name, c.Version)
 	}
 	flags := r.byte("connect flags")
 	c.KeepAlive = r.uint16("keep alive")
@@ -482,7 +482,7 @@
 	if c.Version == V5 {
 		c.Props = r.props(CONNECT)
 		if r.err == nil && c.Props.Has(pAuthData) && !c.Props.HasAuth() {
-			return c, fault(ProtocolError, "Authentication Data without a method")
+			return c, errorf(ProtocolError, "Authentication Data without a method")
 		}
 	}
 	c.ClientID = r.string("client identifier")
@@ -557,7 +557,7 @@
 	}
 	p.Payload = r.b
 	if p.Props.PayloadFormat == 1 && !utf8.Valid(p.Payload) {
-		return p, fault(PayloadFormatInvalid, "payload is not UTF-8 as it says")
+		return p, errorf(PayloadFormatInvalid, "payload is not UTF-8 as it says")
 	}
 	return p, nil
 }
@@ -608,7 +608,7 @@
 }
 
 // mostFilters bounds the topic filters of one packet.
-const mostFilters = 128
+const maxFilters = 128
 
 // ParseSubscribe reads the body of either packet, by its first byte.
 func ParseSubscribe(version, first byte, body []byte) (*Subscribe, *Error) {
@@ -633,18 +633,18 @@
 				return s, malformed("subscription options 0x%02X", o)
 			}
 			if o&4 != 0 && strings.HasPrefix(f.Topic, "$share/") {
-				return s, fault(ProtocolError, "No Local on a shared subscription")
+				return s, errorf(ProtocolError, "No Local on a shared subscription")
 			}
 		}
-		if s.Filters = append(s.Filters, f); len(s.Filters) > mostFilters {
-			return s, fault(QuotaExceeded, "over %d topic filters", mostFilters)
+		if s.Filters = append(s.Filters, f); len(s.Filters) > maxFilters {
+			return s, errorf(QuotaExceeded, "over %d topic filters", maxFilters)
 		}
 	}
 	if r.err != nil {
 		return s, r.err
 	}
 	if len(s.Filters) == 0 {
-		return s, fault(ProtocolError, "no topic filter")
+		return s, errorf(ProtocolError, "no topic filter")
 	}
 	return s, nil
 }
--- a/internal/mqttfront/again_test.go
+++ b/internal/mqttfront/again_test.go
@@ -32,21 +32,21 @@
 }
 
 // answer answers the newest hand-in that the door took.
-func (d *door) answer(v ledger.Verdict) {
+func (d *fakeCore) answer(v ledger.Verdict) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.msgs[len(d.msgs)-1].Reply.Answer(ledger.Answer{Verdict: v, After: 10 * time.Millisecond})
 }
 
 // note is an answer as the client got it, with the packet id of its PUBLISH.
-type note struct {
+type receivedAnswer struct {
 	verdict string
 	id      uint16
 	handIn  bool // it names the hand-in with packet id 2
 }
 
 // until reads up to the first packet of a kind, past those that may come before it.
-func (p *peer) until(want byte, skip ...byte) []byte {
+func (p *testClient) readUntil(want byte, skip ...byte) []byte {
 	p.t.Helper()
 	for {
 		kind, body := p.next()
@@ -60,17 +60,17 @@
 }
 
 // note reads the next answer, which is of QoS 1 or 2.
-func (p *peer) note(skip ...byte) note {
+func (p *testClient) readAnswer(skip ...byte) receivedAnswer {
 	p.t.Helper()
-	q, err := mqtt.ParsePublish(mqtt.V5, 0x32, p.until(mqtt.PUBLISH, skip...))
+	q, err := mqtt.ParsePublish(mqtt.V5, 0x32, p.readUntil(mqtt.PUBLISH, skip...))
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return note{verdict: q.Props.Get("answer"), id: q.ID, handIn: strings.Contains(string(q.Payload), `"packet_id":2`)}
+	return receivedAnswer{verdict: q.Props.Get("answer"), id: q.ID, handIn: strings.Contains(string(q.Payload), `"packet_id":2`)}
 }
 
 // acknowledge takes an answer's acknowledgement to its end.
-func (p *peer) acknowledge(qos byte, id uint16) {
+func (p *testClient) acknowledge(qos byte, id uint16) {
 	p.t.Helper()
 	if qos == 1 {
 		p.send(mqtt.AppendAck(nil, mqtt.V5, mqtt.PUBACK, id, mqtt.Success, ""))
@@ -81,48 +81,48 @@
 }
 
 // receive and complete are the two halves of an acknowledgement of QoS 2.
-func (p *peer) receive(id uint16) {
+func (p *testClient) receive(id uint16) {
 	p.t.Helper()
 	p.send(mqtt.AppendAck(nil, mqtt.V5, mqtt.PUBREC, id, mqtt.Success, ""))
-	p.until(mqtt.PUBREL)
+	p.readUntil(mqtt.PUBREL)
 }
 
-func (p *peer) complete(id uint16) {
+func (p *testClient) complete(id uint16) {
 	p.send(mqtt.AppendAck(nil, mqtt.V5, mqtt.PUBCOMP, id, mqtt.Success, ""))
 }
 
 // resume connects the client of a session again, which gets its answer once more.
-func resume(t *testing.T, p *peer, addr string, first note) *peer {
+func resume(t *testing.T, p *testClient, addr string, first receivedAnswer) *testClient {
 	t.Helper()
 	_ = p.conn.Close()
 	p = dial(t, addr)
 	if !p.connect("c", mqtt.Props{SessionExpiry: 60}).Present {
 		t.Fatal("session is gone")
 	}
-	if again := p.note(); again != first {
+	if again := p.readAnswer(); again != first {
 		t.Fatalf("resumed with %+v, want %+v", again, first)
 	}
 	return p
 }
 
 // ping waits until the front has handled all that was sent.
-func (p *peer) ping() {
+func (p *testClient) ping() {
 	p.t.Helper()
 	p.send(mqtt.AppendEmpty(nil, mqtt.PINGREQ))
-	p.until(mqtt.PINGRESP)
+	p.readUntil(mqtt.PINGRESP)
 }
 
 // answered is a client whose first hand-in got its answer, which it has not acknowledged.
-func answered(t *testing.T, d *door, addr string, qos byte, v ledger.Verdict) (*peer, note) {
+func answered(t *testing.T, d *fakeCore, addr string, qos byte, v ledger.Verdict) (*testClient, receivedAnswer) {
 	t.Helper()
 	p := dial(t, addr)
 	p.connect("c", mqtt.Props{SessionExpiry: 60})
 	p.send(mqtt.AppendSubscribe(nil, mqtt.V5, 9, mqtt.Filter{Topic: "answers/c", QoS: qos}))
-	p.until(mqtt.SUBACK)
+	p.readUntil(mqtt.SUBACK)
 	p.send(publish(1, 1, "a"))
-	p.until(mqtt.PUBACK)
+	p.readUntil(mqtt.PUBACK)
 	d.answer(v)
-	first := p.note()
+	first := p.readAnswer()
 	if first.verdict != v.String() {
 		t.Fatalf("answer %q, want %v", first.verdict, v)
 	}
@@ -132,7 +132,7 @@
 // A client hands a message in again before it has acknowledged the earlier answer, as one
 // does that was told to come again at once. The core hears of it, and it gets an answer of
 // its own; what is recorded as handed over is that one only.
-func TestComesAgainBeforeItAcknowledges(t *testing.T) {
+func TestHandInRepeatedBeforeItsAnswerIsAcknowledged(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		qos      byte
@@ -149,7 +149,7 @@
 		{name: "failed, QoS 2, session resumed", qos: 2, verdict: ledger.Failed, resumed: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d, k := &door{}, &keeper{}
+			d, k := &fakeCore{}, &keeper{}
 			addr := start(t, d, func(o *Options) { o.Keeper = k })
 			p, first := answered(t, d, addr, c.qos, c.verdict)
 			if c.resumed {
@@ -159,7 +159,7 @@
 				p.receive(first.id)
 			}
 			p.send(publish(1, 2, "a"))
-			p.until(mqtt.PUBACK)
+			p.readUntil(mqtt.PUBACK)
 			if n := d.count(); n != 2 {
 				t.Fatalf("the core heard of %d hand-ins, want 2", n)
 			}
@@ -173,7 +173,7 @@
 				t.Fatal("the identity counts as handed over while its second hand-in is owed an answer")
 			}
 			d.answer(ledger.Delivered)
-			second := p.note()
+			second := p.readAnswer()
 			if second.verdict != "delivered" || !second.handIn {
 				t.Errorf("second answer %+v", second)
 			}
@@ -188,28 +188,28 @@
 
 // An answer that was not sent yet gives way to that of a later hand-in; if that is not
 // taken, it stands.
-func TestComesAgainBeforeItsAnswerIsSent(t *testing.T) {
+func TestHandInRepeatedBeforeItsAnswerIsSent(t *testing.T) {
 	for _, busy := range []bool{false, true} {
-		d, k := &door{}, &keeper{}
+		d, k := &fakeCore{}, &keeper{}
 		p := dial(t, start(t, d, func(o *Options) { o.Keeper = k }))
 		p.connect("c", mqtt.Props{SessionExpiry: 60})
 		p.send(publish(1, 1, "a"))
-		p.until(mqtt.PUBACK)
+		p.readUntil(mqtt.PUBACK)
 		d.answer(ledger.Refused) // nobody is subscribed
-		d.settle(t, p)
-		want := note{verdict: "delivered", handIn: true}
+		d.waitHandled(t, p)
+		want := receivedAnswer{verdict: "delivered", handIn: true}
 		if d.busy = busy; busy {
-			want = note{verdict: "refused"}
+			want = receivedAnswer{verdict: "refused"}
 		}
 		p.send(publish(1, 2, "a"))
-		if body := p.until(mqtt.PUBACK); (len(body) > 2 && body[2] == mqtt.QuotaExceeded) != busy {
+		if body := p.readUntil(mqtt.PUBACK); (len(body) > 2 && body[2] == mqtt.QuotaExceeded) != busy {
 			t.Fatalf("busy %v: PUBACK %x", busy, body)
 		}
 		if !busy {
 			d.answer(ledger.Delivered)
 		}
 		p.send(mqtt.AppendSubscribe(nil, mqtt.V5, 9, mqtt.Filter{Topic: "answers/c", QoS: 1}))
-		got := p.note(mqtt.SUBACK)
+		got := p.readAnswer(mqtt.SUBACK)
 		if want.id = got.id; got != want {
 			t.Errorf("busy %v: answer %+v, want %+v", busy, got, want)
 		}
@@ -223,10 +223,10 @@
 
 // settle waits until the front has taken in what the core said: a hand-in's PUBACK comes
 // behind it.
-func (d *door) settle(t *testing.T, p *peer) {
+func (d *fakeCore) waitHandled(t *testing.T, p *testClient) {
 	t.Helper()
 	p.send(publish(1, 90, "settle"))
-	p.until(mqtt.PUBACK)
+	p.readUntil(mqtt.PUBACK)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.msgs = d.msgs[:len(d.msgs)-1]
@@ -234,13 +234,13 @@
 
 // A flow that is asked for again on the next connection is the hand-in that it was: it is
 // acknowledged, and the answer that was sent is its answer.
-func TestFlowAskedForAgainIsNoNewHandIn(t *testing.T) {
-	d := &door{}
+func TestRetransmittedFlowIsNotANewHandIn(t *testing.T) {
+	d := &fakeCore{}
 	addr := start(t, d, nil)
 	p, first := answered(t, d, addr, 1, ledger.Refused)
 	p = resume(t, p, addr, first)
 	p.send(publish(1, 1, "a", func(q *mqtt.Publish) { q.Dup = true }))
-	p.until(mqtt.PUBACK)
+	p.readUntil(mqtt.PUBACK)
 	p.acknowledge(1, first.id)
 	p.ping()
 	if n := d.count(); n != 1 {
@@ -252,46 +252,46 @@
 // whose identity it has handed in again.
 func TestUnacknowledgedAnswersAreBounded(t *testing.T) {
 	const bound = 3
-	d := &door{auto: true}
+	d := &fakeCore{autoAnswer: true}
 	p := dial(t, start(t, d, func(o *Options) { o.Pending = bound }))
 	p.connect("c", mqtt.Props{SessionExpiry: 60})
 	p.send(mqtt.AppendSubscribe(nil, mqtt.V5, 9, mqtt.Filter{Topic: "answers/c", QoS: 1}))
-	p.until(mqtt.SUBACK)
-	var last note
+	p.readUntil(mqtt.SUBACK)
+	var last receivedAnswer
 	for i := range bound {
 		p.send(publish(1, uint16(i+1), "a"))
-		p.until(mqtt.PUBACK)
-		last = p.note()
+		p.readUntil(mqtt.PUBACK)
+		last = p.readAnswer()
 	}
 	again := publish(1, 50, "a")
 	p.send(again)
-	if body := p.until(mqtt.PUBACK); len(body) < 3 || body[2] != mqtt.QuotaExceeded {
+	if body := p.readUntil(mqtt.PUBACK); len(body) < 3 || body[2] != mqtt.QuotaExceeded {
 		t.Fatalf("PUBACK %x past the bound", body)
 	}
 	p.acknowledge(1, last.id)
 	p.send(again)
-	if body := p.until(mqtt.PUBACK); len(body) > 2 && body[2] != mqtt.Success {
+	if body := p.readUntil(mqtt.PUBACK); len(body) > 2 && body[2] != mqtt.Success {
 		t.Fatalf("PUBACK %x below the bound", body)
 	}
-	p.note()
+	p.readAnswer()
 }
 
 // A message of QoS 0 that is handed in again while it is under way has no acknowledgement,
 // as the first had none.
-func TestQoS0HandedInAgain(t *testing.T) {
-	d := &door{}
+func TestRepeatOfQoS0IsNotAcknowledged(t *testing.T) {
+	d := &fakeCore{}
 	p := dial(t, start(t, d, nil))
 	p.connect("c", mqtt.Props{})
 	p.send(publish(0, 0, "a"))
-	d.settle(t, p)
+	d.waitHandled(t, p)
 	p.send(publish(0, 0, "a"))
 	p.ping()
 }
 
 // A client uses a packet id again for another message, which the relay does not read before
 // the connection breaks: asked for again, it is that message and not the earlier one.
-func TestPacketIDUsedAgain(t *testing.T) {
-	d := &door{}
+func TestPacketIDReusedForAnotherMessage(t *testing.T) {
+	d := &fakeCore{}
 	addr := start(t, d, nil)
 	p, first := answered(t, d, addr, 1, ledger.Delivered)
 	p.acknowledge(1, first.id)
@@ -300,7 +300,7 @@
 	p = dial(t, addr)
 	p.connect("c", mqtt.Props{SessionExpiry: 60})
 	p.send(publish(1, 1, "b", func(q *mqtt.Publish) { q.Dup = true }))
-	p.until(mqtt.PUBACK)
+	p.readUntil(mqtt.PUBACK)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if n := len(d.msgs); n != 2 || d.msgs[0].Identity == d.msgs[1].Identity {
--- a/internal/mqttfront/conn.go
+++ b/internal/mqttfront/conn.go
@@ -18,77 +18,77 @@
 
 // conn is one client's connection.
 type conn struct {
-	front   *Front
-	nb      *engine.Conn
-	sec     *secure.Conn // nil without TLS
-	out     io.Writer
-	named   string // by a verified client certificate
-	opened  time.Time
-	last    atomic.Int64 // unix ns of the last packet
-	since   atomic.Int64 // a half packet began; 0 for none
-	held    atomic.Int64 // bytes of it
-	ended   atomic.Bool
-	wmu     sync.Mutex  // held to write: nothing follows DISCONNECT (3.14)
-	polite  atomic.Bool // DISCONNECT came, the will is off
-	greeted atomic.Bool // a CONNACK of 5.0 is out
+	front         *Front
+	nb            *engine.Conn
+	sec           *secure.Conn // nil without TLS
+	out           io.Writer
+	certName      string // by a verified client certificate
+	opened        time.Time
+	last          atomic.Int64 // unix ns of the last packet
+	partialSince  atomic.Int64 // a half packet began; 0 for none
+	partialBytes  atomic.Int64 // bytes of it
+	ended         atomic.Bool
+	writeMu       sync.Mutex  // held to write: nothing follows DISCONNECT (3.14)
+	discardWill   atomic.Bool // DISCONNECT came, the will is off
+	canDisconnect atomic.Bool // a CONNACK of 5.0 is out
 
 	// Reading; under mu, which is held by whoever handles packets.
-	mu      sync.Mutex
-	buf     []byte
-	state   state
-	version byte
-	s       *session
-	keep    time.Duration // 0 for none
-	aliases map[uint16]string
+	mu        sync.Mutex
+	buf       []byte
+	state     state
+	version   byte
+	session   *session
+	keepAlive time.Duration // 0 for none
+	aliases   map[uint16]string
 
 	// Set at CONNECT, under the session's mu from then on.
-	window  int    // client's Receive Maximum
-	largest int    // client's Maximum Packet Size
-	problem bool   // reason strings are wanted
-	obuf    []byte // to write once the session is let go
-	dirty   bool
+	receiveMax      int    // client's Receive Maximum
+	clientMaxPacket int    // client's Maximum Packet Size
+	wantReason      bool   // reason strings are wanted
+	outQueue        []byte // to write once the session is let go
+	dirty           bool
 }
 
 type state int
 
 const (
-	fresh state = iota
-	checking
+	awaitingConnect state = iota
+	authenticating
 	connected
 )
 
 // later queues bytes until flush; under the session's mu.
-func (c *conn) later(b []byte) {
-	if c.largest > 0 && len(b) > c.largest {
+func (c *conn) enqueue(b []byte) {
+	if c.clientMaxPacket > 0 && len(b) > c.clientMaxPacket {
 		return // 3.1.2.11.4: as if it had been sent
 	}
-	c.obuf = append(c.obuf, b...)
+	c.outQueue = append(c.outQueue, b...)
 }
 
 // flush writes what later queued.
 func (c *conn) flush() {
-	c.s.mu.Lock()
-	c.write()
-	c.s.mu.Unlock()
+	c.session.mu.Lock()
+	c.writeQueued()
+	c.session.mu.Unlock()
 }
 
 // write is flush under the session's mu, for the order; it never blocks, and an
 // error closes the connection.
-func (c *conn) write() {
-	b := c.obuf
-	c.obuf, c.dirty = nil, false
+func (c *conn) writeQueued() {
+	b := c.outQueue
+	c.outQueue, c.dirty = nil, false
 	if len(b) == 0 {
 		return
 	}
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	if !c.ended.Load() {
 		_, _ = c.out.Write(b)
 	}
 }
 
 func (c *conn) reason(text string) string {
-	if !c.problem {
+	if !c.wantReason {
 		return ""
 	}
 	return text
@@ -97,15 +97,15 @@
 // end says why, where the version has a way to, and closes. It reports false for a
 // connection that has ended before.
 func (c *conn) end(code byte, reason string) bool {
-	c.wmu.Lock()
+	c.writeMu.Lock()
 	if c.ended.Swap(true) {
-		c.wmu.Unlock()
+		c.writeMu.Unlock()
 		return false
 	}
-	if c.greeted.Load() {
+	if c.canDisconnect.Load() {
 		_, _ = c.out.Write(mqtt.AppendDisconnect(nil, code, reason))
 	}
-	c.wmu.Unlock()
+	c.writeMu.Unlock()
 	c.front.opt.Observer.Closed(code)
 	if code == mqtt.QuotaExceeded { // its memory is wanted now
 		_ = c.nb.Close()
@@ -121,24 +121,24 @@
 		c.sec.Data(b)
 		return
 	}
-	c.plain(b)
+	c.handlePlaintext(b)
 }
 
 // ready goes on after the TLS handshake.
-func (c *conn) ready(s *secure.Conn, err error) func([]byte) {
+func (c *conn) handshakeDone(s *secure.Conn, err error) func([]byte) {
 	c.front.opt.Observer.Handshake(err)
 	if err != nil {
 		return nil
 	}
 	if certs := s.ConnectionState().PeerCertificates; len(certs) > 0 { // verified, or the handshake had failed
 		c.mu.Lock()
-		c.named = certs[0].Subject.CommonName
+		c.certName = certs[0].Subject.CommonName
 		c.mu.Unlock()
 	}
-	return c.plain
+	return c.handlePlaintext
 }
 
-func (c *conn) plain(b []byte) {
+func (c *conn) handlePlaintext(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.process(b)
@@ -146,17 +146,17 @@
 
 // process handles whole packets and keeps the rest; under mu.
 func (c *conn) process(b []byte) {
-	own := len(c.buf) > 0
-	if own {
+	buffered := len(c.buf) > 0
+	if buffered {
 		c.front.reserve(c, len(b))
 		c.buf = append(c.buf, b...)
 		b = c.buf
 	}
 	limit := c.front.max
 	if c.state != connected {
-		limit = min(limit, firstPacket)
+		limit = min(limit, maxBeforeConnack)
 	}
-	for !c.ended.Load() && c.state != checking {
+	for !c.ended.Load() && c.state != authenticating {
 		first, body, rest, ok, err := mqtt.Frame(b, limit)
 		if err != nil {
 			c.end(err.Code, err.Text)
@@ -166,9 +166,9 @@
 			break
 		}
 		c.last.Store(front.Now())
-		c.since.Store(0)
+		c.partialSince.Store(0)
 		b = rest
-		if err := c.packet(first, body); err != nil {
+		if err := c.handlePacket(first, body); err != nil {
 			c.refuse(err)
 			break
 		}
@@ -177,31 +177,31 @@
 	if c.ended.Load() {
 		b = nil
 	}
-	if c.state == checking && len(b) > firstPacket {
+	if c.state == authenticating && len(b) > maxBeforeConnack {
 		c.end(mqtt.QuotaExceeded, "too much sent before the CONNACK")
 		b = nil
 	}
-	if c.s != nil {
+	if c.session != nil {
 		c.flush()
 	}
 	switch {
 	case len(b) == 0:
 		c.buf = nil
-		c.since.Store(0)
-	case own:
+		c.partialSince.Store(0)
+	case buffered:
 		c.buf = b[:len(b):len(b)]
 	default:
 		c.buf = bytes.Clone(b)
 	}
-	if len(b) > 0 && c.since.Load() == 0 {
-		c.since.Store(front.Now())
+	if len(b) > 0 && c.partialSince.Load() == 0 {
+		c.partialSince.Store(front.Now())
 	}
-	c.front.reserve(c, len(b)-int(c.held.Load()))
+	c.front.reserve(c, len(b)-int(c.partialBytes.Load()))
 }
 
 // refuse ends the connection for a fault, within CONNACK if none was sent.
 func (c *conn) refuse(err *mqtt.Error) {
-	if c.s != nil || c.ended.Load() {
+	if c.session != nil || c.ended.Load() {
 		c.end(err.Code, err.Text)
 		return
 	}
@@ -232,14 +232,14 @@
 }
 
 // overdue ends a connection whose time for something is over.
-func (c *conn) overdue(now time.Time) {
+func (c *conn) checkTimeouts(now time.Time) {
 	wait := c.front.opt.Handshake
-	if since := c.since.Load(); since != 0 && front.Nanos(now)-since > int64(wait) {
+	if since := c.partialSince.Load(); since != 0 && front.Nanos(now)-since > int64(wait) {
 		c.end(mqtt.ProtocolError, "packet was not finished in time")
 		return
 	}
 	c.mu.Lock()
-	st, keep := c.state, c.keep
+	st, keep := c.state, c.keepAlive
 	c.mu.Unlock()
 	switch {
 	case st != connected && now.Sub(c.opened) > wait:
@@ -260,9 +260,9 @@
 	f.mu.Unlock()
 	c.mu.Lock()
 	c.ended.Store(true)
-	s := c.s
+	s := c.session
 	c.buf = nil
-	f.reserve(c, -int(c.held.Load()))
+	f.reserve(c, -int(c.partialBytes.Load()))
 	c.mu.Unlock()
 	if s == nil {
 		return
@@ -272,22 +272,22 @@
 		s.mu.Unlock()
 		return
 	}
-	s.conn, s.away, s.open = nil, time.Now(), 0
-	if c.polite.Load() {
+	s.conn, s.disconnectedAt, s.inFlight = nil, time.Now(), 0
+	if c.discardWill.Load() {
 		s.will = nil
 	}
 	if s.will != nil {
-		s.willAt = s.away.Add(time.Duration(s.will.Props.WillDelay) * time.Second)
+		s.willAt = s.disconnectedAt.Add(time.Duration(s.will.Props.WillDelay) * time.Second)
 	}
-	s.due()
+	s.scheduleExpiry()
 	s.mu.Unlock()
 	f.expire(s, time.Now())
 }
 
 // packet handles one packet.
-func (c *conn) packet(first byte, body []byte) *mqtt.Error {
+func (c *conn) handlePacket(first byte, body []byte) *mqtt.Error {
 	kind := first >> 4
-	if c.state == fresh {
+	if c.state == awaitingConnect {
 		if kind != mqtt.CONNECT {
 			return &mqtt.Error{Code: mqtt.ProtocolError, Text: "first packet is no CONNECT"}
 		}
@@ -301,20 +301,20 @@
 		if err != nil {
 			return err
 		}
-		c.s.mu.Lock()
-		c.s.acked(a)
-		c.s.mu.Unlock()
+		c.session.mu.Lock()
+		c.session.handleAck(a)
+		c.session.mu.Unlock()
 	case mqtt.PUBREL:
-		return c.release(first, body)
+		return c.handlePubrel(first, body)
 	case mqtt.SUBSCRIBE, mqtt.UNSUBSCRIBE:
 		return c.subscribe(first, body)
 	case mqtt.PINGREQ:
 		if first&0x0f != 0 || len(body) > 0 {
 			return &mqtt.Error{Code: mqtt.MalformedPacket, Text: "PINGREQ with flags or content"}
 		}
-		c.s.mu.Lock()
-		c.later(mqtt.AppendEmpty(nil, mqtt.PINGRESP))
-		c.s.mu.Unlock()
+		c.session.mu.Lock()
+		c.enqueue(mqtt.AppendEmpty(nil, mqtt.PINGRESP))
+		c.session.mu.Unlock()
 	case mqtt.DISCONNECT:
 		return c.disconnect(first, body)
 	case mqtt.AUTH:
@@ -330,24 +330,24 @@
 	if err != nil {
 		return err
 	}
-	s := c.s
+	s := c.session
 	s.mu.Lock()
 	if d.Props.HasSessionExpiry() {
 		if s.expiry == 0 && d.Props.SessionExpiry != 0 {
 			s.mu.Unlock()
 			return &mqtt.Error{Code: mqtt.ProtocolError, Text: "session expiry was 0 and stays so"}
 		}
-		s.expiry = c.front.expiry(d.Props.SessionExpiry)
-		s.keep()
+		s.expiry = c.front.boundedExpiry(d.Props.SessionExpiry)
+		s.persist()
 	}
 	s.mu.Unlock()
-	c.polite.Store(d.Code != mqtt.DisconnectWithWill)
+	c.discardWill.Store(d.Code != mqtt.DisconnectWithWill)
 	c.ended.Store(true)
 	c.nb.Finish(front.Farewell)
 	return nil
 }
 
-func (f *Front) expiry(seconds uint32) time.Duration {
+func (f *Front) boundedExpiry(seconds uint32) time.Duration {
 	return min(time.Duration(seconds)*time.Second, f.opt.SessionExpiry)
 }
 
@@ -388,8 +388,8 @@
 		w.Payload = bytes.Clone(w.Payload) // it outlives the packet
 		w.Props.Correlation = bytes.Clone(w.Props.Correlation)
 	}
-	if c.named != "" { // its certificate is its user name, and stands for the password
-		in.User = c.named
+	if c.certName != "" { // its certificate is its user name, and stands for the password
+		in.User = c.certName
 		return c.admit(in)
 	}
 	if len(c.front.opt.Users) == 0 {
@@ -398,12 +398,12 @@
 	if !in.HasUser {
 		return &mqtt.Error{Code: mqtt.BadUserOrPassword, Text: "user name and password are needed"}
 	}
-	if ok, _ := c.front.auth.quick(in.User, in.Password); ok {
+	if ok, _ := c.front.auth.checkCached(in.User, in.Password); ok {
 		return c.admit(in)
 	}
 	in.Password = bytes.Clone(in.Password)
 	in.Props.Correlation = nil
-	c.state = checking
+	c.state = authenticating
 	go func() {
 		ok, err := c.front.auth.check(in.User, in.Password)
 		c.mu.Lock()
@@ -411,7 +411,7 @@
 		if c.ended.Load() {
 			return
 		}
-		c.state = fresh
+		c.state = awaitingConnect
 		var fail *mqtt.Error
 		switch {
 		case err != nil:
@@ -444,7 +444,7 @@
 	expiry := time.Duration(0)
 	switch {
 	case in.Version == mqtt.V5:
-		expiry = f.expiry(in.Props.SessionExpiry)
+		expiry = f.boundedExpiry(in.Props.SessionExpiry)
 		if time.Duration(in.Props.SessionExpiry)*time.Second != expiry {
 			ack.SessionExpiry = uint32(expiry / time.Second)
 		}
@@ -471,37 +471,37 @@
 	if s != nil {
 		s.mu.Lock()
 		before, will = s.conn, s.will
-		if s.conn == nil && !time.Now().Before(s.away.Add(s.expiry)) || in.Clean {
-			s.dead, s.conn = true, nil
-			s.due()
+		if s.conn == nil && !time.Now().Before(s.disconnectedAt.Add(s.expiry)) || in.Clean {
+			s.removed, s.conn = true, nil
+			s.scheduleExpiry()
 			s.mu.Unlock()
 			s = nil
 		}
 	}
 	present := s != nil
 	if s == nil {
-		s = &session{id: in.ClientID, user: in.User, born: time.Now().UnixNano(), front: f, subs: map[string]byte{}, newest: map[string]*pending{}}
+		s = &session{id: in.ClientID, user: in.User, createdAt: time.Now().UnixNano(), front: f, subs: map[string]byte{}, newest: map[string]*pending{}}
 		f.sessions[in.ClientID] = s
 		s.mu.Lock()
 	}
 	s.conn, s.version, s.expiry, s.will = c, in.Version, expiry, in.Will
 	s.epoch++
-	s.open = len(s.rel)
-	for _, fl := range s.rel {
+	s.inFlight = len(s.qos2Flows)
+	for _, fl := range s.qos2Flows {
 		fl.epoch = s.epoch
 	}
-	c.s, c.state, c.keep = s, connected, keep
-	c.window, c.largest, c.problem = 65535, 0, true
+	c.session, c.state, c.keepAlive = s, connected, keep
+	c.receiveMax, c.clientMaxPacket, c.wantReason = 65535, 0, true
 	if in.Props.HasReceiveMaximum() {
-		c.window = int(in.Props.ReceiveMaximum)
+		c.receiveMax = int(in.Props.ReceiveMaximum)
 	}
 	if in.Props.HasMaximumPacket() {
-		c.largest = int(in.Props.MaximumPacket)
+		c.clientMaxPacket = int(in.Props.MaximumPacket)
 	}
 	if in.Props.HasRequestProblem() {
-		c.problem = in.Props.RequestProblem == 1
+		c.wantReason = in.Props.RequestProblem == 1
 	}
-	s.due()
+	s.scheduleExpiry()
 	ack.AssignedID = in.Props.AssignedID
 	ack.ReceiveMaximum = uint16(f.opt.ReceiveMaximum)
 	ack.AliasMaximum = uint16(f.opt.TopicAliases)
@@ -509,11 +509,11 @@
 	if in.Props.RequestResponse == 1 {
 		ack.ResponseInfo = answersTopic(s.id)
 	}
-	s.keep()
-	c.later(mqtt.AppendConnack(nil, c.version, present, mqtt.Success, &ack))
-	s.resume()
-	c.write()
-	c.greeted.Store(c.version == mqtt.V5)
+	s.persist()
+	c.enqueue(mqtt.AppendConnack(nil, c.version, present, mqtt.Success, &ack))
+	s.resendUnacked()
+	c.writeQueued()
+	c.canDisconnect.Store(c.version == mqtt.V5)
 	s.mu.Unlock()
 	f.mu.Unlock()
 	if before != nil {
@@ -560,7 +560,7 @@
 	if len(p.Payload) > c.front.opt.Body {
 		return &mqtt.Error{Code: mqtt.PacketTooLarge, Text: "payload is over the limit"}
 	}
-	return c.s.publish(c, &p)
+	return c.session.publish(c, &p)
 }
 
 // subscribe handles SUBSCRIBE and UNSUBSCRIBE.
@@ -572,7 +572,7 @@
 	if in.Props.SubscriptionID != 0 {
 		return &mqtt.Error{Code: mqtt.SubIDsNotSupported, Text: "subscription identifiers are not offered"}
 	}
-	s := c.s
+	s := c.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	codes := make([]byte, 0, len(in.Filters))
@@ -594,7 +594,7 @@
 			code = mqtt.WildcardNotSupported
 		case strings.HasPrefix(f.Topic, "send/") || strings.HasPrefix(f.Topic, "$"):
 			code = mqtt.NotAuthorized
-		case !there && len(s.subs) >= mostSubscriptions:
+		case !there && len(s.subs) >= maxSubscriptions:
 			code = mqtt.QuotaExceeded
 		default:
 			s.subs[f.Topic] = f.QoS
@@ -608,8 +608,8 @@
 	if first>>4 == mqtt.UNSUBSCRIBE {
 		kind = mqtt.UNSUBACK
 	}
-	c.later(mqtt.AppendSuback(nil, c.version, kind, in.ID, codes))
-	s.keep()
-	s.pump()
+	c.enqueue(mqtt.AppendSuback(nil, c.version, kind, in.ID, codes))
+	s.persist()
+	s.sendAnswers()
 	return nil
 }
--- a/internal/mqttfront/front.go
+++ b/internal/mqttfront/front.go
@@ -72,7 +72,7 @@
 	max       int // bytes of a packet
 	addrs     []string
 	listeners []*front.Listeners
-	born      int64 // tells serial numbers of this run from those of earlier ones
+	startedAt int64 // tells serial numbers of this run from those of earlier ones
 
 	mu       sync.Mutex
 	sessions map[string]*session
@@ -80,27 +80,27 @@
 	stopping bool
 	draining atomic.Bool
 
-	partial atomic.Int64 // bytes of half packets held
-	stop    chan struct{}
-	done    sync.WaitGroup
-	out     *front.Outbox[*pending]
-	auth    authenticator
+	partialTotal atomic.Int64 // bytes of half packets held
+	stop         chan struct{}
+	goroutines   sync.WaitGroup
+	outbox       *front.Outbox[*pending]
+	auth         authenticator
 }
 
 // most subscriptions and most bytes before CONNECT of one client.
 const (
-	mostSubscriptions = 64
-	firstPacket       = 64 << 10
-	overhead          = 8 << 10 // of a packet beside its payload
-	mostAuthWaiting   = 256
+	maxSubscriptions = 64
+	maxBeforeConnack = 64 << 10
+	packetOverhead   = 8 << 10 // of a packet beside its payload
+	maxAuthWaiting   = 256
 )
 
 // New opens the listeners.
 func New(opt Options) (*Front, error) {
-	f := &Front{opt: opt, max: opt.Body + overhead, born: time.Now().UnixNano(), sessions: map[string]*session{}, conns: map[*conn]struct{}{},
+	f := &Front{opt: opt, max: opt.Body + packetOverhead, startedAt: time.Now().UnixNano(), sessions: map[string]*session{}, conns: map[*conn]struct{}{},
 		stop: make(chan struct{})}
-	f.out = front.NewOutbox[*pending]()
-	f.auth = authenticator{users: opt.Users, slots: make(chan struct{}, 2), known: map[string][32]byte{}}
+	f.outbox = front.NewOutbox[*pending]()
+	f.auth = authenticator{users: opt.Users, slots: make(chan struct{}, 2), verified: map[string][32]byte{}}
 	if _, err := rand.Read(f.auth.salt[:]); err != nil {
 		return nil, fmt.Errorf("mqtt: %w", err)
 	}
@@ -130,9 +130,9 @@
 			f.addrs = l.Addrs
 		}
 	}
-	f.done.Add(2)
-	go f.write()
-	go f.janitor()
+	f.goroutines.Add(2)
+	go f.writeLoop()
+	go f.expiryLoop()
 	return f, nil
 }
 
@@ -154,7 +154,7 @@
 	}
 	for _, s := range sessions {
 		s.mu.Lock()
-		s.dismiss()
+		s.disconnectIfDrained()
 		s.mu.Unlock()
 	}
 }
@@ -170,7 +170,7 @@
 	}
 	f.mu.Unlock()
 	close(f.stop)
-	f.done.Wait()
+	f.goroutines.Wait()
 	for _, c := range conns {
 		c.end(mqtt.ServerShuttingDown, "relay stops")
 	}
@@ -195,15 +195,15 @@
 		return nil
 	}
 	if secured {
-		c.sec = secure.Server(nb, f.opt.TLS, f.opt.Slots, f.opt.Handshake, c.ready)
+		c.sec = secure.Server(nb, f.opt.TLS, f.opt.Slots, f.opt.Handshake, c.handshakeDone)
 		c.out = c.sec
 	}
 	return c
 }
 
 // janitor looks after everything that ends by time.
-func (f *Front) janitor() {
-	defer f.done.Done()
+func (f *Front) expiryLoop() {
+	defer f.goroutines.Done()
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -220,14 +220,14 @@
 		}
 		sessions := make([]*session, 0, 16)
 		for _, s := range f.sessions {
-			if s.dueAt.Load() <= front.Nanos(now) {
+			if s.nextExpiry.Load() <= front.Nanos(now) {
 				sessions = append(sessions, s)
 			}
 		}
-		f.opt.Observer.Front(len(f.conns), len(f.sessions), f.partial.Load())
+		f.opt.Observer.Front(len(f.conns), len(f.sessions), f.partialTotal.Load())
 		f.mu.Unlock()
 		for _, c := range conns {
-			c.overdue(now)
+			c.checkTimeouts(now)
 		}
 		for _, s := range sessions {
 			f.expire(s, now)
@@ -244,7 +244,7 @@
 		f.mu.Unlock()
 		return
 	}
-	over := !now.Before(s.away.Add(s.expiry))
+	over := !now.Before(s.disconnectedAt.Add(s.expiry))
 	will := s.will
 	if will != nil && !over && now.Before(s.willAt) {
 		will = nil
@@ -254,10 +254,10 @@
 	}
 	if over && f.sessions[s.id] == s {
 		delete(f.sessions, s.id)
-		s.dead = true
-		s.keep()
+		s.removed = true
+		s.persist()
 	}
-	s.due()
+	s.scheduleExpiry()
 	s.mu.Unlock()
 	f.mu.Unlock()
 	if will != nil {
@@ -268,28 +268,28 @@
 // reserve accounts for bytes of half packets. At the bound the connection that
 // holds most of them is closed.
 func (f *Front) reserve(c *conn, n int) {
-	c.held.Add(int64(n))
-	if f.partial.Add(int64(n)) <= f.opt.Partial || n <= 0 {
+	c.partialBytes.Add(int64(n))
+	if f.partialTotal.Add(int64(n)) <= f.opt.Partial || n <= 0 {
 		return
 	}
 	for {
-		most := f.holdsMost()
+		most := f.largestPartial()
 		if most == nil {
 			return
 		}
 		if most.end(mqtt.QuotaExceeded, "half packets hold too much memory") {
-			f.partial.Add(-most.held.Swap(0)) // not again for the next one
+			f.partialTotal.Add(-most.partialBytes.Swap(0)) // not again for the next one
 			return
 		}
 	}
 }
 
 // holdsMost is the connection that holds most of half packets, among those that have not ended.
-func (f *Front) holdsMost() (most *conn) {
+func (f *Front) largestPartial() (most *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for o := range f.conns {
-		if !o.ended.Load() && (most == nil || o.held.Load() > most.held.Load()) {
+		if !o.ended.Load() && (most == nil || o.partialBytes.Load() > most.partialBytes.Load()) {
 			most = o
 		}
 	}
@@ -297,19 +297,19 @@
 }
 
 // write tells clients what the core said, each connection in one write.
-func (f *Front) write() {
-	defer f.done.Done()
+func (f *Front) writeLoop() {
+	defer f.goroutines.Done()
 	var dirty []*conn
-	f.out.Run(f.stop, func(list []front.Said[*pending]) {
+	f.outbox.Run(f.stop, func(list []front.Said[*pending]) {
 		for _, said := range list {
-			s := said.To.s
+			s := said.To.session
 			s.mu.Lock()
 			if said.Answer.Verdict != 0 {
-				s.answered(said.To, said.Answer)
+				s.queueAnswer(said.To, said.Answer)
 			} else {
-				s.taken(said.To, said.Err)
+				s.handleAccepted(said.To, said.Err)
 			}
-			if c := s.conn; c != nil && len(c.obuf) > 0 && !c.dirty {
+			if c := s.conn; c != nil && len(c.outQueue) > 0 && !c.dirty {
 				c.dirty = true
 				dirty = append(dirty, c)
 			}
@@ -326,29 +326,29 @@
 // authenticator checks passwords on goroutines of its own, two at a time; a password
 // that was right is remembered by a salted hash, so that reconnects are cheap.
 type authenticator struct {
-	users   map[string]string // bcrypt by name; none: anyone
-	slots   chan struct{}
-	waiting atomic.Int32
-	salt    [32]byte
-	mu      sync.Mutex
-	known   map[string][32]byte // at most one for each user
+	users    map[string]string // bcrypt by name; none: anyone
+	slots    chan struct{}
+	waiting  atomic.Int32
+	salt     [32]byte
+	mu       sync.Mutex
+	verified map[string][32]byte // at most one for each user
 }
 
 var errBusy = errors.New("mqtt: too many connections wait for their password check")
 
-func (a *authenticator) quick(user string, password []byte) (ok, sure bool) {
+func (a *authenticator) checkCached(user string, password []byte) (ok, sure bool) {
 	hash, exists := a.users[user]
 	if !exists || hash == "" {
 		return false, false
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	known, there := a.known[user]
-	sum := a.sum(user, password)
+	known, there := a.verified[user]
+	sum := a.digest(user, password)
 	return there && subtle.ConstantTimeCompare(known[:], sum[:]) == 1, there
 }
 
-func (a *authenticator) sum(user string, password []byte) [32]byte {
+func (a *authenticator) digest(user string, password []byte) [32]byte {
 	h := sha256.New()
 	h.Write(a.salt[:])
 	fmt.Fprintf(h, "%d:%s", len(user), user)
@@ -358,7 +358,7 @@
 
 // check blocks for as long as bcrypt takes. An unknown user costs the same.
 func (a *authenticator) check(user string, password []byte) (bool, error) {
-	if a.waiting.Add(1) > mostAuthWaiting {
+	if a.waiting.Add(1) > maxAuthWaiting {
 		a.waiting.Add(-1)
 		return false, errBusy
 	}
@@ -375,7 +375,7 @@
 		return false, nil
 	}
 	a.mu.Lock()
-	a.known[user] = a.sum(user, password)
+	a.verified[user] = a.digest(user, password)
 	a.mu.Unlock()
 	return true, nil
 }
--- a/internal/mqttfront/front_test.go
+++ b/internal/mqttfront/front_test.go
@@ -19,14 +19,14 @@
 )
 
 // door takes everything and answers when told to.
-type door struct {
-	mu   sync.Mutex
-	msgs []*core.Message
-	busy bool
-	auto bool
+type fakeCore struct {
+	mu         sync.Mutex
+	msgs       []*core.Message
+	busy       bool
+	autoAnswer bool
 }
 
-func (d *door) Submit(m *core.Message) error {
+func (d *fakeCore) Submit(m *core.Message) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.busy {
@@ -34,33 +34,33 @@
 	}
 	d.msgs = append(d.msgs, m)
 	m.Reply.Taken(nil)
-	if d.auto {
+	if d.autoAnswer {
 		m.Reply.Answer(ledger.Answer{Verdict: ledger.Delivered})
 	}
 	return nil
 }
 
-func (d *door) Withdraw(string) {}
+func (d *fakeCore) Withdraw(string) {}
 
-func (d *door) count() int {
+func (d *fakeCore) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.msgs)
 }
 
-type deaf struct{}
+type nopObserver struct{}
 
-func (deaf) Front(int, int, int64) {}
-func (deaf) Closed(byte)           {}
-func (deaf) NotTaken(string)       {}
-func (deaf) Handshake(error)       {}
-func (deaf) Logf(string, ...any)   {}
+func (nopObserver) Front(int, int, int64) {}
+func (nopObserver) Closed(byte)           {}
+func (nopObserver) NotTaken(string)       {}
+func (nopObserver) Handshake(error)       {}
+func (nopObserver) Logf(string, ...any)   {}
 
-func start(t *testing.T, d *door, change func(*Options)) string {
+func start(t *testing.T, d *fakeCore, change func(*Options)) string {
 	t.Helper()
 	o := Options{Listen: []string{"127.0.0.1:0"}, Body: 4096, Connections: 100, Sessions: 100, ReceiveMaximum: 4,
 		TopicAliases: 2, Pending: 8, Partial: 64 << 10, SessionExpiry: time.Minute, KeepAlive: time.Minute,
-		Handshake: 10 * time.Second, WriteBuffer: 32 << 10, Door: d, Observer: deaf{},
+		Handshake: 10 * time.Second, WriteBuffer: 32 << 10, Door: d, Observer: nopObserver{},
 		Names: front.Names{Classes: map[string]int{"status": 0}, Partners: map[string]int{"p": 0},
 			Lives: []time.Duration{time.Minute}}}
 	if change != nil {
@@ -75,13 +75,13 @@
 }
 
 // peer is a client that says what the test wants.
-type peer struct {
+type testClient struct {
 	t    *testing.T
 	conn net.Conn
 	buf  []byte
 }
 
-func dial(t *testing.T, addr string) *peer {
+func dial(t *testing.T, addr string) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -89,13 +89,13 @@
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-	return &peer{t: t, conn: c}
+	return &testClient{t: t, conn: c}
 }
 
-func (p *peer) send(b []byte) { _, _ = p.conn.Write(b) }
+func (p *testClient) send(b []byte) { _, _ = p.conn.Write(b) }
 
 // next is the next packet; type 0 at the end of the connection.
-func (p *peer) next() (kind byte, body []byte) {
+func (p *testClient) next() (kind byte, body []byte) {
 	p.t.Helper()
 	for {
 		first, body, rest, ok, err := mqtt.Frame(p.buf, 1<<20)
@@ -123,7 +123,7 @@
 	return mqtt.AppendConnect(nil, &mqtt.Connect{Version: mqtt.V5, ClientID: id, Props: props})
 }
 
-func (p *peer) connect(id string, props mqtt.Props) mqtt.Connack {
+func (p *testClient) connect(id string, props mqtt.Props) mqtt.Connack {
 	p.t.Helper()
 	p.send(connect(id, props))
 	kind, body := p.next()
@@ -147,8 +147,8 @@
 
 // What the standard forbids and what is not offered: the standard's code,
 // then the connection is closed.
-func TestForbidden(t *testing.T) {
-	addr := start(t, &door{}, nil)
+func TestProtocolViolationsCloseTheConnection(t *testing.T) {
+	addr := start(t, &fakeCore{}, nil)
 	many := []byte{}
 	for i := range 9 {
 		many = append(many, publish(2, uint16(i+1), "")...)
@@ -199,12 +199,12 @@
 }
 
 // Refusals at CONNECT, each with the code of its version.
-func TestConnectRefused(t *testing.T) {
+func TestConnectRefusedWithTheCodeOfItsVersion(t *testing.T) {
 	hash, err := bcrypt.GenerateFromPassword([]byte("secret"), bcrypt.MinCost)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := start(t, &door{}, func(o *Options) { o.Users = map[string]string{"u": string(hash)} })
+	addr := start(t, &fakeCore{}, func(o *Options) { o.Users = map[string]string{"u": string(hash)} })
 	con := func(v byte, change func(*mqtt.Connect)) []byte {
 		c := &mqtt.Connect{Version: v, ClientID: "c", Clean: true, HasUser: true, User: "u", Password: []byte("secret")}
 		if change != nil {
@@ -240,8 +240,8 @@
 }
 
 // What a broker would offer is announced as missing and refused by code.
-func TestSubscriptions(t *testing.T) {
-	p := dial(t, start(t, &door{}, nil))
+func TestUnsupportedFeaturesAreAnnouncedAndRefused(t *testing.T) {
+	p := dial(t, start(t, &fakeCore{}, nil))
 	a := p.connect("c", mqtt.Props{RequestResponse: 1})
 	if a.Props.RetainAvailable != 0 || a.Props.Wildcard != 0 || a.Props.Shared != 0 || a.Props.SubIDs != 0 ||
 		a.Props.ResponseInfo != "answers/c" || a.Props.ReceiveMaximum != 4 {
@@ -263,7 +263,7 @@
 // An answer of QoS 2 goes its four steps, resumes where it was, and counts
 // against the client's Receive Maximum.
 func TestAnswersResume(t *testing.T) {
-	d := &door{auto: true}
+	d := &fakeCore{autoAnswer: true}
 	addr := start(t, d, nil)
 	props := mqtt.Props{SessionExpiry: 60, ReceiveMaximum: 1}
 	p := dial(t, addr)
@@ -310,8 +310,8 @@
 }
 
 // A session is owed only so many answers; a busy core takes nothing.
-func TestNotTaken(t *testing.T) {
-	d := &door{}
+func TestPendingLimitAndBusyCoreReject(t *testing.T) {
+	d := &fakeCore{}
 	addr := start(t, d, func(o *Options) { o.ReceiveMaximum = 100 })
 	p := dial(t, addr)
 	p.connect("c", mqtt.Props{SessionExpiry: 60})
@@ -335,8 +335,8 @@
 
 // Half packets of many connections stay within their memory, and a client
 // that does not read its answers loses its connection; others go on.
-func TestHostileClients(t *testing.T) {
-	d := &door{}
+func TestPartialPacketsAndSlowReaderAreBounded(t *testing.T) {
+	d := &fakeCore{}
 	addr := start(t, d, func(o *Options) {
 		o.Pending, o.ReceiveMaximum, o.Body, o.Partial = 60000, 65535, 64<<10, 256<<10
 	})
@@ -365,7 +365,7 @@
 	topic := fmt.Sprintf("answers/%0500d", 0)
 	slow.send(mqtt.AppendSubscribe(nil, mqtt.V5, 1, mqtt.Filter{Topic: topic}))
 	d.mu.Lock()
-	d.auto = true
+	d.autoAnswer = true
 	d.mu.Unlock()
 	before := d.count()
 	_ = slow.conn.SetWriteDeadline(time.Now().Add(10 * time.Second))
@@ -389,7 +389,7 @@
 // Nothing comes within one and a half keep-alive times, or a packet is not
 // finished: closed. The will is handed in then, and not after a goodbye.
 func TestKeepAliveAndWill(t *testing.T) {
-	d := &door{}
+	d := &fakeCore{}
 	addr := start(t, d, func(o *Options) { o.Handshake = 300 * time.Millisecond })
 	will := func(id string) []byte {
 		b := mqtt.AppendConnect(nil, &mqtt.Connect{Version: mqtt.V5, ClientID: id, KeepAlive: 1, Clean: true})
--- a/internal/mqttfront/handin.go
+++ b/internal/mqttfront/handin.go
@@ -22,45 +22,45 @@
 	fl := &flow{id: p.ID, qos: p.QoS, epoch: s.epoch}
 	switch p.QoS {
 	case 1:
-		if old := s.flows[p.ID]; s.repeats(p, old) {
+		if old := s.qos1Flows[p.ID]; s.isRetransmission(p, old) {
 			fl = old
-			if old.epoch == s.epoch && !old.taken {
+			if old.epoch == s.epoch && !old.accepted {
 				return nil // its acknowledgement is on the way
 			}
 		}
 	case 2:
-		if old := s.before[p.ID]; s.repeats(p, old) { // of an earlier run
+		if old := s.restoredQoS2[p.ID]; s.isRetransmission(p, old) { // of an earlier run
 			old.epoch = s.epoch
-			s.rel, s.open = orNew(s.rel), s.open+1
-			s.rel[p.ID] = old
+			s.qos2Flows, s.inFlight = orNewMap(s.qos2Flows), s.inFlight+1
+			s.qos2Flows[p.ID] = old
 		}
-		delete(s.before, p.ID)
-		if old := s.rel[p.ID]; old != nil {
-			if old.epoch = s.epoch; old.taken {
-				c.later(mqtt.AppendAck(nil, s.version, mqtt.PUBREC, p.ID, mqtt.Success, ""))
+		delete(s.restoredQoS2, p.ID)
+		if old := s.qos2Flows[p.ID]; old != nil {
+			if old.epoch = s.epoch; old.accepted {
+				c.enqueue(mqtt.AppendAck(nil, s.version, mqtt.PUBREC, p.ID, mqtt.Success, ""))
 			}
 			return nil
 		}
 	}
 	if p.QoS > 0 {
 		fl.epoch = s.epoch
-		if s.open++; s.open > s.front.opt.ReceiveMaximum {
+		if s.inFlight++; s.inFlight > s.front.opt.ReceiveMaximum {
 			return &mqtt.Error{Code: mqtt.ReceiveMaxExceeded, Text: "more publishes than the Receive Maximum"}
 		}
 		if p.QoS == 1 {
-			s.remember(fl)
+			s.rememberFlow(fl)
 		} else {
-			if s.rel == nil {
-				s.rel = map[uint16]*flow{}
+			if s.qos2Flows == nil {
+				s.qos2Flows = map[uint16]*flow{}
 			}
-			s.rel[p.ID] = fl
+			s.qos2Flows[p.ID] = fl
 		}
 	}
 	s.handIn(p, fl)
 	return nil
 }
 
-func orNew(m map[uint16]*flow) map[uint16]*flow {
+func orNewMap(m map[uint16]*flow) map[uint16]*flow {
 	if m == nil {
 		return map[uint16]*flow{}
 	}
@@ -69,15 +69,15 @@
 
 // repeats tells whether a PUBLISH asks for a flow again. Its packet id may have been used
 // by an earlier flow, and the one that it repeats may not have arrived.
-func (s *session) repeats(p *mqtt.Publish, old *flow) bool {
+func (s *session) isRetransmission(p *mqtt.Publish, old *flow) bool {
 	if old == nil || !p.Dup {
 		return false
 	}
-	return !p.Props.HasCorrelation() || old.identity == s.named(p)
+	return !p.Props.HasCorrelation() || old.identity == s.correlationIdentity(p)
 }
 
 // named is the identity of a PUBLISH with Correlation Data.
-func (s *session) named(p *mqtt.Publish) string {
+func (s *session) correlationIdentity(p *mqtt.Publish) string {
 	return front.Identity('c', s.user, s.id, string(p.Props.Correlation))
 }
 
@@ -86,49 +86,49 @@
 	f := s.front
 	class, partner, err := f.route(p.Topic)
 	if err != nil {
-		s.nack(fl, err)
+		s.reject(fl, err)
 		return
 	}
 	known := fl.identity != ""
 	kept := s.expiry > 0 && fl.qos > 0
 	if !known {
 		if p.Props.HasCorrelation() {
-			fl.identity = s.named(p)
+			fl.identity = s.correlationIdentity(p)
 		} else {
 			s.serial++
-			fl.identity = front.Identity('f', s.user, s.id, fmt.Sprint(f.born), fmt.Sprint(s.serial))
+			fl.identity = front.Identity('f', s.user, s.id, fmt.Sprint(f.startedAt), fmt.Sprint(s.serial))
 		}
 	}
 	// A hand-in joins one that is under way; a flow that is asked for again stands for the
 	// hand-in that it was. Any other comes after an answer and is owed one of its own: the
 	// same again or, after a refusal's time, that of a new try.
 	if old := s.newest[fl.identity]; old != nil && (old.answer.Verdict == 0 || known) {
-		if old.taken {
-			s.ack(fl)
-		} else if !slices.Contains(old.acks, fl) {
-			old.acks = append(old.acks, fl)
+		if old.accepted {
+			s.sendAck(fl)
+		} else if !slices.Contains(old.waitingFlows, fl) {
+			old.waitingFlows = append(old.waitingFlows, fl)
 		}
 		return
 	}
-	if s.owed >= f.opt.Pending {
-		s.nack(fl, front.ErrPending)
+	if s.unfinished >= f.opt.Pending {
+		s.reject(fl, front.ErrPending)
 		return
 	}
-	opened := &pending{s: s, identity: fl.identity, topic: p.Props.ResponseTopic, packet: p.ID}
+	opened := &pending{session: s, identity: fl.identity, topic: p.Props.ResponseTopic, packetID: p.ID}
 	if opened.topic == "" {
 		opened.topic = answersTopic(s.id)
 	}
 	if p.Props.HasCorrelation() {
-		opened.corr = bytes.Clone(p.Props.Correlation)
-		if opened.corr == nil {
-			opened.corr = []byte{}
+		opened.correlation = bytes.Clone(p.Props.Correlation)
+		if opened.correlation == nil {
+			opened.correlation = []byte{}
 		}
 	}
 	if fl.qos > 0 {
-		opened.acks = []*flow{fl}
+		opened.waitingFlows = []*flow{fl}
 	}
 	m := &core.Message{Source: s.id, Class: class, Partner: partner, Key: p.Props.Get("key"), Left: f.opt.Names.Lives[class],
-		Body: bytes.Clone(p.Payload), Reply: front.Reply[*pending]{Box: f.out, To: opened}}
+		Body: bytes.Clone(p.Payload), Reply: front.Reply[*pending]{Box: f.outbox, To: opened}}
 	if p.Props.HasMessageExpiry() {
 		m.Left = min(m.Left, time.Duration(p.Props.MessageExpiry)*time.Second)
 	}
@@ -136,12 +136,12 @@
 		m.Identity = fl.identity
 	}
 	if f.opt.Keeper != nil {
-		m.Front, m.Way = Name, opened.way(fl.qos)
+		m.Front, m.Way = Name, opened.returnPath(fl.qos)
 	}
-	s.expect(opened)
+	s.addPending(opened)
 	if err := f.opt.Door.Submit(m); err != nil {
-		s.turnAway(opened)
-		s.nack(fl, err)
+		s.removeRejected(opened)
+		s.reject(fl, err)
 	}
 }
 
@@ -154,21 +154,21 @@
 }
 
 // release handles PUBREL.
-func (c *conn) release(first byte, body []byte) *mqtt.Error {
+func (c *conn) handlePubrel(first byte, body []byte) *mqtt.Error {
 	a, err := mqtt.ParseAck(c.version, first, body)
 	if err != nil {
 		return err
 	}
-	s := c.s
+	s := c.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	code := byte(mqtt.PacketIDNotFound)
-	if fl := s.rel[a.ID]; fl != nil {
+	if fl := s.qos2Flows[a.ID]; fl != nil {
 		code = mqtt.Success
-		delete(s.rel, a.ID)
-		s.open--
+		delete(s.qos2Flows, a.ID)
+		s.inFlight--
 	}
-	c.later(mqtt.AppendAck(nil, s.version, mqtt.PUBCOMP, a.ID, code, ""))
+	c.enqueue(mqtt.AppendAck(nil, s.version, mqtt.PUBCOMP, a.ID, code, ""))
 	return nil
 }
 
--- a/internal/mqttfront/keep.go
+++ b/internal/mqttfront/keep.go
@@ -14,7 +14,7 @@
 const Name = "mqtt"
 
 // keptSession is what outlives the process of one session.
-type keptSession struct {
+type sessionRecord struct {
 	User    string          `cbor:"1,keyasint"`
 	Version byte            `cbor:"2,keyasint"`
 	Expiry  time.Duration   `cbor:"3,keyasint"`
@@ -23,7 +23,7 @@
 }
 
 // way back to a session, as a message's record has it.
-type way struct {
+type returnPath struct {
 	Session string `cbor:"1,keyasint"`
 	User    string `cbor:"2,keyasint"`
 	Topic   string `cbor:"3,keyasint"`
@@ -33,23 +33,23 @@
 	Born    int64  `cbor:"7,keyasint"` // of the session
 }
 
-func (p *pending) way(qos byte) []byte {
-	b, _ := cbor.Marshal(way{p.s.id, p.s.user, p.topic, p.corr, p.packet, qos, p.s.born}) // plain fields: cannot fail
+func (p *pending) returnPath(qos byte) []byte {
+	b, _ := cbor.Marshal(returnPath{p.session.id, p.session.user, p.topic, p.correlation, p.packetID, qos, p.session.createdAt}) // plain fields: cannot fail
 	return b
 }
 
 // keep records the session as it is now; one that ends with its connection is
 // not kept. Under mu.
-func (s *session) keep() {
+func (s *session) persist() {
 	k := s.front.opt.Keeper
 	if k == nil {
 		return
 	}
-	if s.expiry <= 0 || s.dead {
+	if s.expiry <= 0 || s.removed {
 		k.Session(Name, s.id, nil)
 		return
 	}
-	b, _ := cbor.Marshal(keptSession{s.user, s.version, s.expiry, maps.Clone(s.subs), s.born})
+	b, _ := cbor.Marshal(sessionRecord{s.user, s.version, s.expiry, maps.Clone(s.subs), s.createdAt})
 	k.Session(Name, s.id, b)
 }
 
@@ -59,7 +59,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, value := range sessions {
-		var k keptSession
+		var k sessionRecord
 		if err := cbor.Unmarshal(value, &k); err != nil || len(f.sessions) >= f.opt.Sessions {
 			f.opt.Observer.Logf("mqtt: session %q of an earlier run is not restored: %v", id, err)
 			if f.opt.Keeper != nil {
@@ -67,51 +67,51 @@
 			}
 			continue
 		}
-		s := &session{id: id, user: k.User, born: k.Born, front: f, version: k.Version, expiry: k.Expiry, away: time.Now(),
+		s := &session{id: id, user: k.User, createdAt: k.Born, front: f, version: k.Version, expiry: k.Expiry, disconnectedAt: time.Now(),
 			subs: k.Subs, newest: map[string]*pending{}}
 		if s.subs == nil {
 			s.subs = map[string]byte{}
 		}
 		f.sessions[id] = s
-		s.due()
+		s.scheduleExpiry()
 	}
 }
 
 // Owe takes in a message of an earlier run, or its answer, and returns where the
 // answer goes if it is still to come.
 func (f *Front) Owe(o front.Owed) core.Reply {
-	var w way
+	var w returnPath
 	if err := cbor.Unmarshal(o.Way, &w); err != nil {
 		f.opt.Observer.Logf("mqtt: way of %q: %v", o.Identity, err)
-		return nowhere{}
+		return discardReplies{}
 	}
 	f.mu.Lock()
 	s := f.sessions[w.Session]
 	f.mu.Unlock()
-	if s == nil || s.user != w.User || s.born != w.Born {
-		return nowhere{} // its session ended: nobody waits
+	if s == nil || s.user != w.User || s.createdAt != w.Born {
+		return discardReplies{} // its session ended: nobody waits
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fl := &flow{id: w.Packet, qos: w.QoS, identity: o.Identity, taken: true}
+	fl := &flow{id: w.Packet, qos: w.QoS, identity: o.Identity, accepted: true}
 	switch w.QoS { // a client that did not hear of it asks for its flow again
 	case 1:
-		s.remember(fl)
+		s.rememberFlow(fl)
 	case 2:
-		s.before = orNew(s.before)
-		s.before[w.Packet] = fl
+		s.restoredQoS2 = orNewMap(s.restoredQoS2)
+		s.restoredQoS2[w.Packet] = fl
 	}
 	if o.Handed {
-		return nowhere{}
+		return discardReplies{}
 	}
-	p := &pending{s: s, identity: o.Identity, topic: w.Topic, corr: w.Corr, packet: w.Packet, taken: true}
-	s.expect(p)
+	p := &pending{session: s, identity: o.Identity, topic: w.Topic, correlation: w.Corr, packetID: w.Packet, accepted: true}
+	s.addPending(p)
 	if o.Answer.Verdict != 0 {
 		p.answer = o.Answer
 		s.queue = append(s.queue, p)
 	}
-	return front.Reply[*pending]{Box: f.out, To: p}
+	return front.Reply[*pending]{Box: f.outbox, To: p}
 }
 
 // nowhere hears answers that nobody waits for.
-type nowhere = front.Nobody
+type discardReplies = front.Nobody
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -22,20 +22,20 @@
 )
 
 // errNothing says that no bytes are there now.
-type errNothing struct{}
+type errWouldBlock struct{}
 
-func (errNothing) Error() string   { return "secure: nothing to read now" }
-func (errNothing) Timeout() bool   { return true }
-func (errNothing) Temporary() bool { return true }
+func (errWouldBlock) Error() string   { return "secure: nothing to read now" }
+func (errWouldBlock) Timeout() bool   { return true }
+func (errWouldBlock) Temporary() bool { return true }
 
 // ErrFlood ends a connection whose reader cannot keep up with it.
 var ErrFlood = errors.New("secure: too much is waiting to be read")
 
 // farewell is how long the peer may take to read what was written before a close.
-const farewell = time.Second
+const closeTimeout = time.Second
 
 // most bytes that wait for a blocking reader.
-const most = 1 << 20
+const maxBuffered = 1 << 20
 
 // Slots bound the handshakes that compute at once. One that waits for its peer
 // holds none, so that clients that stall hold no others up.
@@ -43,124 +43,124 @@
 
 // feed is the net.Conn beneath a tls.Conn: reads come from what the engine
 // hands over, writes go to the engine, which never blocks.
-type feed struct {
+type transport struct {
 	nb    *engine.Conn
 	slots Slots
 	write func(*engine.Conn, []byte) (int, error) // nil for the engine's
 
-	mu       sync.Mutex
-	some     sync.Cond
-	buf      []byte
-	err      error
-	calm     bool // reads do not block
-	deadline time.Time
-	timer    *time.Timer
+	mu          sync.Mutex
+	changed     sync.Cond
+	buf         []byte
+	err         error
+	nonBlocking bool // reads do not block
+	deadline    time.Time
+	timer       *time.Timer
 }
 
-func newFeed(nb *engine.Conn, slots Slots) *feed {
-	f := &feed{nb: nb, slots: slots}
-	f.some.L = &f.mu
-	return f
+func newTransport(nb *engine.Conn, slots Slots) *transport {
+	tr := &transport{nb: nb, slots: slots}
+	tr.changed.L = &tr.mu
+	return tr
 }
 
-func (f *feed) put(b []byte) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.buf)+len(b) > most {
-		f.err = ErrFlood
-		f.buf = nil
-		go f.nb.Close()
-	} else if f.err == nil {
-		f.buf = append(f.buf, b...)
+func (tr *transport) deliver(b []byte) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if len(tr.buf)+len(b) > maxBuffered {
+		tr.err = ErrFlood
+		tr.buf = nil
+		go tr.nb.Close()
+	} else if tr.err == nil {
+		tr.buf = append(tr.buf, b...)
 	}
-	f.some.Broadcast()
+	tr.changed.Broadcast()
 }
 
-func (f *feed) end(err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.err == nil {
-		f.err = err
+func (tr *transport) fail(err error) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if tr.err == nil {
+		tr.err = err
 	}
-	if f.timer != nil {
-		f.timer.Stop()
+	if tr.timer != nil {
+		tr.timer.Stop()
 	}
-	f.some.Broadcast()
+	tr.changed.Broadcast()
 }
 
-func (f *feed) Read(b []byte) (int, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for len(f.buf) == 0 {
+func (tr *transport) Read(b []byte) (int, error) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	for len(tr.buf) == 0 {
 		switch {
-		case f.err != nil:
-			return 0, f.err
-		case f.calm:
-			return 0, errNothing{}
-		case !f.deadline.IsZero() && !time.Now().Before(f.deadline):
+		case tr.err != nil:
+			return 0, tr.err
+		case tr.nonBlocking:
+			return 0, errWouldBlock{}
+		case !tr.deadline.IsZero() && !time.Now().Before(tr.deadline):
 			return 0, os.ErrDeadlineExceeded
 		}
-		if f.slots != nil {
-			<-f.slots
+		if tr.slots != nil {
+			<-tr.slots
 		}
-		f.some.Wait()
-		if f.slots != nil {
-			f.mu.Unlock()
-			f.slots <- struct{}{}
-			f.mu.Lock()
+		tr.changed.Wait()
+		if tr.slots != nil {
+			tr.mu.Unlock()
+			tr.slots <- struct{}{}
+			tr.mu.Lock()
 		}
 	}
-	n := copy(b, f.buf)
-	if f.buf = f.buf[n:]; len(f.buf) == 0 {
-		f.buf = nil
+	n := copy(b, tr.buf)
+	if tr.buf = tr.buf[n:]; len(tr.buf) == 0 {
+		tr.buf = nil
 	}
 	return n, nil
 }
 
-func (f *feed) Write(b []byte) (int, error) {
-	if f.write != nil {
-		return f.write(f.nb, b)
+func (tr *transport) Write(b []byte) (int, error) {
+	if tr.write != nil {
+		return tr.write(tr.nb, b)
 	}
-	return f.nb.Write(b)
+	return tr.nb.Write(b)
 }
 
-func (f *feed) Close() error {
-	f.nb.Finish(farewell) // behind the alert that ends TLS
+func (tr *transport) Close() error {
+	tr.nb.Finish(closeTimeout) // behind the alert that ends TLS
 	return nil
 }
 
-func (f *feed) LocalAddr() net.Addr              { return f.nb.LocalAddr() }
-func (f *feed) RemoteAddr() net.Addr             { return f.nb.RemoteAddr() }
-func (f *feed) SetWriteDeadline(time.Time) error { return nil } // writes never block
-func (f *feed) SetDeadline(t time.Time) error    { return f.SetReadDeadline(t) }
+func (tr *transport) LocalAddr() net.Addr              { return tr.nb.LocalAddr() }
+func (tr *transport) RemoteAddr() net.Addr             { return tr.nb.RemoteAddr() }
+func (tr *transport) SetWriteDeadline(time.Time) error { return nil } // writes never block
+func (tr *transport) SetDeadline(t time.Time) error    { return tr.SetReadDeadline(t) }
 
-func (f *feed) SetReadDeadline(t time.Time) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.deadline = t
-	if f.timer != nil {
-		f.timer.Stop()
-		f.timer = nil
+func (tr *transport) SetReadDeadline(t time.Time) error {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.deadline = t
+	if tr.timer != nil {
+		tr.timer.Stop()
+		tr.timer = nil
 	}
 	if !t.IsZero() {
-		f.timer = time.AfterFunc(time.Until(t), func() {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			f.some.Broadcast()
+		tr.timer = time.AfterFunc(time.Until(t), func() {
+			tr.mu.Lock()
+			defer tr.mu.Unlock()
+			tr.changed.Broadcast()
 		})
 	}
-	f.some.Broadcast()
+	tr.changed.Broadcast()
 	return nil
 }
 
 // Conn is one TLS connection.
 type Conn struct {
 	*tls.Conn
-	feed *feed
+	transport *transport
 
-	mu   sync.Mutex
-	open bool
-	got  func([]byte)
+	mu       sync.Mutex
+	switched bool
+	onData   func([]byte)
 }
 
 // Server begins TLS on an accepted connection. Raw bytes are to be handed to
@@ -168,68 +168,68 @@
 // called on a goroutine of its own; it returns what takes in the plaintext, on
 // the connection's goroutine from then on, or nil: then it has used the connection as a
 // blocking one, and is done with it.
-func Server(nb *engine.Conn, cfg *tls.Config, slots Slots, within time.Duration,
+func Server(nb *engine.Conn, cfg *tls.Config, slots Slots, timeout time.Duration,
 	ready func(c *Conn, err error) func([]byte)) *Conn {
-	f := newFeed(nb, slots)
-	c := &Conn{Conn: tls.Server(f, cfg), feed: f}
+	tr := newTransport(nb, slots)
+	c := &Conn{Conn: tls.Server(tr, cfg), transport: tr}
 	go func() {
 		slots <- struct{}{}
-		ctx, cancel := context.WithTimeout(context.Background(), within)
-		_ = f.SetReadDeadline(time.Now().Add(within))
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
+		_ = tr.SetReadDeadline(time.Now().Add(timeout))
 		err := c.HandshakeContext(ctx)
 		cancel()
 		<-slots
-		f.mu.Lock()
-		f.slots = nil
-		f.mu.Unlock()
-		_ = f.SetReadDeadline(time.Time{})
-		got := ready(c, err)
+		tr.mu.Lock()
+		tr.slots = nil
+		tr.mu.Unlock()
+		_ = tr.SetReadDeadline(time.Time{})
+		onData := ready(c, err)
 		if err != nil {
-			nb.Finish(farewell) // the alert that says why is read
+			nb.Finish(closeTimeout) // the alert that says why is read
 			return
 		}
-		if got != nil {
-			c.calm(got)
+		if onData != nil {
+			c.switchToNonBlocking(onData)
 		}
 	}()
 	return c
 }
 
 // calm goes over from the handshake's goroutine to the connection's.
-func (c *Conn) calm(got func([]byte)) {
+func (c *Conn) switchToNonBlocking(onData func([]byte)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.feed.mu.Lock()
-	c.feed.calm = true
-	c.feed.mu.Unlock()
-	c.open, c.got = true, got
-	c.drain()
+	c.transport.mu.Lock()
+	c.transport.nonBlocking = true
+	c.transport.mu.Unlock()
+	c.switched, c.onData = true, onData
+	c.readPlaintext()
 }
 
 // Data takes in raw bytes, on the connection's goroutine.
 func (c *Conn) Data(b []byte) {
-	c.feed.put(b)
+	c.transport.deliver(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open {
-		c.drain()
+	if c.switched {
+		c.readPlaintext()
 	}
 }
 
 // buffers for plaintext, for the time of one drain.
-var buffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
+var plaintextBuffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
-func (c *Conn) drain() {
-	b := buffers.Get().(*[]byte)
-	defer buffers.Put(b)
+func (c *Conn) readPlaintext() {
+	b := plaintextBuffers.Get().(*[]byte)
+	defer plaintextBuffers.Put(b)
 	for {
 		n, err := c.Read(*b)
 		if n > 0 {
-			c.got((*b)[:n])
+			c.onData((*b)[:n])
 		}
 		if err != nil {
-			if !errors.Is(err, errNothing{}) {
-				_ = c.feed.nb.Close()
+			if !errors.Is(err, errWouldBlock{}) {
+				_ = c.transport.nb.Close()
 			}
 			return
 		}
@@ -237,18 +237,18 @@
 }
 
 // End says that the connection beneath has ended.
-func (c *Conn) End() { c.feed.end(io.EOF) }
+func (c *Conn) End() { c.transport.fail(io.EOF) }
 
 // swap is a connection whose inside is exchanged after the handshake.
-type swap struct{ net.Conn }
+type swapConn struct{ net.Conn }
 
 // Client does the handshake on a connected socket, then hands it to the engine;
 // a wrapped socket that has an Unwrap is unwrapped for that.
 // Records are written by write, which must not block. made is called with the
 // engine's connection before any data can come.
 func Client(ctx context.Context, raw net.Conn, cfg *tls.Config, sockets *engine.Engine,
-	write func(*engine.Conn, []byte) (int, error), made func(*engine.Conn, *Conn) engine.Handler, got func([]byte)) error {
-	s := &swap{raw}
+	write func(*engine.Conn, []byte) (int, error), newHandler func(*engine.Conn, *Conn) engine.Handler, onData func([]byte)) error {
+	s := &swapConn{raw}
 	tc := tls.Client(s, cfg)
 	if err := tc.HandshakeContext(ctx); err != nil {
 		_ = raw.Close()
@@ -259,15 +259,15 @@
 	}
 	c := &Conn{Conn: tc}
 	_, err := sockets.Adopt(raw, func(nb *engine.Conn) engine.Handler {
-		c.feed = newFeed(nb, nil)
-		c.feed.write = write
-		s.Conn = c.feed
-		return made(nb, c)
+		c.transport = newTransport(nb, nil)
+		c.transport.write = write
+		s.Conn = c.transport
+		return newHandler(nb, c)
 	})
 	if err != nil {
 		return err
 	}
-	c.calm(got)
+	c.switchToNonBlocking(onData)
 	return nil
 }
 
--- a/internal/webpush/again_test.go
+++ b/internal/webpush/again_test.go
@@ -13,14 +13,14 @@
 )
 
 // door takes everything and answers when told to.
-type door struct{ taken []*core.Message }
+type fakeCore struct{ taken []*core.Message }
 
-func (d *door) Submit(m *core.Message) error {
+func (d *fakeCore) Submit(m *core.Message) error {
 	d.taken = append(d.taken, m)
 	return nil
 }
 
-func (d *door) Withdraw(string) {}
+func (d *fakeCore) Withdraw(string) {}
 
 // keeper notes whose answers were recorded as handed over.
 type keeper struct{ handed []string }
@@ -28,31 +28,31 @@
 func (k *keeper) Session(string, string, []byte) {}
 func (k *keeper) Handed(identity string)         { k.handed = append(k.handed, identity) }
 
-type deaf struct{}
+type nopObserver struct{}
 
-func (deaf) Push(int, int, int)  {}
-func (deaf) NotTaken(string)     {}
-func (deaf) Handshake(error)     {}
-func (deaf) Logf(string, ...any) {}
+func (nopObserver) Push(int, int, int)  {}
+func (nopObserver) NotTaken(string)     {}
+func (nopObserver) Handshake(error)     {}
+func (nopObserver) Logf(string, ...any) {}
 
 // bed is a front without sockets.
-type bed struct {
+type fixture struct {
 	t    *testing.T
 	f    *Front
-	door *door
+	door *fakeCore
 	keep *keeper
 }
 
-func newBed(t *testing.T) *bed {
-	b := &bed{t: t, door: &door{}, keep: &keeper{}}
+func newFixture(t *testing.T) *fixture {
+	b := &fixture{t: t, door: &fakeCore{}, keep: &keeper{}}
 	b.f = New(Options{Names: front.Names{Classes: map[string]int{"status": 0}, Partners: map[string]int{"p": 0},
 		Lives: []time.Duration{time.Minute}}, Unsafe: []bool{false}, Anyone: true, Body: 4096, Messages: 100, Boxes: 10, Pending: 10,
-		Polls: 10, Keep: time.Minute, Poll: time.Second, Door: b.door, Keeper: b.keep, Observer: deaf{}})
+		Polls: 10, Keep: time.Minute, Poll: time.Second, Door: b.door, Keeper: b.keep, Observer: nopObserver{}})
 	return b
 }
 
 // do makes a request and returns what it got at once.
-func (b *bed) do(method, path string, fields map[string]string) *response {
+func (b *fixture) do(method, path string, fields map[string]string) *response {
 	var got *response
 	b.f.serve(&request{method: method, path: path, header: func(name string) string { return fields[name] }, body: []byte("x")},
 		func(r response) { got = &r })
@@ -60,7 +60,7 @@
 }
 
 // post hands in the message that the client calls a. If it reaches the core, that takes it.
-func (b *bed) post(receipts string) response {
+func (b *fixture) post(receipts string) response {
 	b.t.Helper()
 	before := len(b.door.taken)
 	var got *response
@@ -68,7 +68,7 @@
 	b.f.serve(&request{method: http.MethodPost, path: "/push/status/p", header: func(name string) string { return fields[name] }},
 		func(r response) { got = &r })
 	if len(b.door.taken) > before {
-		b.say(front.Said[*push]{})
+		b.reply(front.Said[*push]{})
 	}
 	if got == nil || got.status != http.StatusAccepted {
 		b.t.Fatalf("POST: %+v", got)
@@ -77,19 +77,19 @@
 }
 
 // say passes on what the core says of the newest hand-in.
-func (b *bed) say(s front.Said[*push]) {
+func (b *fixture) reply(s front.Said[*push]) {
 	s.To = b.door.taken[len(b.door.taken)-1].Reply.(front.Reply[*push]).To
 	b.f.mu.Lock()
-	b.f.said(s)
+	b.f.handleReply(s)
 	b.f.unlock()
 }
 
-func (b *bed) answer(v ledger.Verdict, after time.Duration) {
-	b.say(front.Said[*push]{Answer: ledger.Answer{Verdict: v, After: after}})
+func (b *fixture) answer(v ledger.Verdict, after time.Duration) {
+	b.reply(front.Said[*push]{Answer: ledger.Answer{Verdict: v, After: after}})
 }
 
 // receipts fetches those after one, which it acknowledges.
-func (b *bed) receipts(path, after string) (answers []string) {
+func (b *fixture) receipts(path, after string) (answers []string) {
 	b.t.Helper()
 	var got struct{ Receipts []receipt }
 	if err := json.Unmarshal(b.do(http.MethodGet, path+after, nil).body, &got); err != nil {
@@ -111,7 +111,7 @@
 }
 
 // subscription is the path of the receipt subscription that a response names.
-func subscription(t *testing.T, r response) string {
+func subscriptionPath(t *testing.T, r response) string {
 	t.Helper()
 	link := r.field("Link")
 	if len(link) < 2 || !slices.Contains([]byte(link), '>') {
@@ -123,10 +123,10 @@
 // A refused message that is posted again after its time is tried anew, whether or not its
 // receipt was acknowledged, and has a receipt of its own. Until that is acknowledged the
 // identity does not count as handed over: a restart would forget the receipt.
-func TestPostedAgainBeforeItsReceiptIsAcknowledged(t *testing.T) {
-	b := newBed(t)
+func TestRetryBeforeReceiptIsAcknowledged(t *testing.T) {
+	b := newFixture(t)
 	first := b.post("")
-	path := subscription(t, first)
+	path := subscriptionPath(t, first)
 	b.answer(ledger.Refused, 0)
 	if got := b.receipts(path, ""); !slices.Equal(got, []string{"refused"}) {
 		t.Fatalf("receipts %v", got)
@@ -151,13 +151,13 @@
 // The same holds for receipts of two subscriptions, acknowledged in either order, and for a
 // first push that is not kept any more.
 func TestReceiptsOfOneIdentityInTwoSubscriptions(t *testing.T) {
-	b := newBed(t)
-	one := subscription(t, b.post(""))
+	b := newFixture(t)
+	one := subscriptionPath(t, b.post(""))
 	b.answer(ledger.Refused, 0)
-	b.f.forget()
-	two := subscription(t, b.post(""))
+	b.f.evictOldest()
+	two := subscriptionPath(t, b.post(""))
 	b.answer(ledger.Delivered, 0)
-	b.f.forget()
+	b.f.evictOldest()
 	b.receipts(one, "?after=1")
 	if len(b.keep.handed) != 0 {
 		t.Fatal("the identity counts as handed over while its second receipt is not acknowledged")
@@ -169,8 +169,8 @@
 }
 
 // Before its time a refused message that is posted again has the receipt that it had.
-func TestPostedAgainBeforeItsTime(t *testing.T) {
-	b := newBed(t)
+func TestRetryBeforeRetryAfterReturnsTheSameReceipt(t *testing.T) {
+	b := newFixture(t)
 	first := b.post("")
 	b.answer(ledger.Refused, time.Minute)
 	if again := b.post(""); len(b.door.taken) != 1 || again.field("Location") != first.field("Location") {
--- a/internal/webpush/front.go
+++ b/internal/webpush/front.go
@@ -65,37 +65,37 @@
 
 // Front serves Web Push.
 type Front struct {
-	opt       Options
-	listeners []*front.Listeners
-	addrs     []string
-	tlsAt     []string
-	vapid     *vapid
-	h2        *http2.Server
-	out       *front.Outbox[*push]
-	stop      chan struct{}
-	done      sync.WaitGroup
+	opt        Options
+	listeners  []*front.Listeners
+	addrs      []string
+	tlsAddrs   []string
+	vapid      *vapid
+	h2         *http2.Server
+	outbox     *front.Outbox[*push]
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 
-	conMu sync.Mutex
-	conns map[*conn]struct{}
+	connMu sync.Mutex
+	conns  map[*conn]struct{}
 
-	mu         sync.Mutex
-	pushes     map[string]*push
-	byIdentity map[string]*push
-	topics     map[string]*push
-	unread     map[string]*push // by identity: the newest whose receipt is to come or not acknowledged
-	ended      *list.List       // of pushes, oldest first
-	boxes      map[string]*box
-	polls      int
-	swept      time.Time
-	calls      []func() // responses, for when mu is let go
+	mu            sync.Mutex
+	pushes        map[string]*push
+	byIdentity    map[string]*push
+	topics        map[string]*push
+	unread        map[string]*push // by identity: the newest whose receipt is to come or not acknowledged
+	ended         *list.List       // of pushes, oldest first
+	subscriptions map[string]*subscription
+	polls         int
+	lastSweep     time.Time
+	deferred      []func() // responses, for when mu is let go
 }
 
 // New makes a front that does not listen yet: what an earlier run kept may be
 // restored first.
 func New(opt Options) *Front {
-	return &Front{opt: opt, vapid: newVAPID(opt.Audience), out: front.NewOutbox[*push](), stop: make(chan struct{}),
+	return &Front{opt: opt, vapid: newVAPID(opt.Audience), outbox: front.NewOutbox[*push](), stop: make(chan struct{}),
 		conns: map[*conn]struct{}{}, pushes: map[string]*push{}, byIdentity: map[string]*push{},
-		topics: map[string]*push{}, unread: map[string]*push{}, ended: list.New(), boxes: map[string]*box{},
+		topics: map[string]*push{}, unread: map[string]*push{}, ended: list.New(), subscriptions: map[string]*subscription{},
 		h2: &http2.Server{MaxConcurrentStreams: uint32(opt.Streams), MaxReadFrameSize: 16 << 10, IdleTimeout: opt.Idle,
 			MaxUploadBufferPerConnection: 1 << 20, MaxUploadBufferPerStream: 256 << 10,
 			MaxDecoderHeaderTableSize: 4096, MaxEncoderHeaderTableSize: 4096}}
@@ -112,35 +112,35 @@
 			WriteBuffer: opt.WriteBuffer, Open: func(nb *engine.Conn, _ time.Duration) front.Conn { return f.open(nb, i == 1) },
 			Failed: func(err error) { opt.Observer.Logf("webpush: accept: %v", err) }})
 		if err != nil {
-			f.closeAll()
+			f.closeListeners()
 			return err
 		}
 		if f.listeners = append(f.listeners, l); i == 1 {
-			f.tlsAt = l.Addrs
+			f.tlsAddrs = l.Addrs
 		} else {
 			f.addrs = l.Addrs
 		}
 	}
-	f.done.Add(2)
+	f.goroutines.Add(2)
 	go func() {
-		defer f.done.Done()
-		f.out.Run(f.stop, func(list []front.Said[*push]) {
+		defer f.goroutines.Done()
+		f.outbox.Run(f.stop, func(list []front.Said[*push]) {
 			f.mu.Lock()
 			defer f.unlock()
 			for _, s := range list {
-				f.said(s)
+				f.handleReply(s)
 			}
 		})
 	}()
-	go f.janitor()
+	go f.expiryLoop()
 	return nil
 }
 
 // Addrs and TLSAddrs are the addresses listened on.
 func (f *Front) Addrs() []string    { return f.addrs }
-func (f *Front) TLSAddrs() []string { return f.tlsAt }
+func (f *Front) TLSAddrs() []string { return f.tlsAddrs }
 
-func (f *Front) closeAll() {
+func (f *Front) closeListeners() {
 	for _, l := range f.listeners {
 		l.Close()
 	}
@@ -149,20 +149,20 @@
 // Close ends everything; what the core said before is handed on first.
 func (f *Front) Close() {
 	close(f.stop)
-	f.done.Wait()
+	f.goroutines.Wait()
 	f.mu.Lock()
 	for _, p := range f.pushes {
-		release(&p.waiting)
+		endPolls(&p.longPolls)
 	}
-	for _, b := range f.boxes {
-		release(&b.waiting)
+	for _, b := range f.subscriptions {
+		endPolls(&b.longPolls)
 	}
 	f.unlock()
-	f.closeAll()
+	f.closeListeners()
 }
 
-func (f *Front) janitor() {
-	defer f.done.Done()
+func (f *Front) expiryLoop() {
+	defer f.goroutines.Done()
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -172,9 +172,9 @@
 		case now := <-tick.C:
 			f.mu.Lock()
 			f.sweep(now)
-			messages, boxes := len(f.pushes), len(f.boxes)
+			messages, boxes := len(f.pushes), len(f.subscriptions)
 			f.mu.Unlock()
-			f.conMu.Lock()
+			f.connMu.Lock()
 			n := len(f.conns)
 			var late []*conn
 			for c := range f.conns {
@@ -182,7 +182,7 @@
 					late = append(late, c)
 				}
 			}
-			f.conMu.Unlock()
+			f.connMu.Unlock()
 			for _, c := range late {
 				c.nb.Finish(front.Farewell)
 			}
@@ -198,48 +198,48 @@
 	sec   *secure.Conn // nil without TLS
 	out   io.Writer
 	since atomic.Int64 // by front.Now: a request began, or the connection idles since
-	busy  atomic.Int32 // 0 idles, 1 within a request, 2 answering, 3 HTTP/2
+	state atomic.Int32 // 0 idles, 1 within a request, 2 answering, 3 HTTP/2
 
-	mu   sync.Mutex
-	req  http1.Request
-	rest []byte // after a request that is being answered
-	shut bool
+	mu        sync.Mutex
+	req       http1.Request
+	pipelined []byte // after a request that is being answered
+	closed    bool
 }
 
 func (f *Front) open(nb *engine.Conn, secured bool) front.Conn {
 	c := &conn{front: f, nb: nb, out: nb}
 	c.since.Store(front.Now())
 	c.req.Reset(http1.Limits{Header: f.opt.Header, Body: f.opt.Body})
-	f.conMu.Lock()
+	f.connMu.Lock()
 	full := len(f.conns) >= f.opt.Connections
 	if !full {
 		f.conns[c] = struct{}{}
 	}
-	f.conMu.Unlock()
+	f.connMu.Unlock()
 	if full {
 		return nil
 	}
 	if secured {
-		c.sec = secure.Server(nb, f.opt.TLS, f.opt.Slots, f.opt.Handshake, c.ready)
+		c.sec = secure.Server(nb, f.opt.TLS, f.opt.Slots, f.opt.Handshake, c.handshakeDone)
 		c.out = c.sec
 	}
 	return c
 }
 
 // ready goes on after the handshake.
-func (c *conn) ready(s *secure.Conn, err error) func([]byte) {
+func (c *conn) handshakeDone(s *secure.Conn, err error) func([]byte) {
 	c.front.opt.Observer.Handshake(err)
 	if err != nil {
 		return nil
 	}
 	c.since.Store(front.Now())
 	if s.ConnectionState().NegotiatedProtocol == "h2" {
-		c.busy.Store(3)
+		c.state.Store(3)
 		c.front.h2.ServeConn(s.Conn, &http2.ServeConnOpts{Handler: http.HandlerFunc(c.front.serveHTTP),
 			BaseConfig: &http.Server{MaxHeaderBytes: c.front.opt.Header}})
 		return nil
 	}
-	return c.plain
+	return c.handlePlaintext
 }
 
 // Data takes in what the socket gave.
@@ -248,7 +248,7 @@
 		c.sec.Data(b)
 		return
 	}
-	c.plain(b)
+	c.handlePlaintext(b)
 }
 
 // Closed takes in the end of the connection.
@@ -256,15 +256,15 @@
 	if c.sec != nil {
 		c.sec.End()
 	}
-	c.front.conMu.Lock()
+	c.front.connMu.Lock()
 	delete(c.front.conns, c)
-	c.front.conMu.Unlock()
+	c.front.connMu.Unlock()
 }
 
 // overdue tells whether a connection idled too long, or its request does not end.
 func (c *conn) overdue(now time.Time) bool {
 	age := front.Nanos(now) - c.since.Load()
-	switch c.busy.Load() {
+	switch c.state.Load() {
 	case 0:
 		return age > int64(c.front.opt.Idle)
 	case 1:
@@ -274,13 +274,13 @@
 }
 
 // plain takes in bytes of HTTP/1.1.
-func (c *conn) plain(b []byte) {
+func (c *conn) handlePlaintext(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy.Load() == 2 { // answered first; pipelined ones wait, bounded
-		if c.rest = append(c.rest, b...); len(c.rest) > c.front.opt.Header+c.front.opt.Body {
+	if c.state.Load() == 2 { // answered first; pipelined ones wait, bounded
+		if c.pipelined = append(c.pipelined, b...); len(c.pipelined) > c.front.opt.Header+c.front.opt.Body {
 			_ = c.nb.Close()
-			c.rest = nil
+			c.pipelined = nil
 		}
 		return
 	}
@@ -289,8 +289,8 @@
 
 // parse goes through requests until one must wait for its answer; under mu.
 func (c *conn) parse(b []byte) {
-	for len(b) > 0 && !c.shut {
-		if c.busy.CompareAndSwap(0, 1) {
+	for len(b) > 0 && !c.closed {
+		if c.state.CompareAndSwap(0, 1) {
 			c.since.Store(front.Now())
 		}
 		rest, err := c.req.Feed(b, &c.req)
@@ -300,7 +300,7 @@
 				status = http.StatusRequestEntityTooLarge
 			}
 			c.req.Keep = false
-			c.write(say(status, "%v", err))
+			c.write(textResponse(status, "%v", err))
 			return
 		}
 		if !c.req.Done() {
@@ -310,42 +310,42 @@
 			}
 			return
 		}
-		c.busy.Store(2)
-		c.rest = append(c.rest[:0], rest...)
+		c.state.Store(2)
+		c.pipelined = append(c.pipelined[:0], rest...)
 		q := &request{method: c.req.Method, path: c.req.Path, header: c.req.Header, body: c.req.Body}
-		var when sync.Mutex
-		var now *response // it came before serve returned
-		later := false
+		var responseMu sync.Mutex
+		var immediate *response // it came before serve returned
+		async := false
 		c.front.serve(q, func(r response) {
-			when.Lock()
-			if !later {
-				now = &r
-				when.Unlock()
+			responseMu.Lock()
+			if !async {
+				immediate = &r
+				responseMu.Unlock()
 				return
 			}
-			when.Unlock()
+			responseMu.Unlock()
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.write(r)
-			next := c.rest
-			c.rest = nil
+			next := c.pipelined
+			c.pipelined = nil
 			c.parse(next)
 		})
-		when.Lock()
-		later = now == nil
-		when.Unlock()
-		if later {
+		responseMu.Lock()
+		async = immediate == nil
+		responseMu.Unlock()
+		if async {
 			return // the answer goes on from there
 		}
-		c.write(*now)
-		b = c.rest
-		c.rest = nil
+		c.write(*immediate)
+		b = c.pipelined
+		c.pipelined = nil
 	}
 }
 
 // write sends a response and readies the connection for the next request; under mu.
 func (c *conn) write(r response) {
-	if c.shut {
+	if c.closed {
 		return
 	}
 	b := make([]byte, 0, 256+len(r.body))
@@ -362,14 +362,14 @@
 	b = append(append(b, "\r\n"...), r.body...)
 	_, err := c.out.Write(b)
 	if !c.req.Keep || err != nil {
-		c.shut = true
+		c.closed = true
 		c.nb.Finish(front.Farewell)
 		return
 	}
 	c.req.Reset(http1.Limits{Header: c.front.opt.Header, Body: c.front.opt.Body})
 	c.req.Body = nil
 	c.since.Store(front.Now())
-	c.busy.Store(0)
+	c.state.Store(0)
 }
 
 // serveHTTP is the way of HTTP/2 requests.
--- a/internal/webpush/vapid.go
+++ b/internal/webpush/vapid.go
@@ -25,21 +25,21 @@
 }
 
 // mostLife is the longest that a token may live (RFC 8292, 2).
-const mostLife = 24 * time.Hour
+const maxTokenLifetime = 24 * time.Hour
 
 // mostTokens bounds the tokens remembered as checked.
-const mostTokens = 4096
+const maxTokens = 4096
 
 // vapid checks tokens. What was found good is remembered until it expires, as
 // senders use one for hours.
 type vapid struct {
 	audience []string
 	mu       sync.Mutex
-	good     map[[32]byte]Sender
+	verified map[[32]byte]Sender
 }
 
 func newVAPID(audience []string) *vapid {
-	return &vapid{audience: audience, good: map[[32]byte]Sender{}}
+	return &vapid{audience: audience, verified: map[[32]byte]Sender{}}
 }
 
 var errNoToken = errors.New("Authorization: a VAPID token is needed: vapid t=TOKEN, k=KEY")
@@ -66,7 +66,7 @@
 	}
 	sum := sha256.Sum256([]byte(field))
 	v.mu.Lock()
-	s, known := v.good[sum]
+	s, known := v.verified[sum]
 	v.mu.Unlock()
 	if known {
 		if !now.Before(s.Until) {
@@ -80,17 +80,17 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if len(v.good) >= mostTokens {
-		for old, g := range v.good {
+	if len(v.verified) >= maxTokens {
+		for old, g := range v.verified {
 			if now.After(g.Until) {
-				delete(v.good, old)
+				delete(v.verified, old)
 			}
 		}
-		if len(v.good) >= mostTokens {
-			clear(v.good)
+		if len(v.verified) >= maxTokens {
+			clear(v.verified)
 		}
 	}
-	v.good[sum] = s
+	v.verified[sum] = s
 	return s, nil
 }
 
@@ -112,7 +112,7 @@
 		return Sender{}, err
 	}
 	until := claims.ExpiresAt.Time
-	if until.After(now.Add(mostLife + time.Minute)) {
+	if until.After(now.Add(maxTokenLifetime + time.Minute)) {
 		return Sender{}, errors.New("exp is over 24 h away")
 	}
 	if claims.Subject != "" {
