--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,5 +1,9 @@
-// Package keys holds certificates and keys: read from files, checked, replaced
-// while running, and made for tests and first steps.
+// Package keys loads TLS certificates, private keys and certificate authorities
+// from PEM files, checks them, and reloads files that change while the program
+// runs. It builds the TLS configurations of servers and clients from them.
+//
+// It also generates certificates and VAPID keys for tests and for trying the
+// program out.
 package keys
 
 import (
@@ -23,10 +27,13 @@
 	"time"
 )
 
-// Ring holds all certificates of a program and looks after their files.
+// Ring holds the certificates and authorities of a program and reloads their files
+// when they change.
 type Ring struct {
-	// Report is told what happened to a file: its expiry, or why it was not
-	// taken. What was in force stays in force.
+	// Report, if set, is called when a certificate was first loaded, and after each
+	// attempt to reload a file: with the expiry of the certificate in use (zero for a
+	// file of authorities) and the error if the file was rejected. After an error the
+	// previous content stays in use.
 	Report func(file string, expires time.Time, err error)
 
 	mu    sync.Mutex
@@ -34,22 +41,23 @@
 	pools []*Pool
 }
 
-// Pair is a certificate with its key.
+// Pair is a certificate with its private key.
 type Pair struct {
 	CertFile, KeyFile string
 	cert              atomic.Pointer[tls.Certificate]
-	versions          [2]fileVersion
-	statErrorReported bool
+	versions          [2]fileVersion // of CertFile and KeyFile, when last loaded
+	statErrorReported bool           // the current failure to stat a file was reported
 }
 
-// Pool is a file of authorities.
+// Pool is a file of certificate authorities.
 type Pool struct {
 	File    string
 	pool    atomic.Pointer[x509.CertPool]
 	version fileVersion
 }
 
-// stamp tells one content of a file from the next.
+// fileVersion identifies a version of a file's content by its size, modification
+// time and inode.
 type fileVersion struct {
 	size int64
 	at   time.Time
@@ -64,12 +72,15 @@
 	return fileVersion{st.Size(), st.ModTime(), st}, nil
 }
 
+// equal reports whether s and o identify the same version. It is false if either is
+// zero.
 func (s fileVersion) equal(o fileVersion) bool {
 	return s.size == o.size && s.at.Equal(o.at) && s.node != nil && o.node != nil && os.SameFile(s.node, o.node)
 }
 
-// Pair reads a certificate and its key. It is an error if they do not match,
-// if the certificate is not valid now, or if everybody may read the key.
+// Pair loads a certificate and its private key, once for each pair of files. It is
+// an error if they do not match, if the certificate is not valid now, or if the key
+// file's mode grants any access to others.
 func (r *Ring) Pair(certFile, keyFile string) (*Pair, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +98,7 @@
 	return p, nil
 }
 
-// Pool reads a file of authorities.
+// Pool loads a file of certificate authorities.
 func (r *Ring) Pool(file string) (*Pool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,22 +116,24 @@
 	}
 }
 
-// Cert is the certificate in force.
+// Cert returns the certificate in use.
 func (p *Pair) Cert() *tls.Certificate { return p.cert.Load() }
 
-// Expires is when the one in force ends.
+// Expires returns when the certificate in use expires.
 func (p *Pair) Expires() time.Time { return p.Cert().Leaf.NotAfter }
 
-// Pool is the set of authorities in force.
+// Pool returns the set of authorities in use.
 func (p *Pool) Pool() *x509.CertPool { return p.pool.Load() }
 
+// load reads, checks and puts into use the certificate and key; after an error the
+// previous ones stay in use.
 func (p *Pair) load(now time.Time) error {
 	st, err := os.Stat(p.KeyFile)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	if mode := st.Mode().Perm(); mode&0o007 != 0 {
-		return fmt.Errorf("keys: %s may be read by everybody (mode %04o): chmod 600 it", p.KeyFile, mode)
+		return fmt.Errorf("keys: private key %s is accessible to others (mode %04o), run chmod 600 on it", p.KeyFile, mode)
 	}
 	cert, err := tls.LoadX509KeyPair(p.CertFile, p.KeyFile)
 	if err != nil {
@@ -150,19 +163,19 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return fmt.Errorf("keys: %s holds no certificate in PEM", p.File)
+		return fmt.Errorf("keys: %s contains no PEM certificate", p.File)
 	}
 	p.pool.Store(pool)
 	p.version, _ = versionOf(p.File)
 	return nil
 }
 
-// look is how often files are looked at.
+// checkInterval is the interval at which files are checked for changes.
 const checkInterval = time.Second
 
-// Run takes replaced files into force until ctx ends. Connections that stand
-// are not touched. A file that cannot be taken leaves the old one in force, is
-// reported once, and is tried again when it changes.
+// Run reloads files that change until ctx ends. Established connections keep the
+// certificate that they were opened with. A file that cannot be loaded is reported
+// once and tried again when it changes; until then the old content stays in use.
 func (r *Ring) Run(ctx context.Context) {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
@@ -176,7 +189,8 @@
 	}
 }
 
-// Look does what Run does each time.
+// Look checks all files once and reloads those that have changed since they were
+// last loaded.
 func (r *Ring) Look(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,7 +209,7 @@
 		}
 		p.statErrorReported = false
 		err := p.load(now)
-		p.versions = [2]fileVersion{cert, key} // one that could not be taken is not tried until it changes
+		p.versions = [2]fileVersion{cert, key} // a rejected file is not tried again until it changes
 		r.report(p.CertFile, p.Expires(), err)
 	}
 	for _, p := range r.pools {
@@ -208,8 +222,9 @@
 	}
 }
 
-// Server is a configuration that follows the pair, and the authorities of
-// clients if any: TLS 1.2 is the floor.
+// Server returns a server configuration, of TLS 1.2 or later, that presents the
+// pair's certificate in use. If clients is not nil, client certificates are verified
+// against its authorities in use, and required if require is set.
 func Server(p *Pair, clients *Pool, require bool, protocols ...string) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: protocols,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.Cert(), nil }}
@@ -226,7 +241,7 @@
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		if pool := clients.Pool(); now.ClientCAs != pool { // tickets of the old authorities end with them
+		if pool := clients.Pool(); now.ClientCAs != pool { // a new Config, so that session tickets issued under the old authorities are void
 			now = base.Clone()
 			now.ClientCAs = pool
 		}
@@ -235,8 +250,9 @@
 	return base
 }
 
-// Client is a configuration for calls: authorities (nil for the system's), an
-// own certificate (nil for none), and a cache of sessions to resume.
+// Client returns a function that makes the client configuration of a connection, of
+// TLS 1.2 or later: with the authorities in ca (nil for the system's), the client
+// certificate in own (nil for none), and a shared cache of sessions to resume.
 func Client(ca *Pool, own *Pair, name string) func() *tls.Config {
 	cache := tls.NewLRUClientSessionCache(64)
 	return func() *tls.Config {
@@ -252,13 +268,15 @@
 	}
 }
 
-// Authority makes certificates for tests and first steps.
+// Authority is a certificate authority that issues certificates for tests and for
+// trying the program out.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes one that is valid from an hour ago.
+// NewAuthority generates an authority whose certificate is valid from an hour ago
+// until lasts from now.
 func NewAuthority(name string, lasts time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -275,20 +293,22 @@
 	return &Authority{cert, key}, err
 }
 
+// serial returns a random certificate serial number of up to 120 bits.
 func serial() *big.Int {
 	n, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	return n
 }
 
-// Pool holds the authority alone.
+// Pool returns a set that holds only this authority.
 func (a *Authority) Pool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.cert)
 	return p
 }
 
-// Issue writes NAME.pem and NAME.key to a folder: a certificate for servers at
-// the hosts, or for the client of that name without any.
+// Issue writes a certificate and its key to NAME.pem and NAME.key in dir. With hosts
+// it is a server certificate for these names and addresses, else a client
+// certificate for name.
 func (a *Authority) Issue(dir, name string, from, to time.Time, hosts ...string) (certFile, keyFile string, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -315,7 +335,7 @@
 	return certFile, keyFile, err
 }
 
-// Save writes ca.pem and ca.key.
+// Save writes the authority's certificate and key to ca.pem and ca.key in dir.
 func (a *Authority) Save(dir string) error {
 	if err := writePEM(filepath.Join(dir, "ca.pem"), "CERTIFICATE", a.cert.Raw, 0o644); err != nil {
 		return err
@@ -323,6 +343,7 @@
 	return writeKey(filepath.Join(dir, "ca.key"), a.key)
 }
 
+// writeKey writes key to file in PKCS #8 form, readable by the owner only.
 func writeKey(file string, key *ecdsa.PrivateKey) error {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -331,7 +352,8 @@
 	return writePEM(file, "PRIVATE KEY", der, 0o600)
 }
 
-// writePEM replaces a file by renaming, so that no reader sees half of one.
+// writePEM writes a temporary file and renames it, so that no reader sees a
+// partially written file.
 func writePEM(file, kind string, der []byte, mode os.FileMode) error {
 	tmp := file + ".new"
 	if err := os.WriteFile(tmp, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), mode); err != nil {
@@ -340,8 +362,8 @@
 	return os.Rename(tmp, file)
 }
 
-// VAPID makes a key pair for application servers (RFC 8292): public as the
-// uncompressed point, private as the scalar, both base64url.
+// VAPID generates a key pair for an application server (RFC 8292). public is the
+// uncompressed point and private the scalar, both in base64url without padding.
 func VAPID() (public, private string, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/mqtt/encode.go
+++ b/internal/mqtt/encode.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// AppendVarint appends a variable byte integer.
+// AppendVarint appends v as a variable byte integer (MQTT 5.0, 1.5.5).
 func AppendVarint(b []byte, v int) []byte {
 	for v >= 0x80 {
 		b = append(b, byte(v)|0x80)
@@ -11,6 +11,7 @@
 	return append(b, byte(v))
 }
 
+// sizeVarint returns the encoded length of v as a variable byte integer, in bytes.
 func sizeVarint(v int) int {
 	n := 1
 	for ; v >= 0x80; v >>= 7 {
@@ -29,7 +30,7 @@
 	return append(b, s...)
 }
 
-// appendProps appends the properties that hold a value, without their length.
+// appendProps appends the properties that are set, without the length field that precedes them.
 func appendProps(b []byte, p *Props) []byte {
 	u8 := func(id, v byte, there bool) {
 		if there {
@@ -80,18 +81,19 @@
 	return b
 }
 
-// Offers are the properties of a CONNACK that say what is not offered here:
-// retained messages, wildcard and shared subscriptions, subscription ids.
+// Offers returns the CONNACK properties that declare retained messages, wildcard
+// and shared subscriptions and subscription identifiers as unavailable.
 func Offers() Props {
 	return Props{set: 1<<pRetainAvailable | 1<<pWildcard | 1<<pSubIDs | 1<<pShared}
 }
 
-// packet appends fixed header and body.
+// appendPacket appends a fixed header, with first as its first byte, and the body.
 func appendPacket(b []byte, first byte, body []byte) []byte {
 	return append(AppendVarint(append(b, first), len(body)), body...)
 }
 
-// AppendConnack appends a CONNACK. Code is of the version spoken.
+// AppendConnack appends a CONNACK. The values of code are those of the given
+// protocol version: a reason code in 5.0, a return code in 3.1.1.
 func AppendConnack(b []byte, version byte, present bool, code byte, p *Props) []byte {
 	body := []byte{0, code}
 	if present {
@@ -104,7 +106,7 @@
 	return appendPacket(b, CONNACK<<4, body)
 }
 
-// AppendConnect appends a CONNECT.
+// AppendConnect appends a CONNECT. It does not write a will.
 func AppendConnect(b []byte, c *Connect) []byte {
 	flags := byte(0)
 	if c.Clean {
@@ -162,8 +164,8 @@
 	return append(b, p.Payload...)
 }
 
-// AppendAck appends a PUBACK, PUBREC, PUBREL or PUBCOMP; the reason string is
-// left out if empty.
+// AppendAck appends a PUBACK, PUBREC, PUBREL or PUBCOMP. An empty reason string
+// is omitted.
 func AppendAck(b []byte, version, kind byte, id uint16, code byte, reason string) []byte {
 	first := kind << 4
 	if kind == PUBREL {
@@ -180,7 +182,7 @@
 	return appendPacket(b, first, body)
 }
 
-// AppendSubscribe appends a SUBSCRIBE.
+// AppendSubscribe appends a SUBSCRIBE without properties.
 func AppendSubscribe(b []byte, version byte, id uint16, filters ...Filter) []byte {
 	body := binary.BigEndian.AppendUint16(nil, id)
 	if version == V5 {
@@ -192,7 +194,8 @@
 	return appendPacket(b, SUBSCRIBE<<4|2, body)
 }
 
-// AppendSuback appends a SUBACK or an UNSUBACK.
+// AppendSuback appends a SUBACK or an UNSUBACK without properties. An UNSUBACK
+// of 3.1.1 carries no codes.
 func AppendSuback(b []byte, version, kind byte, id uint16, codes []byte) []byte {
 	body := binary.BigEndian.AppendUint16(nil, id)
 	if version == V5 {
@@ -204,7 +207,7 @@
 	return appendPacket(b, kind<<4, body)
 }
 
-// AppendDisconnect appends a DISCONNECT; only 5.0 servers send one.
+// AppendDisconnect appends a DISCONNECT of MQTT 5.0; servers of 3.1.1 send none.
 func AppendDisconnect(b []byte, code byte, reason string) []byte {
 	body := []byte{code}
 	if reason != "" {
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Every packet that parses is the same however it is cut, and what is encoded
-// again parses to the same.
+// FuzzPackets feeds arbitrary bytes to the decoders, which must not panic or return
+// a frame without a header, and checks that a decoded PUBLISH that is encoded again
+// decodes to the same fields.
 func FuzzPackets(f *testing.F) {
 	f.Add(AppendConnect(nil, &Connect{Version: V5, ClientID: "c", KeepAlive: 5, HasUser: true, User: "u",
 		Password: []byte("p"), Props: Props{SessionExpiry: 9, ReceiveMaximum: 3, User: []Pair{{"a", "b"}}}}))
@@ -22,7 +23,7 @@
 			return
 		}
 		if len(body)+len(rest) >= len(b) {
-			t.Fatal("a frame without a header")
+			t.Fatal("Frame returned a packet without a fixed header")
 		}
 		for _, v := range []byte{V311, V5} {
 			switch first >> 4 {
@@ -37,12 +38,12 @@
 				again := AppendPublish(nil, v, &q)
 				f2, b2, _, ok, e := Frame(again, 1<<20)
 				if e != nil || !ok {
-					t.Fatalf("encoded again: %v %v", ok, e)
+					t.Fatalf("Frame of the re-encoded PUBLISH: ok %v, error %v", ok, e)
 				}
 				r, err := ParsePublish(v, f2, b2)
 				if err != nil || r.Topic != p.Topic || r.ID != p.ID || r.QoS != p.QoS || !bytes.Equal(r.Payload, p.Payload) ||
 					!bytes.Equal(r.Props.Correlation, p.Props.Correlation) || len(r.Props.User) != len(p.Props.User) {
-					t.Fatalf("%+v became %+v (%v)", p, r, err)
+					t.Fatalf("PUBLISH %+v decodes to %+v after re-encoding (error %v)", p, r, err)
 				}
 			case PUBACK, PUBREC, PUBREL, PUBCOMP:
 				_, _ = ParseAck(v, first, body)
--- a/internal/mqtt/packet.go
+++ b/internal/mqtt/packet.go
@@ -1,6 +1,9 @@
-// Package mqtt reads and writes the control packets of MQTT 5.0 and 3.1.1
-// (OASIS standards of 2019 and 2014). It keeps no state and does no I/O; what a
-// packet means for a session is the caller's.
+// Package mqtt encodes and decodes the control packets of MQTT 5.0 and 3.1.1
+// (OASIS standards of 2019 and 2014). Section numbers in comments are those of
+// MQTT 5.0.
+//
+// It keeps no state and does no I/O. What a packet means for a session is up to
+// the caller.
 package mqtt
 
 import (
@@ -10,7 +13,7 @@
 	"unicode/utf8"
 )
 
-// Packet types (MQTT 5.0, 2.1.2).
+// Control packet types (2.1.2).
 const (
 	CONNECT     = 1
 	CONNACK     = 2
@@ -29,13 +32,13 @@
 	AUTH        = 15
 )
 
-// Protocol levels.
+// Protocol versions, as the CONNECT packet encodes them.
 const (
 	V311 = 4
 	V5   = 5
 )
 
-// Reason codes (MQTT 5.0, 2.4) that this program uses.
+// Reason codes (2.4) that this program uses.
 const (
 	Success              = 0x00
 	DisconnectWithWill   = 0x04
@@ -70,7 +73,8 @@
 	ServerShuttingDown   = 0x8B
 )
 
-// Error is a fault of the peer, with the reason code the standard has for it.
+// Error is a violation of the protocol or of a limit by the peer, with the reason
+// code that the standard assigns to it.
 type Error struct {
 	Code byte
 	Text string
@@ -84,9 +88,10 @@
 
 func malformed(format string, args ...any) *Error { return errorf(MalformedPacket, format, args...) }
 
-// Frame finds the next packet in b. ok is false while more bytes are needed. A
-// packet of over max bytes, fixed header included, is a fault as soon as its
-// length is known.
+// Frame splits the first packet off b and returns the first byte of its fixed
+// header, its body, and the bytes after it. ok is false while more bytes are
+// needed. A packet of more than max bytes, fixed header included, is an error as
+// soon as its length is known.
 func Frame(b []byte, max int) (first byte, body, rest []byte, ok bool, err *Error) {
 	if len(b) < 2 {
 		return 0, nil, b, false, nil
@@ -108,7 +113,8 @@
 	return b[0], b[head : head+length], b[head+length:], true, nil
 }
 
-// varint reads a variable byte integer; used is 0 if it is not whole yet.
+// varint decodes a variable byte integer. used is its length in bytes, or 0 if b
+// ends before the integer does.
 func varint(b []byte) (v, used int, err *Error) {
 	for i := range min(len(b), 4) {
 		v |= int(b[i]&0x7f) << (7 * i)
@@ -125,7 +131,8 @@
 	return 0, 0, nil
 }
 
-// reader takes fields off a packet's body; the first fault stays.
+// reader decodes the fields of a packet's body in order. The first error is kept
+// and ends decoding.
 type reader struct {
 	b   []byte
 	err *Error
@@ -195,7 +202,7 @@
 	return string(v)
 }
 
-// id is a packet identifier, never 0.
+// id reads a packet identifier; 0 is malformed.
 func (r *reader) id() uint16 {
 	v := r.uint16("packet identifier")
 	if v == 0 && r.err == nil {
@@ -204,7 +211,7 @@
 	return v
 }
 
-// Property identifiers (MQTT 5.0, 2.2.2.2).
+// Property identifiers (2.2.2.2).
 const (
 	pPayloadFormat   = 0x01
 	pMessageExpiry   = 0x02
@@ -235,12 +242,13 @@
 	pShared          = 0x2A
 )
 
-// Pair is a user property.
+// Pair is one User Property.
 type Pair struct{ Name, Value string }
 
-// Props are a packet's properties. A zero value with Has false was not there.
+// Props holds the properties of a packet. Has tells a property that is absent from
+// one that is present with the value zero.
 type Props struct {
-	set              uint64
+	set              uint64 // bit n: the property with identifier n is present
 	PayloadFormat    byte
 	MessageExpiry    uint32 // seconds
 	ContentType      string
@@ -269,10 +277,11 @@
 	User             []Pair
 }
 
-// mostUser bounds the user properties of one packet.
+// maxUserProps is the largest number of user properties in one packet.
 const maxUserProps = 64
 
-// where a property may stand, a bit for each packet type; bit 0 for a will.
+// allowedIn holds, for each property identifier, the packet types that may carry it:
+// bit n stands for packet type n, bit 0 for the will of a CONNECT.
 var allowedIn = map[int]uint16{
 	pPayloadFormat: 1 | 1<<PUBLISH, pMessageExpiry: 1 | 1<<PUBLISH, pContentType: 1 | 1<<PUBLISH,
 	pResponseTopic: 1 | 1<<PUBLISH, pCorrelation: 1 | 1<<PUBLISH, pSubscriptionID: 1<<PUBLISH | 1<<SUBSCRIBE,
@@ -289,10 +298,11 @@
 	pShared: 1 << CONNACK,
 }
 
-// Has tells whether the property with an identifier was there.
+// Has reports whether the property with the identifier id is present.
 func (p *Props) Has(id int) bool { return p.set&(1<<id) != 0 }
 
-// HasSessionExpiry and its like tell what a zero cannot.
+// HasSessionExpiry and the methods below report whether a property is present,
+// which its zero value does not tell.
 func (p *Props) HasSessionExpiry() bool  { return p.Has(pSessionExpiry) }
 func (p *Props) HasMessageExpiry() bool  { return p.Has(pMessageExpiry) }
 func (p *Props) HasCorrelation() bool    { return p.Has(pCorrelation) }
@@ -303,7 +313,7 @@
 func (p *Props) HasAlias() bool          { return p.Has(pAlias) }
 func (p *Props) HasAuth() bool           { return p.Has(pAuthMethod) }
 
-// Get is the value of the first user property of a name.
+// Get returns the value of the first user property called name, or "".
 func (p *Props) Get(name string) string {
 	for _, u := range p.User {
 		if u.Name == name {
@@ -313,6 +323,8 @@
 	return ""
 }
 
+// props reads the property length and the properties of a packet of type kind; 0
+// stands for the will of a CONNECT.
 func (r *reader) props(kind int) (p Props) {
 	n := r.varint("property length")
 	in := reader{b: r.take(n, "properties")}
@@ -342,6 +354,7 @@
 	return p
 }
 
+// flag reads a byte that must be 0 or 1.
 func (r *reader) flag(what string) byte {
 	v := r.byte(what)
 	if v > 1 {
@@ -350,6 +363,7 @@
 	return v
 }
 
+// prop reads the value of the property id into p.
 func (r *reader) prop(id int, p *Props) {
 	nonzero := func(zero bool, what string) {
 		if zero && r.err == nil {
@@ -425,7 +439,7 @@
 	}
 }
 
-// CheckTopic tells what is wrong with a topic name (4.7).
+// CheckTopic returns an error if t is not a valid topic name (4.7), else nil.
 func CheckTopic(t string) *Error {
 	switch {
 	case t == "":
@@ -436,7 +450,8 @@
 	return nil
 }
 
-// Will is a message that a client leaves for the end of its connection.
+// Will is the will message of a CONNECT (3.1.2.5): the server publishes it when the
+// connection ends without a DISCONNECT, or with one of code DisconnectWithWill.
 type Will struct {
 	Topic   string
 	Payload []byte
@@ -448,8 +463,8 @@
 // Connect is a CONNECT packet (3.1).
 type Connect struct {
 	Version   byte
-	Clean     bool // Clean Start, or Clean Session before 5.0
-	KeepAlive uint16
+	Clean     bool   // Clean Start; Clean Session in 3.1.1
+	KeepAlive uint16 // seconds, 0 for none
 	ClientID  string
 	Will      *Will
 	HasUser   bool
@@ -458,8 +473,9 @@
 	Props     Props
 }
 
-// ParseConnect reads the body of a CONNECT packet. With an unsupported
-// protocol the error's code is UnsupportedVersion.
+// ParseConnect decodes the body of a CONNECT packet. For an unsupported protocol
+// or version the error's code is UnsupportedVersion. With an error the returned
+// packet, unless nil, holds at least the version.
 func ParseConnect(first byte, body []byte) (*Connect, *Error) {
 	if first&0x0f != 0 {
 		return nil, malformed("CONNECT with flags 0x%X", first&0x0f)
@@ -526,11 +542,11 @@
 	Topic       string
 	ID          uint16
 	Props       Props
-	Payload     []byte // within the packet's bytes
+	Payload     []byte // shares memory with the decoded packet
 }
 
-// ParsePublish reads the body of a PUBLISH packet. An empty topic is left to
-// the caller, who knows the aliases.
+// ParsePublish decodes the body of a PUBLISH packet. In 5.0 an empty topic is
+// accepted; the caller resolves it by the connection's topic aliases.
 func ParsePublish(version, first byte, body []byte) (Publish, *Error) {
 	p := Publish{Dup: first&8 != 0, QoS: first >> 1 & 3, Retain: first&1 != 0}
 	if p.QoS == 3 {
@@ -570,7 +586,7 @@
 	Props Props
 }
 
-// ParseAck reads the body of one of the four acknowledgements.
+// ParseAck decodes the body of a PUBACK, PUBREC, PUBREL or PUBCOMP.
 func ParseAck(version, first byte, body []byte) (Ack, *Error) {
 	a := Ack{Kind: first >> 4}
 	want := byte(0)
@@ -594,7 +610,7 @@
 	return a, r.err
 }
 
-// Filter is one topic filter of a SUBSCRIBE.
+// Filter is one topic filter of a SUBSCRIBE or UNSUBSCRIBE. QoS is 0 in the latter.
 type Filter struct {
 	Topic string
 	QoS   byte
@@ -607,10 +623,11 @@
 	Props   Props
 }
 
-// mostFilters bounds the topic filters of one packet.
+// maxFilters is the largest number of topic filters in one packet.
 const maxFilters = 128
 
-// ParseSubscribe reads the body of either packet, by its first byte.
+// ParseSubscribe decodes the body of a SUBSCRIBE or an UNSUBSCRIBE; the type in
+// first tells which.
 func ParseSubscribe(version, first byte, body []byte) (*Subscribe, *Error) {
 	kind := first >> 4
 	if first&0x0f != 2 {
@@ -655,7 +672,8 @@
 	Props Props
 }
 
-// ParseDisconnect reads the body of a DISCONNECT packet.
+// ParseDisconnect decodes the body of a DISCONNECT packet. An empty body stands
+// for code 0.
 func ParseDisconnect(version, first byte, body []byte) (Disconnect, *Error) {
 	var d Disconnect
 	if first&0x0f != 0 || version == V311 && len(body) > 0 {
@@ -674,14 +692,14 @@
 	return d, r.err
 }
 
-// Connack is a CONNACK packet as a client reads it (3.2).
+// Connack is a CONNACK packet (3.2).
 type Connack struct {
-	Present bool
+	Present bool // Session Present
 	Code    byte
 	Props   Props
 }
 
-// ParseConnack reads the body of a CONNACK packet.
+// ParseConnack decodes the body of a CONNACK packet.
 func ParseConnack(version byte, body []byte) (Connack, *Error) {
 	r := reader{b: body}
 	a := Connack{Present: r.byte("acknowledge flags")&1 != 0, Code: r.byte("reason code")}
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -1,10 +1,10 @@
-// Package secure puts crypto/tls over non-blocking connections of an
-// engine. A handshake has a goroutine for as long as it lasts; after it, records
-// are opened on the connection's goroutine of the engine.
+// Package secure runs crypto/tls over the non-blocking connections of package
+// engine. Each handshake runs on a goroutine of its own; after it, records are
+// decrypted on the engine's goroutine of the connection.
 //
-// What makes it work: where the connection beneath has nothing to read,
-// tls.Conn.Read passes a temporary net.Error on, keeps the part of a record that
-// it has, and goes on with it at the next call.
+// It relies on tls.Conn.Read: when the underlying connection has nothing to read
+// and returns a temporary net.Error, Read returns that error, keeps the part of a
+// record that it has read, and continues with it at the next call.
 package secure
 
 import (
@@ -21,38 +21,43 @@
 	"basaltcross.example/basaltcross/internal/engine"
 )
 
-// errNothing says that no bytes are there now.
+// errWouldBlock is the temporary error of a non-blocking read with no bytes
+// available.
 type errWouldBlock struct{}
 
-func (errWouldBlock) Error() string   { return "secure: nothing to read now" }
+func (errWouldBlock) Error() string   { return "secure: no data available to read" }
 func (errWouldBlock) Timeout() bool   { return true }
 func (errWouldBlock) Temporary() bool { return true }
 
-// ErrFlood ends a connection whose reader cannot keep up with it.
-var ErrFlood = errors.New("secure: too much is waiting to be read")
+// ErrFlood is the error of a connection that is closed because over 1 MiB received
+// from its peer has not been read.
+var ErrFlood = errors.New("secure: more than 1 MiB received and not yet read")
 
-// farewell is how long the peer may take to read what was written before a close.
+// closeTimeout is the time that the peer has to read what was written before the
+// connection is closed.
 const closeTimeout = time.Second
 
-// most bytes that wait for a blocking reader.
+// maxBuffered is the number of received bytes, still encrypted, that are held for a
+// blocking reader.
 const maxBuffered = 1 << 20
 
-// Slots bound the handshakes that compute at once. One that waits for its peer
-// holds none, so that clients that stall hold no others up.
+// Slots limits the handshakes that compute at the same time to its capacity. A
+// handshake that waits for its peer holds no slot, so that clients that stall do not
+// delay others.
 type Slots chan struct{}
 
-// feed is the net.Conn beneath a tls.Conn: reads come from what the engine
-// hands over, writes go to the engine, which never blocks.
+// transport is the net.Conn beneath a tls.Conn. Reads return the bytes that the
+// engine delivered; writes go to the engine and never block.
 type transport struct {
 	nb    *engine.Conn
 	slots Slots
-	write func(*engine.Conn, []byte) (int, error) // nil for the engine's
+	write func(*engine.Conn, []byte) (int, error) // nil for nb.Write
 
 	mu          sync.Mutex
 	changed     sync.Cond
 	buf         []byte
 	err         error
-	nonBlocking bool // reads do not block
+	nonBlocking bool // reads return errWouldBlock instead of waiting
 	deadline    time.Time
 	timer       *time.Timer
 }
@@ -63,6 +68,8 @@
 	return tr
 }
 
+// deliver appends received bytes for Read. Beyond maxBuffered it closes the
+// connection with ErrFlood.
 func (tr *transport) deliver(b []byte) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -76,6 +83,8 @@
 	tr.changed.Broadcast()
 }
 
+// fail makes reads return err once the buffered bytes are read, unless an earlier
+// error is set.
 func (tr *transport) fail(err error) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -88,6 +97,9 @@
 	tr.changed.Broadcast()
 }
 
+// Read returns buffered bytes. While none are there it waits until the read
+// deadline, without its handshake slot, or returns errWouldBlock if reads are
+// non-blocking.
 func (tr *transport) Read(b []byte) (int, error) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -124,8 +136,10 @@
 	return tr.nb.Write(b)
 }
 
+// Close half-closes the connection, so that the peer can read what was written. It is
+// closed when the peer closes it too, or after closeTimeout.
 func (tr *transport) Close() error {
-	tr.nb.Finish(closeTimeout) // behind the alert that ends TLS
+	tr.nb.Finish(closeTimeout) // sends the pending close_notify alert first
 	return nil
 }
 
@@ -134,6 +148,8 @@
 func (tr *transport) SetWriteDeadline(time.Time) error { return nil } // writes never block
 func (tr *transport) SetDeadline(t time.Time) error    { return tr.SetReadDeadline(t) }
 
+// SetReadDeadline sets the deadline of blocking reads, zero for none, and wakes a
+// read that waits.
 func (tr *transport) SetReadDeadline(t time.Time) error {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -153,7 +169,7 @@
 	return nil
 }
 
-// Conn is one TLS connection.
+// Conn is one TLS connection over an engine.Conn.
 type Conn struct {
 	*tls.Conn
 	transport *transport
@@ -163,11 +179,12 @@
 	onData   func([]byte)
 }
 
-// Server begins TLS on an accepted connection. Raw bytes are to be handed to
-// Data, its end to End. After the handshake, within the time given, ready is
-// called on a goroutine of its own; it returns what takes in the plaintext, on
-// the connection's goroutine from then on, or nil: then it has used the connection as a
-// blocking one, and is done with it.
+// Server starts TLS on an accepted connection. The caller passes received bytes to
+// Data and calls End when the connection has ended. The handshake must finish within
+// timeout. After it, ready is called on the handshake's goroutine, with the error if
+// it failed. If ready returns a function, this is called with the plaintext on the
+// connection's goroutine from then on. If it returns nil, it has used c as a blocking
+// connection until its end.
 func Server(nb *engine.Conn, cfg *tls.Config, slots Slots, timeout time.Duration,
 	ready func(c *Conn, err error) func([]byte)) *Conn {
 	tr := newTransport(nb, slots)
@@ -185,7 +202,7 @@
 		_ = tr.SetReadDeadline(time.Time{})
 		onData := ready(c, err)
 		if err != nil {
-			nb.Finish(closeTimeout) // the alert that says why is read
+			nb.Finish(closeTimeout) // lets the peer read the alert that tells why
 			return
 		}
 		if onData != nil {
@@ -195,7 +212,8 @@
 	return c
 }
 
-// calm goes over from the handshake's goroutine to the connection's.
+// switchToNonBlocking ends the blocking reads of the handshake's goroutine. From then
+// on Data reads the plaintext, on the connection's goroutine, and passes it to onData.
 func (c *Conn) switchToNonBlocking(onData func([]byte)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,7 +224,7 @@
 	c.readPlaintext()
 }
 
-// Data takes in raw bytes, on the connection's goroutine.
+// Data accepts received bytes. It is called on the connection's goroutine.
 func (c *Conn) Data(b []byte) {
 	c.transport.deliver(b)
 	c.mu.Lock()
@@ -216,9 +234,11 @@
 	}
 }
 
-// buffers for plaintext, for the time of one drain.
+// plaintextBuffers holds buffers that readPlaintext uses for one call.
 var plaintextBuffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
+// readPlaintext passes all plaintext available to onData and closes the connection
+// on an error; under mu.
 func (c *Conn) readPlaintext() {
 	b := plaintextBuffers.Get().(*[]byte)
 	defer plaintextBuffers.Put(b)
@@ -236,16 +256,17 @@
 	}
 }
 
-// End says that the connection beneath has ended.
+// End must be called when the underlying connection has ended.
 func (c *Conn) End() { c.transport.fail(io.EOF) }
 
-// swap is a connection whose inside is exchanged after the handshake.
+// swapConn is a net.Conn whose underlying connection is replaced after the handshake.
 type swapConn struct{ net.Conn }
 
-// Client does the handshake on a connected socket, then hands it to the engine;
-// a wrapped socket that has an Unwrap is unwrapped for that.
-// Records are written by write, which must not block. made is called with the
-// engine's connection before any data can come.
+// Client does the TLS handshake on a connected socket, with blocking reads and
+// writes, then passes the socket to the engine; a wrapper that has an Unwrap method is
+// removed first. Records are written by write, which must not block. newHandler is
+// called with the engine's connection before any data can arrive, onData with the
+// plaintext from then on.
 func Client(ctx context.Context, raw net.Conn, cfg *tls.Config, sockets *engine.Engine,
 	write func(*engine.Conn, []byte) (int, error), newHandler func(*engine.Conn, *Conn) engine.Handler, onData func([]byte)) error {
 	s := &swapConn{raw}
@@ -271,5 +292,5 @@
 	return nil
 }
 
-// Handshakes counts by result, for metrics.
+// Handshakes counts TLS handshakes by their result, for metrics.
 type Handshakes struct{ OK, Failed atomic.Int64 }
