--- a/internal/mqttfront/again_test.go
+++ b/internal/mqttfront/again_test.go
@@ -11,7 +11,7 @@
 	"basaltcross.example/basaltcross/internal/mqtt"
 )
 
-// keeper notes whose answers were recorded as handed over.
+// keeper counts the identities whose answers were recorded as acknowledged.
 type keeper struct {
 	mu     sync.Mutex
 	handed int
@@ -31,21 +31,22 @@
 	return k.handed
 }
 
-// answer answers the newest hand-in that the door took.
+// answer answers the newest hand-in.
 func (d *fakeCore) answer(v ledger.Verdict) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.msgs[len(d.msgs)-1].Reply.Answer(ledger.Answer{Verdict: v, After: 10 * time.Millisecond})
 }
 
-// note is an answer as the client got it, with the packet id of its PUBLISH.
+// receivedAnswer is an answer that the client received, with the packet id of its PUBLISH.
 type receivedAnswer struct {
 	verdict string
 	id      uint16
-	handIn  bool // it names the hand-in with packet id 2
+	handIn  bool // its packet_id names the hand-in with packet id 2
 }
 
-// until reads up to the first packet of a kind, past those that may come before it.
+// readUntil reads packets up to the first of type want and returns its body. Packets of
+// the types in skip may precede it; any other fails the test.
 func (p *testClient) readUntil(want byte, skip ...byte) []byte {
 	p.t.Helper()
 	for {
@@ -59,17 +60,18 @@
 	}
 }
 
-// note reads the next answer, which is of QoS 1 or 2.
+// readAnswer reads the next answer, which must be of QoS 1 or 2.
 func (p *testClient) readAnswer(skip ...byte) receivedAnswer {
 	p.t.Helper()
 	q, err := mqtt.ParsePublish(mqtt.V5, 0x32, p.readUntil(mqtt.PUBLISH, skip...))
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return receivedAnswer{verdict: q.Props.Get("answer"), id: q.ID, handIn: strings.Contains(string(q.Payload), `"packet_id":2`)}
+	return receivedAnswer{verdict: q.Props.Get("answer"), id: q.ID,
+		handIn: strings.Contains(string(q.Payload), `"packet_id":2`)}
 }
 
-// acknowledge takes an answer's acknowledgement to its end.
+// acknowledge completes the acknowledgement of an answer.
 func (p *testClient) acknowledge(qos byte, id uint16) {
 	p.t.Helper()
 	if qos == 1 {
@@ -80,39 +82,43 @@
 	p.complete(id)
 }
 
-// receive and complete are the two halves of an acknowledgement of QoS 2.
+// receive does the first half of the acknowledgement of a QoS 2 answer: it sends PUBREC
+// and reads PUBREL.
 func (p *testClient) receive(id uint16) {
 	p.t.Helper()
 	p.send(mqtt.AppendAck(nil, mqtt.V5, mqtt.PUBREC, id, mqtt.Success, ""))
 	p.readUntil(mqtt.PUBREL)
 }
 
+// complete does the second half: it sends PUBCOMP.
 func (p *testClient) complete(id uint16) {
 	p.send(mqtt.AppendAck(nil, mqtt.V5, mqtt.PUBCOMP, id, mqtt.Success, ""))
 }
 
-// resume connects the client of a session again, which gets its answer once more.
+// resume reconnects the client of a session and checks that it receives the answer first
+// again.
 func resume(t *testing.T, p *testClient, addr string, first receivedAnswer) *testClient {
 	t.Helper()
 	_ = p.conn.Close()
 	p = dial(t, addr)
 	if !p.connect("c", mqtt.Props{SessionExpiry: 60}).Present {
-		t.Fatal("session is gone")
+		t.Fatal("CONNACK without Session Present, want the session resumed")
 	}
 	if again := p.readAnswer(); again != first {
-		t.Fatalf("resumed with %+v, want %+v", again, first)
+		t.Fatalf("answer after reconnecting %+v, want %+v", again, first)
 	}
 	return p
 }
 
-// ping waits until the front has handled all that was sent.
+// ping waits until the front has handled all packets sent before.
 func (p *testClient) ping() {
 	p.t.Helper()
 	p.send(mqtt.AppendEmpty(nil, mqtt.PINGREQ))
 	p.readUntil(mqtt.PINGRESP)
 }
 
-// answered is a client whose first hand-in got its answer, which it has not acknowledged.
+// answered returns a client that has received the answer of its first hand-in and has not
+// acknowledged it.
 func answered(t *testing.T, d *fakeCore, addr string, qos byte, v ledger.Verdict) (*testClient, receivedAnswer) {
 	t.Helper()
 	p := dial(t, addr)
@@ -124,21 +130,22 @@
 	d.answer(v)
 	first := p.readAnswer()
 	if first.verdict != v.String() {
-		t.Fatalf("answer %q, want %v", first.verdict, v)
+		t.Fatalf("first answer %q, want %v", first.verdict, v)
 	}
 	return p, first
 }
 
-// A client hands a message in again before it has acknowledged the earlier answer, as one
-// does that was told to come again at once. The core hears of it, and it gets an answer of
-// its own; what is recorded as handed over is that one only.
+// A client that hands a message in again before it acknowledges the earlier answer, as it
+// may after a refusal without a wait, must get a second answer: the core must receive the
+// second hand-in, and the identity may be recorded as finished only when the second answer
+// is acknowledged. Otherwise a restart would lose that answer.
 func TestHandInRepeatedBeforeItsAnswerIsAcknowledged(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		qos      byte
 		verdict  ledger.Verdict
-		received bool // the answer is between PUBREC and PUBCOMP
-		resumed  bool // on the session's next connection
+		received bool // the second hand-in comes between PUBREC and PUBCOMP of the first answer
+		resumed  bool // the second hand-in comes on the session's next connection
 	}{
 		{name: "refused, QoS 1", qos: 1, verdict: ledger.Refused},
 		{name: "refused, QoS 2", qos: 2, verdict: ledger.Refused},
@@ -161,7 +168,7 @@
 			p.send(publish(1, 2, "a"))
 			p.readUntil(mqtt.PUBACK)
 			if n := d.count(); n != 2 {
-				t.Fatalf("the core heard of %d hand-ins, want 2", n)
+				t.Fatalf("the core received %d hand-ins, want 2", n)
 			}
 			if c.received {
 				p.complete(first.id)
@@ -170,24 +177,25 @@
 			}
 			p.ping()
 			if n := k.count(); n != 0 {
-				t.Fatal("the identity counts as handed over while its second hand-in is owed an answer")
+				t.Fatal("the identity is recorded as finished before the second answer")
 			}
 			d.answer(ledger.Delivered)
 			second := p.readAnswer()
 			if second.verdict != "delivered" || !second.handIn {
-				t.Errorf("second answer %+v", second)
+				t.Errorf("second answer %+v, want delivered for packet id 2", second)
 			}
 			p.acknowledge(c.qos, second.id)
 			p.ping()
 			if n := k.count(); n != 1 {
-				t.Errorf("%d identities handed over, want 1", n)
+				t.Errorf("%d identities recorded as finished, want 1", n)
 			}
 		})
 	}
 }
 
-// An answer that was not sent yet gives way to that of a later hand-in; if that is not
-// taken, it stands.
+// A later hand-in of an identity replaces an answer that is not sent yet, so that the client
+// gets one answer only. If the core rejects the later hand-in, the first answer must still
+// be sent.
 func TestHandInRepeatedBeforeItsAnswerIsSent(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		d, k := &fakeCore{}, &keeper{}
@@ -195,7 +203,7 @@
 		p.connect("c", mqtt.Props{SessionExpiry: 60})
 		p.send(publish(1, 1, "a"))
 		p.readUntil(mqtt.PUBACK)
-		d.answer(ledger.Refused) // nobody is subscribed
+		d.answer(ledger.Refused) // not sent, as the client is not subscribed
 		d.waitHandled(t, p)
 		want := receivedAnswer{verdict: "delivered", handIn: true}
 		if d.busy = busy; busy {
@@ -203,7 +211,7 @@
 		}
 		p.send(publish(1, 2, "a"))
 		if body := p.readUntil(mqtt.PUBACK); (len(body) > 2 && body[2] == mqtt.QuotaExceeded) != busy {
-			t.Fatalf("busy %v: PUBACK %x", busy, body)
+			t.Fatalf("core busy %v: PUBACK %x", busy, body)
 		}
 		if !busy {
 			d.answer(ledger.Delivered)
@@ -211,18 +219,18 @@
 		p.send(mqtt.AppendSubscribe(nil, mqtt.V5, 9, mqtt.Filter{Topic: "answers/c", QoS: 1}))
 		got := p.readAnswer(mqtt.SUBACK)
 		if want.id = got.id; got != want {
-			t.Errorf("busy %v: answer %+v, want %+v", busy, got, want)
+			t.Errorf("core busy %v: answer %+v, want %+v", busy, got, want)
 		}
 		p.acknowledge(1, got.id)
-		p.ping() // nothing else comes
+		p.ping() // fails if another answer arrives
 		if n := k.count(); n != 1 {
-			t.Errorf("busy %v: %d identities handed over, want 1", busy, n)
+			t.Errorf("core busy %v: %d identities recorded as finished, want 1", busy, n)
 		}
 	}
 }
 
-// settle waits until the front has taken in what the core said: a hand-in's PUBACK comes
-// behind it.
+// waitHandled waits until the front has handled all replies of the core, by a hand-in whose
+// PUBACK follows them. It removes this hand-in from the received ones.
 func (d *fakeCore) waitHandled(t *testing.T, p *testClient) {
 	t.Helper()
 	p.send(publish(1, 90, "settle"))
@@ -232,8 +240,8 @@
 	d.msgs = d.msgs[:len(d.msgs)-1]
 }
 
-// A flow that is asked for again on the next connection is the hand-in that it was: it is
-// acknowledged, and the answer that was sent is its answer.
+// A PUBLISH that is retransmitted on the next connection is not a new hand-in: it is
+// acknowledged, and the core must not receive it a second time.
 func TestRetransmittedFlowIsNotANewHandIn(t *testing.T) {
 	d := &fakeCore{}
 	addr := start(t, d, nil)
@@ -244,12 +252,12 @@
 	p.acknowledge(1, first.id)
 	p.ping()
 	if n := d.count(); n != 1 {
-		t.Errorf("the core heard of %d hand-ins, want 1", n)
+		t.Errorf("the core received %d hand-ins, want 1", n)
 	}
 }
 
-// Answers that a client leaves without acknowledgement count against its bound, also those
-// whose identity it has handed in again.
+// Unacknowledged answers count against Options.Pending, also older ones of an identity that
+// was handed in again: without that a client could make the relay hold any number of them.
 func TestUnacknowledgedAnswersAreBounded(t *testing.T) {
 	const bound = 3
 	d := &fakeCore{autoAnswer: true}
@@ -266,18 +274,18 @@
 	again := publish(1, 50, "a")
 	p.send(again)
 	if body := p.readUntil(mqtt.PUBACK); len(body) < 3 || body[2] != mqtt.QuotaExceeded {
-		t.Fatalf("PUBACK %x past the bound", body)
+		t.Fatalf("PUBACK %x over the limit, want code Quota exceeded", body)
 	}
 	p.acknowledge(1, last.id)
 	p.send(again)
 	if body := p.readUntil(mqtt.PUBACK); len(body) > 2 && body[2] != mqtt.Success {
-		t.Fatalf("PUBACK %x below the bound", body)
+		t.Fatalf("PUBACK %x below the limit, want success", body)
 	}
 	p.readAnswer()
 }
 
-// A message of QoS 0 that is handed in again while it is under way has no acknowledgement,
-// as the first had none.
+// A QoS 0 message that is handed in again before its answer joins the first hand-in, and
+// must not be acknowledged: QoS 0 has no acknowledgement.
 func TestRepeatOfQoS0IsNotAcknowledged(t *testing.T) {
 	d := &fakeCore{}
 	p := dial(t, start(t, d, nil))
@@ -288,8 +296,9 @@
 	p.ping()
 }
 
-// A client uses a packet id again for another message, which the relay does not read before
-// the connection breaks: asked for again, it is that message and not the earlier one.
+// A client reuses a packet id for another message, and the connection breaks before the
+// relay reads it. Its retransmission must be handed in as the new message, not taken for a
+// retransmission of the earlier one with the same packet id.
 func TestPacketIDReusedForAnotherMessage(t *testing.T) {
 	d := &fakeCore{}
 	addr := start(t, d, nil)
@@ -304,6 +313,6 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if n := len(d.msgs); n != 2 || d.msgs[0].Identity == d.msgs[1].Identity {
-		t.Errorf("the core heard of %d hand-ins, want 2 of two identities", n)
+		t.Errorf("the core received %d hand-ins, want 2 of different identities", n)
 	}
 }
--- a/internal/mqttfront/answers.go
+++ b/internal/mqttfront/answers.go
@@ -13,34 +13,35 @@
 	"basaltcross.example/basaltcross/internal/mqtt"
 )
 
-// pending is one hand-in of this session, with those that joined it, until its answer is
-// handed over.
+// pending is a hand-in of a session whose answer the client has not acknowledged yet. A
+// hand-in of the same identity that arrives before the answer joins it.
 type pending struct {
 	session      *session
 	identity     string
-	earlier      *pending // whose place this one takes once it is taken; nil from then on
-	finished     bool     // nothing is owed for it any more
+	earlier      *pending // previous hand-in of the identity, replaced when this one is accepted; nil from then on
+	finished     bool     // answer acknowledged by the client, or replaced by a later one
 	topic        string   // of the answer
 	correlation  []byte
-	packetID     uint16
-	accepted     bool
-	waitingFlows []*flow // to acknowledge once taken
+	packetID     uint16  // of the hand-in's PUBLISH
+	accepted     bool    // by the core
+	waitingFlows []*flow // to acknowledge when the core accepts the hand-in
 	answer       ledger.Answer
-	// Of the answer on its way out.
+	// The PUBLISH of the answer.
 	sentID     uint16
 	sendOrder  uint64
 	qos        byte
-	pubrelSent bool // PUBREC came, PUBREL is out
+	pubrelSent bool // PUBREC received and PUBREL sent
 }
 
-// expect counts a hand-in as the newest of its identity.
+// addPending makes p the newest hand-in of its identity.
 func (s *session) addPending(p *pending) {
 	p.earlier = s.newest[p.identity]
 	s.newest[p.identity] = p
 	s.unfinished++
 }
 
-// turnAway forgets a hand-in that was not taken. The one before it is the newest again.
+// removeRejected removes a hand-in that the core did not accept. The previous hand-in of
+// its identity becomes the newest again.
 func (s *session) removeRejected(p *pending) {
 	s.unfinished--
 	delete(s.newest, p.identity)
@@ -53,8 +54,8 @@
 	}
 }
 
-// replace drops an answer that was not sent yet, as a later hand-in of its identity is owed
-// one. An answer that was sent stays until its acknowledgement (4.4).
+// dropUnsent drops an answer that is not sent yet, because a later hand-in of its identity
+// gets an answer of its own. An answer that was sent stays until it is acknowledged (4.4).
 func (s *session) dropUnsent(p *pending) {
 	if p == nil || p.finished || p.sentID != 0 {
 		return
@@ -64,7 +65,7 @@
 	p.finished = true
 }
 
-// answered takes in a final answer and sends it if the client is there.
+// queueAnswer stores the final answer of p and sends it if the client is connected.
 func (s *session) queueAnswer(p *pending, a ledger.Answer) {
 	if s.newest[p.identity] != p || p.answer.Verdict != 0 || s.removed {
 		return
@@ -74,7 +75,7 @@
 	s.sendAnswers()
 }
 
-// pump sends answers as far as the client's Receive Maximum and its
+// sendAnswers sends queued answers as far as the client's Receive Maximum and its
 // subscriptions allow.
 func (s *session) sendAnswers() {
 	if s.conn == nil || len(s.queue) == 0 {
@@ -112,17 +113,18 @@
 	}
 }
 
-// Note is the payload of an answer.
+// Note is the JSON payload of an answer.
 type Note struct {
 	Answer       string `json:"answer"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	PacketID     uint16 `json:"packet_id,omitempty"`
 }
 
+// encode returns the PUBLISH packet of the answer of p.
 func (s *session) encode(p *pending, qos byte, dup bool) []byte {
 	n := Note{Answer: p.answer.Verdict.String(), PacketID: p.packetID,
 		RetryAfterMS: int64(math.Ceil(float64(p.answer.After) / float64(time.Millisecond)))}
-	payload, _ := json.Marshal(n) // of plain fields: cannot fail
+	payload, _ := json.Marshal(n) // cannot fail for these field types
 	out := mqtt.Publish{Topic: p.topic, QoS: qos, ID: p.sentID, Dup: dup, Payload: payload}
 	if s.version == mqtt.V5 {
 		out.Props = mqtt.Props{PayloadFormat: 1, ContentType: "application/json", Correlation: p.correlation,
@@ -135,7 +137,8 @@
 	return mqtt.AppendPublish(nil, s.version, &out)
 }
 
-// resume sends again what the client did not acknowledge (4.4).
+// resendUnacked sends again, in the order of the first sending, what the client did not
+// acknowledge on its last connection (4.4), and then queued answers.
 func (s *session) resendUnacked() {
 	for _, p := range slices.SortedFunc(maps.Values(s.sent),
 		func(a, b *pending) int { return cmp.Compare(a.sendOrder, b.sendOrder) }) {
@@ -148,7 +151,7 @@
 	s.sendAnswers()
 }
 
-// acked takes in the client's acknowledgement of an answer.
+// handleAck handles the client's PUBACK, PUBREC or PUBCOMP of an answer.
 func (s *session) handleAck(a mqtt.Ack) {
 	p := s.sent[a.ID]
 	if p == nil {
@@ -171,8 +174,8 @@
 	}
 }
 
-// handed frees a hand-in whose answer the client has; under mu. The record of its identity
-// is that of the newest hand-in, whose answer may still be owed.
+// finish removes a hand-in whose answer the client has; under mu. The stored record of an
+// identity belongs to its newest hand-in, so that it is only marked as finished with that.
 func (s *session) finish(p *pending) {
 	p.finished = true
 	s.unfinished--
@@ -183,7 +186,7 @@
 	s.recordFinished(p.identity)
 }
 
-// settled records that nothing is owed for an identity; under mu.
+// recordFinished stores that the client has the answer of an identity; under mu.
 func (s *session) recordFinished(identity string) {
 	if k := s.front.opt.Keeper; k != nil {
 		k.Handed(identity)
--- a/internal/mqttfront/conn.go
+++ b/internal/mqttfront/conn.go
@@ -21,34 +21,35 @@
 	front         *Front
 	nb            *engine.Conn
 	sec           *secure.Conn // nil without TLS
-	out           io.Writer
-	certName      string // by a verified client certificate
+	out           io.Writer    // nb, or sec with TLS
+	certName      string       // common name of the verified client certificate, empty for none
 	opened        time.Time
-	last          atomic.Int64 // unix ns of the last packet
-	partialSince  atomic.Int64 // a half packet began; 0 for none
-	partialBytes  atomic.Int64 // bytes of it
+	last          atomic.Int64 // time of the last packet, as of front.Now
+	partialSince  atomic.Int64 // start of the partially received packet, as of front.Now; 0 for none
+	partialBytes  atomic.Int64 // bytes of the partially received packet
 	ended         atomic.Bool
-	writeMu       sync.Mutex  // held to write: nothing follows DISCONNECT (3.14)
-	discardWill   atomic.Bool // DISCONNECT came, the will is off
-	canDisconnect atomic.Bool // a CONNACK of 5.0 is out
+	writeMu       sync.Mutex  // held for each write and to set ended, as nothing may follow DISCONNECT (3.14)
+	discardWill   atomic.Bool // DISCONNECT received that discards the will
+	canDisconnect atomic.Bool // CONNACK of MQTT 5.0 sent, so that DISCONNECT may be sent
 
-	// Reading; under mu, which is held by whoever handles packets.
+	// Input state; guarded by mu, which is held while packets are handled.
 	mu        sync.Mutex
-	buf       []byte
+	buf       []byte // received, not yet handled
 	state     state
 	version   byte
 	session   *session
 	keepAlive time.Duration // 0 for none
 	aliases   map[uint16]string
 
-	// Set at CONNECT, under the session's mu from then on.
-	receiveMax      int    // client's Receive Maximum
-	clientMaxPacket int    // client's Maximum Packet Size
-	wantReason      bool   // reason strings are wanted
-	outQueue        []byte // to write once the session is let go
-	dirty           bool
+	// Set at CONNECT, guarded by the session's mu from then on.
+	receiveMax      int    // Receive Maximum of the client
+	clientMaxPacket int    // Maximum Packet Size of the client, 0 for none
+	wantReason      bool   // the client wants reason strings
+	outQueue        []byte // packets to write before the session's mu is released
+	dirty           bool   // on writeLoop's list of connections to flush
 }
 
+// state is the progress of a connection towards its session.
 type state int
 
 const (
@@ -57,23 +58,23 @@
 	connected
 )
 
-// later queues bytes until flush; under the session's mu.
+// enqueue queues a packet until flush; under the session's mu.
 func (c *conn) enqueue(b []byte) {
 	if c.clientMaxPacket > 0 && len(b) > c.clientMaxPacket {
-		return // 3.1.2.11.4: as if it had been sent
+		return // over the client's Maximum Packet Size: treated as sent (3.1.2.11.4)
 	}
 	c.outQueue = append(c.outQueue, b...)
 }
 
-// flush writes what later queued.
+// flush writes the queued packets.
 func (c *conn) flush() {
 	c.session.mu.Lock()
 	c.writeQueued()
 	c.session.mu.Unlock()
 }
 
-// write is flush under the session's mu, for the order; it never blocks, and an
-// error closes the connection.
+// writeQueued writes the queued packets; the caller holds the session's mu, which keeps
+// their order. It never blocks, and an error closes the connection.
 func (c *conn) writeQueued() {
 	b := c.outQueue
 	c.outQueue, c.dirty = nil, false
@@ -87,6 +88,7 @@
 	}
 }
 
+// reason returns text if the client wants reason strings, else "".
 func (c *conn) reason(text string) string {
 	if !c.wantReason {
 		return ""
@@ -94,8 +96,8 @@
 	return text
 }
 
-// end says why, where the version has a way to, and closes. It reports false for a
-// connection that has ended before.
+// end closes the connection, in MQTT 5.0 after a DISCONNECT with code and reason. It
+// returns false if the connection has ended before.
 func (c *conn) end(code byte, reason string) bool {
 	c.writeMu.Lock()
 	if c.ended.Swap(true) {
@@ -107,7 +109,7 @@
 	}
 	c.writeMu.Unlock()
 	c.front.opt.Observer.Closed(code)
-	if code == mqtt.QuotaExceeded { // its memory is wanted now
+	if code == mqtt.QuotaExceeded { // frees its buffers at once
 		_ = c.nb.Close()
 		return true
 	}
@@ -115,7 +117,7 @@
 	return true
 }
 
-// Data takes in what the socket gave.
+// Data accepts bytes received on the socket.
 func (c *conn) Data(b []byte) {
 	if c.sec != nil {
 		c.sec.Data(b)
@@ -124,13 +126,14 @@
 	c.handlePlaintext(b)
 }
 
-// ready goes on after the TLS handshake.
+// handshakeDone is called after the TLS handshake and returns the receiver of the
+// plaintext.
 func (c *conn) handshakeDone(s *secure.Conn, err error) func([]byte) {
 	c.front.opt.Observer.Handshake(err)
 	if err != nil {
 		return nil
 	}
-	if certs := s.ConnectionState().PeerCertificates; len(certs) > 0 { // verified, or the handshake had failed
+	if certs := s.ConnectionState().PeerCertificates; len(certs) > 0 { // verified by the handshake
 		c.mu.Lock()
 		c.certName = certs[0].Subject.CommonName
 		c.mu.Unlock()
@@ -138,13 +141,14 @@
 	return c.handlePlaintext
 }
 
+// handlePlaintext accepts received MQTT bytes.
 func (c *conn) handlePlaintext(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.process(b)
 }
 
-// process handles whole packets and keeps the rest; under mu.
+// process handles complete packets and keeps the rest; under mu.
 func (c *conn) process(b []byte) {
 	buffered := len(c.buf) > 0
 	if buffered {
@@ -199,7 +203,8 @@
 	c.front.reserve(c, len(b)-int(c.partialBytes.Load()))
 }
 
-// refuse ends the connection for a fault, within CONNACK if none was sent.
+// refuse closes the connection for an error of the client, with a CONNACK of the error's
+// code if none was sent.
 func (c *conn) refuse(err *mqtt.Error) {
 	if c.session != nil || c.ended.Load() {
 		c.end(err.Code, err.Text)
@@ -231,7 +236,8 @@
 	c.end(err.Code, err.Text)
 }
 
-// overdue ends a connection whose time for something is over.
+// checkTimeouts closes a connection that exceeds the time limit of a packet, of CONNECT
+// or of its keep-alive.
 func (c *conn) checkTimeouts(now time.Time) {
 	wait := c.front.opt.Handshake
 	if since := c.partialSince.Load(); since != 0 && front.Nanos(now)-since > int64(wait) {
@@ -249,7 +255,7 @@
 	}
 }
 
-// Closed takes in the end of the connection.
+// Closed is called when the connection has ended. It detaches the session.
 func (c *conn) Closed() {
 	f := c.front
 	if c.sec != nil {
@@ -284,7 +290,7 @@
 	f.expire(s, time.Now())
 }
 
-// packet handles one packet.
+// handlePacket handles one packet.
 func (c *conn) handlePacket(first byte, body []byte) *mqtt.Error {
 	kind := first >> 4
 	if c.state == awaitingConnect {
@@ -325,6 +331,7 @@
 	return nil
 }
 
+// disconnect handles DISCONNECT.
 func (c *conn) disconnect(first byte, body []byte) *mqtt.Error {
 	d, err := mqtt.ParseDisconnect(c.version, first, body)
 	if err != nil {
@@ -347,11 +354,13 @@
 	return nil
 }
 
+// boundedExpiry returns a Session Expiry Interval, limited to Options.SessionExpiry.
 func (f *Front) boundedExpiry(seconds uint32) time.Duration {
 	return min(time.Duration(seconds)*time.Second, f.opt.SessionExpiry)
 }
 
-// connect handles CONNECT: checks, then the password on another goroutine, then the session.
+// connect handles CONNECT: it checks the packet, checks the password on another goroutine
+// unless it is cached, and then admits the client.
 func (c *conn) connect(first byte, body []byte) *mqtt.Error {
 	in, err := mqtt.ParseConnect(first, body)
 	if in != nil {
@@ -385,10 +394,10 @@
 		if len(w.Payload) > c.front.opt.Body {
 			return &mqtt.Error{Code: mqtt.PacketTooLarge, Text: "will payload is over the limit"}
 		}
-		w.Payload = bytes.Clone(w.Payload) // it outlives the packet
+		w.Payload = bytes.Clone(w.Payload) // the packet's memory is reused
 		w.Props.Correlation = bytes.Clone(w.Props.Correlation)
 	}
-	if c.certName != "" { // its certificate is its user name, and stands for the password
+	if c.certName != "" { // the certificate's name is the user name; no password is needed
 		in.User = c.certName
 		return c.admit(in)
 	}
@@ -432,7 +441,8 @@
 	return nil
 }
 
-// admit gives the client its session and says CONNACK.
+// admit attaches the client's session or a new one to the connection and sends CONNACK
+// and what is due to the client.
 func (c *conn) admit(in *mqtt.Connect) *mqtt.Error {
 	f := c.front
 	keep := time.Duration(in.KeepAlive) * time.Second
@@ -480,7 +490,8 @@
 	}
 	present := s != nil
 	if s == nil {
-		s = &session{id: in.ClientID, user: in.User, createdAt: time.Now().UnixNano(), front: f, subs: map[string]byte{}, newest: map[string]*pending{}}
+		s = &session{id: in.ClientID, user: in.User, createdAt: time.Now().UnixNano(), front: f,
+			subs: map[string]byte{}, newest: map[string]*pending{}}
 		f.sessions[in.ClientID] = s
 		s.mu.Lock()
 	}
@@ -519,16 +530,19 @@
 	if before != nil {
 		go before.end(mqtt.SessionTakenOver, "another connection has this client identifier")
 	}
-	// A will of a connection that was taken over, or of a session that ends
-	// with it, is due at once unless its delay runs on with the session.
+	// The will of a connection that was taken over is due now if it has no delay, and so is
+	// any will of a session that has ended. Else its delay continues with the session.
 	if will != nil && (!present || before != nil && will.Props.WillDelay == 0) {
 		go f.publishWill(s, will)
 	}
 	return nil
 }
 
+// answersTopic returns the topic of a client's answers, unless a PUBLISH names another by
+// its Response Topic.
 func answersTopic(clientID string) string { return "answers/" + clientID }
 
+// publish handles PUBLISH.
 func (c *conn) publish(first byte, body []byte) *mqtt.Error {
 	p, err := mqtt.ParsePublish(c.version, first, body)
 	if err != nil {
--- a/internal/mqttfront/front.go
+++ b/internal/mqttfront/front.go
@@ -1,8 +1,10 @@
-// Package mqttfront is the relay's MQTT front: connections, sessions, and the
-// way of a PUBLISH into the core and of its final answer back. It is a delivery
-// service's door and no broker: what is published under send/<class>/<partner>
-// is handed in, and the only messages that come out are final answers, each to
-// the session that handed its message in.
+// Package mqttfront is the relay's MQTT server. It keeps connections and sessions,
+// hands each PUBLISH to send/<class>/<partner> in to the core, and publishes the
+// message's final answer to the session that handed it in.
+//
+// It is not a broker: clients cannot publish to each other, and the only messages
+// that it publishes are final answers. Section numbers in comments are those of
+// MQTT 5.0.
 package mqttfront
 
 import (
@@ -26,53 +28,55 @@
 	"basaltcross.example/basaltcross/internal/secure"
 )
 
-// Observer is told what passes.
+// Observer receives the front's metrics and log lines.
 type Observer interface {
-	// Connections and sessions now, half packets held, answers owed to sessions.
+	// Front reports, at each tick, the number of connections and of sessions, and the
+	// bytes of partially received packets.
 	Front(connections, sessions int, partial int64)
-	// Closed counts connections that the front ended, by reason code.
+	// Closed is called for each connection that the front closes, with the reason code.
 	Closed(code byte)
-	// NotTaken counts messages turned away at the door, by reason.
+	// NotTaken is called for each message that is not accepted, with the reason.
 	NotTaken(reason string)
-	// Handshake counts TLS handshakes by their result.
+	// Handshake is called after each TLS handshake, with its error or nil.
 	Handshake(err error)
 	Logf(format string, args ...any)
 }
 
-// Options of a Front. Every bound is per relay unless it says otherwise.
+// Options configures a Front. Limits apply to the whole front unless stated otherwise.
 type Options struct {
-	Listen         []string // without TLS
-	TLSListen      []string
+	Listen         []string // addresses to listen on without TLS
+	TLSListen      []string // addresses to listen on with TLS
 	TLS            *tls.Config
 	Slots          secure.Slots
 	Names          front.Names
-	Body           int // bytes of a payload at most
-	Connections    int // at the bound new ones are closed at once
-	Sessions       int // at the bound new ones are refused with 0x97
-	ReceiveMaximum int // of each connection
-	TopicAliases   int
-	Pending        int // answers owed to one session; at the bound nothing is taken from it
-	Partial        int64
-	SessionExpiry  time.Duration
-	KeepAlive      time.Duration
-	Handshake      time.Duration // for a CONNECT, and for the rest of a begun packet
-	WriteBuffer    int           // bytes that wait for one connection; over it, it is closed
-	Users          map[string]string
+	Body           int               // largest payload, in bytes
+	Connections    int               // at this limit new ones are closed at once
+	Sessions       int               // at this limit new ones are refused with 0x97 (Quota exceeded)
+	ReceiveMaximum int               // per connection, as announced to the client
+	TopicAliases   int               // Topic Alias Maximum, per connection
+	Pending        int               // hand-ins of a session with an unacknowledged answer; at this limit more are rejected
+	Partial        int64             // bytes of partially received packets
+	SessionExpiry  time.Duration     // longest Session Expiry Interval granted
+	KeepAlive      time.Duration     // longest keep-alive interval granted; MQTT 5.0 only
+	Handshake      time.Duration     // time limit until CONNECT is accepted, and to complete a packet
+	WriteBuffer    int               // unsent bytes of one connection; over this limit it is closed
+	Users          map[string]string // bcrypt hash by user name; if empty, any client may connect
 	Door           front.Door
 	Observer       Observer
-	Keeper         front.Keeper // nil: sessions end with the process
-	// Before is called once before the front listens, to restore what an earlier run kept.
+	Keeper         front.Keeper // stores sessions and answers for a restart; nil for none
+	// Before, if set, is called once before the front listens, to restore the sessions
+	// and messages of an earlier run.
 	Before func(*Front)
 }
 
-// Front serves MQTT.
+// Front is an MQTT server.
 type Front struct {
 	opt       Options
 	tlsAddrs  []string
-	max       int // bytes of a packet
+	max       int // largest packet, in bytes
 	addrs     []string
 	listeners []*front.Listeners
-	startedAt int64 // tells serial numbers of this run from those of earlier ones
+	startedAt int64 // Unix time in ns; makes the serial numbers of this run unique among runs
 
 	mu       sync.Mutex
 	sessions map[string]*session
@@ -80,25 +84,26 @@
 	stopping bool
 	draining atomic.Bool
 
-	partialTotal atomic.Int64 // bytes of half packets held
+	partialTotal atomic.Int64 // bytes of partially received packets
 	stop         chan struct{}
 	goroutines   sync.WaitGroup
 	outbox       *front.Outbox[*pending]
 	auth         authenticator
 }
 
-// most subscriptions and most bytes before CONNECT of one client.
+// Limits that are not configurable.
 const (
-	maxSubscriptions = 64
-	maxBeforeConnack = 64 << 10
-	packetOverhead   = 8 << 10 // of a packet beside its payload
-	maxAuthWaiting   = 256
+	maxSubscriptions = 64       // of one session
+	maxBeforeConnack = 64 << 10 // bytes received from a client before its CONNACK
+	packetOverhead   = 8 << 10  // bytes of a packet other than its payload
+	maxAuthWaiting   = 256      // connections that wait for their password check
 )
 
-// New opens the listeners.
+// New restores earlier sessions by Options.Before, opens the listeners and starts the
+// front.
 func New(opt Options) (*Front, error) {
-	f := &Front{opt: opt, max: opt.Body + packetOverhead, startedAt: time.Now().UnixNano(), sessions: map[string]*session{}, conns: map[*conn]struct{}{},
-		stop: make(chan struct{})}
+	f := &Front{opt: opt, max: opt.Body + packetOverhead, startedAt: time.Now().UnixNano(),
+		sessions: map[string]*session{}, conns: map[*conn]struct{}{}, stop: make(chan struct{})}
 	f.outbox = front.NewOutbox[*pending]()
 	f.auth = authenticator{users: opt.Users, slots: make(chan struct{}, 2), verified: map[string][32]byte{}}
 	if _, err := rand.Read(f.auth.salt[:]); err != nil {
@@ -112,7 +117,8 @@
 			continue
 		}
 		l, err := front.Listen(front.Sockets{Name: "mqtt", Addrs: addrs, ReadBuffer: 64 << 10,
-			WriteBuffer: opt.WriteBuffer, Open: func(nb *engine.Conn, _ time.Duration) front.Conn { return f.open(nb, i == 1) },
+			WriteBuffer: opt.WriteBuffer,
+			Open:        func(nb *engine.Conn, _ time.Duration) front.Conn { return f.open(nb, i == 1) },
 			Failed: func(err error) {
 				if !f.draining.Load() {
 					opt.Observer.Logf("mqtt: accept: %v", err)
@@ -136,12 +142,15 @@
 	return f, nil
 }
 
-// Addrs and TLSAddrs are the addresses listened on.
-func (f *Front) Addrs() []string    { return f.addrs }
+// Addrs returns the addresses that the front listens on without TLS.
+func (f *Front) Addrs() []string { return f.addrs }
+
+// TLSAddrs returns the addresses that the front listens on with TLS.
 func (f *Front) TLSAddrs() []string { return f.tlsAddrs }
 
-// Drain closes the listeners and says goodbye, with reason 0x8B, to each client
-// once it is owed nothing, so that it goes to another relay.
+// Drain closes the listeners and disconnects each client, with reason 0x8B (Server
+// shutting down), as soon as all its answers are acknowledged, so that it connects to
+// another relay.
 func (f *Front) Drain() {
 	f.mu.Lock()
 	f.stopping = true
@@ -159,8 +168,8 @@
 	}
 }
 
-// Close says goodbye with reason 0x8B and ends all connections. Answers that
-// reached the front before are written first.
+// Close drains the front, writes the answers that it has received from the core, and
+// then closes all connections with reason 0x8B.
 func (f *Front) Close() {
 	f.Drain()
 	f.mu.Lock()
@@ -179,6 +188,8 @@
 	}
 }
 
+// open accepts a connection, or returns nil at the limit of connections and while the
+// front drains.
 func (f *Front) open(nb *engine.Conn, secured bool) front.Conn {
 	c := &conn{front: f, nb: nb, out: nb}
 	now := time.Now()
@@ -201,7 +212,8 @@
 	return c
 }
 
-// janitor looks after everything that ends by time.
+// expiryLoop closes connections and ends sessions whose time is over, every 100 ms,
+// until the front stops.
 func (f *Front) expiryLoop() {
 	defer f.goroutines.Done()
 	tick := time.NewTicker(100 * time.Millisecond)
@@ -235,7 +247,8 @@
 	}
 }
 
-// expire publishes a will that is due and drops a session whose time is over.
+// expire publishes the will of a disconnected session if its delay is over, and removes
+// the session if it has expired.
 func (f *Front) expire(s *session, now time.Time) {
 	f.mu.Lock()
 	s.mu.Lock()
@@ -265,8 +278,8 @@
 	}
 }
 
-// reserve accounts for bytes of half packets. At the bound the connection that
-// holds most of them is closed.
+// reserve adds n, which may be negative, to the bytes of partially received packets of
+// c. Over Options.Partial it closes the connection that holds most of them.
 func (f *Front) reserve(c *conn, n int) {
 	c.partialBytes.Add(int64(n))
 	if f.partialTotal.Add(int64(n)) <= f.opt.Partial || n <= 0 {
@@ -278,13 +291,14 @@
 			return
 		}
 		if most.end(mqtt.QuotaExceeded, "half packets hold too much memory") {
-			f.partialTotal.Add(-most.partialBytes.Swap(0)) // not again for the next one
+			f.partialTotal.Add(-most.partialBytes.Swap(0)) // freed at once, so that the next call does not close another connection
 			return
 		}
 	}
 }
 
-// holdsMost is the connection that holds most of half packets, among those that have not ended.
+// largestPartial returns the open connection that holds most bytes of a partially
+// received packet, or nil if none is open.
 func (f *Front) largestPartial() (most *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -296,7 +310,8 @@
 	return most
 }
 
-// write tells clients what the core said, each connection in one write.
+// writeLoop passes the core's replies to the sessions, until the front stops. Each batch
+// of replies is sent in one write per connection.
 func (f *Front) writeLoop() {
 	defer f.goroutines.Done()
 	var dirty []*conn
@@ -323,19 +338,22 @@
 	})
 }
 
-// authenticator checks passwords on goroutines of its own, two at a time; a password
-// that was right is remembered by a salted hash, so that reconnects are cheap.
+// authenticator checks passwords against bcrypt hashes, two at a time. The salted
+// SHA-256 digest of a password that was right is cached, so that a reconnect needs no
+// bcrypt.
 type authenticator struct {
-	users    map[string]string // bcrypt by name; none: anyone
+	users    map[string]string // bcrypt hash by user name
 	slots    chan struct{}
 	waiting  atomic.Int32
 	salt     [32]byte
 	mu       sync.Mutex
-	verified map[string][32]byte // at most one for each user
+	verified map[string][32]byte // digest of the last right password, by user name
 }
 
 var errBusy = errors.New("mqtt: too many connections wait for their password check")
 
+// checkCached compares a password with the cached digest of its user. sure is false if
+// there is none, and ok then too.
 func (a *authenticator) checkCached(user string, password []byte) (ok, sure bool) {
 	hash, exists := a.users[user]
 	if !exists || hash == "" {
@@ -348,6 +366,7 @@
 	return there && subtle.ConstantTimeCompare(known[:], sum[:]) == 1, there
 }
 
+// digest returns the salted SHA-256 of a user name and password.
 func (a *authenticator) digest(user string, password []byte) [32]byte {
 	h := sha256.New()
 	h.Write(a.salt[:])
@@ -356,7 +375,9 @@
 	return [32]byte(h.Sum(nil))
 }
 
-// check blocks for as long as bcrypt takes. An unknown user costs the same.
+// check compares a password with its bcrypt hash; it blocks meanwhile, and before that
+// until a slot is free. For an unknown user it compares with another user's hash and
+// fails, so that its time does not tell which users exist.
 func (a *authenticator) check(user string, password []byte) (bool, error) {
 	if a.waiting.Add(1) > maxAuthWaiting {
 		a.waiting.Add(-1)
--- a/internal/mqttfront/front_test.go
+++ b/internal/mqttfront/front_test.go
@@ -18,7 +18,8 @@
 	"basaltcross.example/basaltcross/internal/mqtt"
 )
 
-// door takes everything and answers when told to.
+// fakeCore accepts each hand-in unless it is busy. It answers at once with autoAnswer, else
+// when the test calls answer.
 type fakeCore struct {
 	mu         sync.Mutex
 	msgs       []*core.Message
@@ -48,6 +49,7 @@
 	return len(d.msgs)
 }
 
+// nopObserver ignores all reports.
 type nopObserver struct{}
 
 func (nopObserver) Front(int, int, int64) {}
@@ -56,6 +58,7 @@
 func (nopObserver) Handshake(error)       {}
 func (nopObserver) Logf(string, ...any)   {}
 
+// start starts a front with small limits, changed by change, and returns its address.
 func start(t *testing.T, d *fakeCore, change func(*Options)) string {
 	t.Helper()
 	o := Options{Listen: []string{"127.0.0.1:0"}, Body: 4096, Connections: 100, Sessions: 100, ReceiveMaximum: 4,
@@ -74,7 +77,7 @@
 	return f.Addrs()[0]
 }
 
-// peer is a client that says what the test wants.
+// testClient is a client that sends the bytes of the test.
 type testClient struct {
 	t    *testing.T
 	conn net.Conn
@@ -94,7 +97,7 @@
 
 func (p *testClient) send(b []byte) { _, _ = p.conn.Write(b) }
 
-// next is the next packet; type 0 at the end of the connection.
+// next reads the next packet. Its type is 0 if the connection was closed.
 func (p *testClient) next() (kind byte, body []byte) {
 	p.t.Helper()
 	for {
@@ -110,7 +113,7 @@
 		n, e := p.conn.Read(more)
 		var ne net.Error
 		if errors.As(e, &ne) && ne.Timeout() {
-			p.t.Fatal("the connection stays open")
+			p.t.Fatal("connection not closed within 20 s")
 		}
 		if e != nil {
 			return 0, nil
@@ -119,6 +122,7 @@
 	}
 }
 
+// connect returns a CONNECT of MQTT 5.0.
 func connect(id string, props mqtt.Props) []byte {
 	return mqtt.AppendConnect(nil, &mqtt.Connect{Version: mqtt.V5, ClientID: id, Props: props})
 }
@@ -129,11 +133,12 @@
 	kind, body := p.next()
 	a, err := mqtt.ParseConnack(mqtt.V5, body)
 	if kind != mqtt.CONNACK || err != nil {
-		p.t.Fatalf("packet type %d, %v", kind, err)
+		p.t.Fatalf("packet type %d, error %v, want CONNACK", kind, err)
 	}
 	return a
 }
 
+// publish returns a PUBLISH to send/status/p, with corr as Correlation Data unless empty.
 func publish(qos byte, id uint16, corr string, more ...func(*mqtt.Publish)) []byte {
 	p := mqtt.Publish{QoS: qos, ID: id, Topic: "send/status/p", Payload: []byte("x")}
 	if corr != "" {
@@ -145,8 +150,8 @@
 	return mqtt.AppendPublish(nil, mqtt.V5, &p)
 }
 
-// What the standard forbids and what is not offered: the standard's code,
-// then the connection is closed.
+// A packet that violates the protocol, exceeds a limit or uses a feature that is not offered
+// must end the connection, with a DISCONNECT of the standard's reason code.
 func TestProtocolViolationsCloseTheConnection(t *testing.T) {
 	addr := start(t, &fakeCore{}, nil)
 	many := []byte{}
@@ -198,7 +203,7 @@
 	}
 }
 
-// Refusals at CONNECT, each with the code of its version.
+// A refused CONNECT must get a CONNACK with the code of its own protocol version.
 func TestConnectRefusedWithTheCodeOfItsVersion(t *testing.T) {
 	hash, err := bcrypt.GenerateFromPassword([]byte("secret"), bcrypt.MinCost)
 	if err != nil {
@@ -239,7 +244,8 @@
 	}
 }
 
-// What a broker would offer is announced as missing and refused by code.
+// Features of a broker that this front lacks must be declared as unavailable in CONNACK,
+// and their use refused by reason code.
 func TestUnsupportedFeaturesAreAnnouncedAndRefused(t *testing.T) {
 	p := dial(t, start(t, &fakeCore{}, nil))
 	a := p.connect("c", mqtt.Props{RequestResponse: 1})
@@ -260,8 +266,9 @@
 	}
 }
 
-// An answer of QoS 2 goes its four steps, resumes where it was, and counts
-// against the client's Receive Maximum.
+// The QoS 2 exchange of an answer must resume at the step that it had reached when the
+// connection broke, before and after PUBREC, and the answer must count against the client's
+// Receive Maximum until PUBCOMP.
 func TestAnswersResume(t *testing.T) {
 	d := &fakeCore{autoAnswer: true}
 	addr := start(t, d, nil)
@@ -281,35 +288,36 @@
 		}
 	}
 	if seen[mqtt.PUBLISH] != 1 {
-		t.Fatalf("%v: over the client's Receive Maximum", seen)
+		t.Fatalf("packets by type %v: more answers than the client's Receive Maximum of 1", seen)
 	}
 	_ = p.conn.Close()
 	p = dial(t, addr)
 	if a := p.connect("c", props); !a.Present {
-		t.Fatal("session is gone")
+		t.Fatal("CONNACK without Session Present, want the session resumed")
 	}
-	kind, body := p.next() // again, as it was not acknowledged
+	kind, body := p.next() // sent again, as it was not acknowledged
 	if q, _ := mqtt.ParsePublish(mqtt.V5, 0x3c, body); kind != mqtt.PUBLISH || q.ID != id || string(q.Props.Correlation) != "a" {
 		t.Fatalf("packet type %d %x", kind, body)
 	}
 	p.send(mqtt.AppendAck(nil, mqtt.V5, mqtt.PUBREC, id, 0, ""))
 	if kind, _ := p.next(); kind != mqtt.PUBREL {
-		t.Fatalf("packet type %d after PUBREC", kind)
+		t.Fatalf("packet type %d after PUBREC, want PUBREL", kind)
 	}
 	_ = p.conn.Close()
 	p = dial(t, addr)
 	p.connect("c", props)
 	if kind, _ := p.next(); kind != mqtt.PUBREL {
-		t.Fatalf("packet type %d after resuming within QoS 2", kind)
+		t.Fatalf("packet type %d after reconnecting between PUBREC and PUBCOMP, want PUBREL", kind)
 	}
 	p.send(mqtt.AppendAck(nil, mqtt.V5, mqtt.PUBCOMP, id, 0, ""))
 	kind, body = p.next()
 	if q, _ := mqtt.ParsePublish(mqtt.V5, 0x34, body); kind != mqtt.PUBLISH || string(q.Props.Correlation) != "b" {
-		t.Fatalf("packet type %d %x after the first is done", kind, body)
+		t.Fatalf("packet type %d %x after PUBCOMP, want the second answer", kind, body)
 	}
 }
 
-// A session is owed only so many answers; a busy core takes nothing.
+// A hand-in must be rejected with Quota exceeded when Options.Pending is reached, and when
+// the core is busy.
 func TestPendingLimitAndBusyCoreReject(t *testing.T) {
 	d := &fakeCore{}
 	addr := start(t, d, func(o *Options) { o.ReceiveMaximum = 100 })
@@ -333,8 +341,9 @@
 	}
 }
 
-// Half packets of many connections stay within their memory, and a client
-// that does not read its answers loses its connection; others go on.
+// Partially received packets of many connections must stay within Options.Partial, and the
+// connection of a client that does not read its answers must be closed, so that neither
+// exhausts the memory. Other clients must be served meanwhile.
 func TestPartialPacketsAndSlowReaderAreBounded(t *testing.T) {
 	d := &fakeCore{}
 	addr := start(t, d, func(o *Options) {
@@ -350,14 +359,14 @@
 		go func() { _, _ = io.Copy(io.Discard, p.conn); closed <- i }()
 		good.send(publish(1, uint16(i+1), fmt.Sprint(i)))
 		if kind, body := good.next(); kind != mqtt.PUBACK || len(body) > 2 && body[2] != 0 {
-			t.Fatalf("the good client got packet type %d %x", kind, body)
+			t.Fatalf("well-behaved client got packet type %d %x, want PUBACK", kind, body)
 		}
 	}
-	for range 40 - 256/32 { // no more are held than fit
+	for range 40 - 256/32 { // 32 KiB each, and only Options.Partial of 256 KiB may be held
 		select {
 		case <-closed:
 		case <-time.After(5 * time.Second):
-			t.Fatal("half packets over the bound are held")
+			t.Fatal("connections with partial packets over Options.Partial are not closed")
 		}
 	}
 	slow := dial(t, addr)
@@ -377,23 +386,24 @@
 	}
 	var ne net.Error
 	if err == nil || errors.As(err, &ne) && ne.Timeout() {
-		t.Errorf("%v: %d answers are kept for a client that does not read", err, d.count()-before)
+		t.Errorf("error %v: connection stays open with %d answers to a client that does not read", err, d.count()-before)
 	}
-	t.Logf("%v after %d messages", err, d.count()-before)
+	t.Logf("slow reader disconnected: %v after %d messages", err, d.count()-before)
 	good.send(mqtt.AppendEmpty(nil, mqtt.PINGREQ))
 	if kind, _ := good.next(); kind != mqtt.PINGRESP {
-		t.Errorf("the good client got packet type %d", kind)
+		t.Errorf("well-behaved client got packet type %d, want PINGRESP", kind)
 	}
 }
 
-// Nothing comes within one and a half keep-alive times, or a packet is not
-// finished: closed. The will is handed in then, and not after a goodbye.
+// A connection must be closed when nothing arrives within one and a half keep-alive
+// intervals, or when a packet is not completed in time. The will must be handed in then,
+// and must not be after a DISCONNECT.
 func TestKeepAliveAndWill(t *testing.T) {
 	d := &fakeCore{}
 	addr := start(t, d, func(o *Options) { o.Handshake = 300 * time.Millisecond })
 	will := func(id string) []byte {
 		b := mqtt.AppendConnect(nil, &mqtt.Connect{Version: mqtt.V5, ClientID: id, KeepAlive: 1, Clean: true})
-		b[9] |= 4 // a will of QoS 0
+		b[9] |= 4 // will flag, QoS 0
 		b[1] += byte(1 + 2 + len("send/status/p") + 2 + 1)
 		b = append(b, 0, 0, byte(len("send/status/p")))
 		b = append(b, "send/status/p"...)
@@ -421,9 +431,9 @@
 	p.connect("half", mqtt.Props{})
 	p.send([]byte{0x30, 0x20, 0})
 	if kind, body := p.next(); kind != mqtt.DISCONNECT || body[0] != mqtt.ProtocolError {
-		t.Errorf("half packet: type %d %x", kind, body)
+		t.Errorf("partial packet: type %d %x, want DISCONNECT with Protocol Error", kind, body)
 	}
 	if d.count() != 1 {
-		t.Errorf("%d wills handed in", d.count())
+		t.Errorf("%d wills handed in, want 1", d.count())
 	}
 }
--- a/internal/mqttfront/handin.go
+++ b/internal/mqttfront/handin.go
@@ -12,12 +12,13 @@
 	"basaltcross.example/basaltcross/internal/mqtt"
 )
 
-// publish hands a message in, or finds the one that it repeats.
+// publish hands in the message of a PUBLISH, unless it is a retransmission of one that
+// was handed in.
 func (s *session) publish(c *conn, p *mqtt.Publish) *mqtt.Error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conn != c {
-		return nil // taken over meanwhile
+		return nil // another connection took the session over
 	}
 	fl := &flow{id: p.ID, qos: p.QoS, epoch: s.epoch}
 	switch p.QoS {
@@ -25,11 +26,11 @@
 		if old := s.qos1Flows[p.ID]; s.isRetransmission(p, old) {
 			fl = old
 			if old.epoch == s.epoch && !old.accepted {
-				return nil // its acknowledgement is on the way
+				return nil // acknowledged when the core accepts it
 			}
 		}
 	case 2:
-		if old := s.restoredQoS2[p.ID]; s.isRetransmission(p, old) { // of an earlier run
+		if old := s.restoredQoS2[p.ID]; s.isRetransmission(p, old) { // QoS 2 flow of an earlier run
 			old.epoch = s.epoch
 			s.qos2Flows, s.inFlight = orNewMap(s.qos2Flows), s.inFlight+1
 			s.qos2Flows[p.ID] = old
@@ -60,6 +61,7 @@
 	return nil
 }
 
+// orNewMap returns m, or an empty map if m is nil.
 func orNewMap(m map[uint16]*flow) map[uint16]*flow {
 	if m == nil {
 		return map[uint16]*flow{}
@@ -67,8 +69,9 @@
 	return m
 }
 
-// repeats tells whether a PUBLISH asks for a flow again. Its packet id may have been used
-// by an earlier flow, and the one that it repeats may not have arrived.
+// isRetransmission reports whether a PUBLISH is a retransmission of the flow old. It is not
+// if its Correlation Data differs: then the packet id was reused, and the first
+// transmission of this PUBLISH was lost.
 func (s *session) isRetransmission(p *mqtt.Publish, old *flow) bool {
 	if old == nil || !p.Dup {
 		return false
@@ -76,12 +79,12 @@
 	return !p.Props.HasCorrelation() || old.identity == s.correlationIdentity(p)
 }
 
-// named is the identity of a PUBLISH with Correlation Data.
+// correlationIdentity returns the identity of a PUBLISH with Correlation Data.
 func (s *session) correlationIdentity(p *mqtt.Publish) string {
 	return front.Identity('c', s.user, s.id, string(p.Props.Correlation))
 }
 
-// handIn submits a message under its identity; under mu.
+// handIn submits a message to the core under its identity; under mu.
 func (s *session) handIn(p *mqtt.Publish, fl *flow) {
 	f := s.front
 	class, partner, err := f.route(p.Topic)
@@ -99,9 +102,9 @@
 			fl.identity = front.Identity('f', s.user, s.id, fmt.Sprint(f.startedAt), fmt.Sprint(s.serial))
 		}
 	}
-	// A hand-in joins one that is under way; a flow that is asked for again stands for the
-	// hand-in that it was. Any other comes after an answer and is owed one of its own: the
-	// same again or, after a refusal's time, that of a new try.
+	// A hand-in joins an earlier one that is not answered yet, and a retransmitted flow
+	// always belongs to its earlier hand-in. Any other comes after an answer and gets an
+	// answer of its own: the same one or, after the wait of a refusal, that of a new try.
 	if old := s.newest[fl.identity]; old != nil && (old.answer.Verdict == 0 || known) {
 		if old.accepted {
 			s.sendAck(fl)
@@ -127,7 +130,8 @@
 	if fl.qos > 0 {
 		opened.waitingFlows = []*flow{fl}
 	}
-	m := &core.Message{Source: s.id, Class: class, Partner: partner, Key: p.Props.Get("key"), Left: f.opt.Names.Lives[class],
+	m := &core.Message{Source: s.id, Class: class, Partner: partner, Key: p.Props.Get("key"),
+		Left: f.opt.Names.Lives[class],
 		Body: bytes.Clone(p.Payload), Reply: front.Reply[*pending]{Box: f.outbox, To: opened}}
 	if p.Props.HasMessageExpiry() {
 		m.Left = min(m.Left, time.Duration(p.Props.MessageExpiry)*time.Second)
@@ -145,7 +149,7 @@
 	}
 }
 
-// publishWill hands a will in as its client would have.
+// publishWill hands in a will as if its client had published it with QoS 0.
 func (f *Front) publishWill(s *session, w *mqtt.Will) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,7 +157,7 @@
 	s.handIn(p, &flow{epoch: s.epoch})
 }
 
-// release handles PUBREL.
+// handlePubrel handles a PUBREL, the third packet of a QoS 2 flow from the client.
 func (c *conn) handlePubrel(first byte, body []byte) *mqtt.Error {
 	a, err := mqtt.ParseAck(c.version, first, body)
 	if err != nil {
@@ -172,7 +176,7 @@
 	return nil
 }
 
-// route finds class and partner of a topic send/<class>/<partner>.
+// route returns the indexes of class and partner of a topic send/<class>/<partner>.
 func (f *Front) route(topic string) (class, partner int, err error) {
 	path, ok := strings.CutPrefix(topic, "send/")
 	if !ok {
--- a/internal/mqttfront/keep.go
+++ b/internal/mqttfront/keep.go
@@ -10,10 +10,10 @@
 	"basaltcross.example/basaltcross/internal/front"
 )
 
-// Name of the front in records.
+// Name identifies this front in stored records.
 const Name = "mqtt"
 
-// keptSession is what outlives the process of one session.
+// sessionRecord is the stored form of a session, for a restart.
 type sessionRecord struct {
 	User    string          `cbor:"1,keyasint"`
 	Version byte            `cbor:"2,keyasint"`
@@ -22,24 +22,27 @@
 	Born    int64           `cbor:"5,keyasint"`
 }
 
-// way back to a session, as a message's record has it.
+// returnPath is stored with a message and tells where its answer goes after a restart.
 type returnPath struct {
 	Session string `cbor:"1,keyasint"`
 	User    string `cbor:"2,keyasint"`
 	Topic   string `cbor:"3,keyasint"`
-	Corr    []byte `cbor:"4,keyasint"` // nil for none
+	Corr    []byte `cbor:"4,keyasint"` // nil if the PUBLISH had no Correlation Data
 	Packet  uint16 `cbor:"5,keyasint"`
 	QoS     byte   `cbor:"6,keyasint"`
-	Born    int64  `cbor:"7,keyasint"` // of the session
+	Born    int64  `cbor:"7,keyasint"` // creation time of the session
 }
 
+// returnPath returns the encoded returnPath of a hand-in.
 func (p *pending) returnPath(qos byte) []byte {
-	b, _ := cbor.Marshal(returnPath{p.session.id, p.session.user, p.topic, p.correlation, p.packetID, qos, p.session.createdAt}) // plain fields: cannot fail
+	// Cannot fail for these field types.
+	b, _ := cbor.Marshal(returnPath{p.session.id, p.session.user, p.topic, p.correlation, p.packetID, qos,
+		p.session.createdAt})
 	return b
 }
 
-// keep records the session as it is now; one that ends with its connection is
-// not kept. Under mu.
+// persist stores the session as it is now, or removes the stored record of a session
+// that is removed or ends with its connection; under mu.
 func (s *session) persist() {
 	k := s.front.opt.Keeper
 	if k == nil {
@@ -53,8 +56,8 @@
 	k.Session(Name, s.id, b)
 }
 
-// Restore takes in sessions of an earlier run, before the front serves: their
-// clients count as having gone just now.
+// Restore adds the stored sessions of an earlier run, before the front serves. Their
+// expiry counts from now.
 func (f *Front) Restore(sessions map[string][]byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,8 +70,8 @@
 			}
 			continue
 		}
-		s := &session{id: id, user: k.User, createdAt: k.Born, front: f, version: k.Version, expiry: k.Expiry, disconnectedAt: time.Now(),
-			subs: k.Subs, newest: map[string]*pending{}}
+		s := &session{id: id, user: k.User, createdAt: k.Born, front: f, version: k.Version, expiry: k.Expiry,
+			disconnectedAt: time.Now(), subs: k.Subs, newest: map[string]*pending{}}
 		if s.subs == nil {
 			s.subs = map[string]byte{}
 		}
@@ -77,8 +80,9 @@
 	}
 }
 
-// Owe takes in a message of an earlier run, or its answer, and returns where the
-// answer goes if it is still to come.
+// Owe adds a message of an earlier run, so that a retransmission of its flow is recognised
+// and its answer is sent unless the client has it. It returns the receiver of an answer
+// that is still to come.
 func (f *Front) Owe(o front.Owed) core.Reply {
 	var w returnPath
 	if err := cbor.Unmarshal(o.Way, &w); err != nil {
@@ -89,12 +93,12 @@
 	s := f.sessions[w.Session]
 	f.mu.Unlock()
 	if s == nil || s.user != w.User || s.createdAt != w.Born {
-		return discardReplies{} // its session ended: nobody waits
+		return discardReplies{} // the session has ended, so that nobody waits for the answer
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fl := &flow{id: w.Packet, qos: w.QoS, identity: o.Identity, accepted: true}
-	switch w.QoS { // a client that did not hear of it asks for its flow again
+	switch w.QoS { // a client without its acknowledgement retransmits the flow
 	case 1:
 		s.rememberFlow(fl)
 	case 2:
@@ -104,7 +108,8 @@
 	if o.Handed {
 		return discardReplies{}
 	}
-	p := &pending{session: s, identity: o.Identity, topic: w.Topic, correlation: w.Corr, packetID: w.Packet, accepted: true}
+	p := &pending{session: s, identity: o.Identity, topic: w.Topic,
+		correlation: w.Corr, packetID: w.Packet, accepted: true}
 	s.addPending(p)
 	if o.Answer.Verdict != 0 {
 		p.answer = o.Answer
@@ -113,5 +118,5 @@
 	return front.Reply[*pending]{Box: f.outbox, To: p}
 }
 
-// nowhere hears answers that nobody waits for.
+// discardReplies is the receiver of answers that nobody waits for.
 type discardReplies = front.Nobody
--- a/internal/mqttfront/session.go
+++ b/internal/mqttfront/session.go
@@ -13,53 +13,55 @@
 	"basaltcross.example/basaltcross/internal/mqtt"
 )
 
-// session is what the relay keeps for one client id (MQTT 5.0, 4.1). Its
-// mutex also guards the order of what is sent to the client.
+// session is the state kept for one client identifier (4.1). Its mutex also guards the
+// order of what is sent to the client.
 type session struct {
 	id         string
 	user       string
-	createdAt  int64 // tells it from earlier sessions of the same client
+	createdAt  int64 // Unix time in ns; tells sessions of the same client identifier apart
 	front      *Front
-	nextExpiry atomic.Int64 // next time that something ends, by front.Now
+	nextExpiry atomic.Int64 // when the will is due or the session expires, as of front.Now; never while connected
 
 	mu             sync.Mutex
 	removed        bool
 	version        byte
-	conn           *conn // nil while the client is away
-	expiry         time.Duration
-	disconnectedAt time.Time // since
+	conn           *conn         // nil while the client is disconnected
+	expiry         time.Duration // granted Session Expiry Interval
+	disconnectedAt time.Time
 	will           *mqtt.Will
-	willAt         time.Time
+	willAt         time.Time       // when the will is due; set on disconnect
 	subs           map[string]byte // granted QoS by topic
-	serial         uint64          // of flows without Correlation Data
-	epoch          uint64          // connections so far
+	serial         uint64          // number of the last hand-in without Correlation Data
+	epoch          uint64          // number of connections so far
 
-	qos1Flows map[uint16]*flow // QoS 1, the last ReceiveMaximum taken or under way
-	qos1Order []uint16         // their packet ids, oldest first
-	qos2Flows map[uint16]*flow // QoS 2, until PUBREL
-	// QoS 2 of an earlier run: a client that goes on with one says so by its DUP flag.
+	qos1Flows map[uint16]*flow // QoS 1 by packet id, at most the last Options.ReceiveMaximum
+	qos1Order []uint16         // packet ids in qos1Flows, oldest first
+	qos2Flows map[uint16]*flow // QoS 2 by packet id, until PUBREL
+	// QoS 2 flows of an earlier run. A client that continues one retransmits its PUBLISH
+	// with the DUP flag.
 	restoredQoS2 map[uint16]*flow
-	inFlight     int // QoS 1 and 2 not yet acknowledged on this connection
+	inFlight     int // flows of QoS 1 and 2 not yet acknowledged on this connection
 
-	newest     map[string]*pending // the newest hand-in of each identity, until its answer is handed over
-	unfinished int                 // answers not yet handed over, of hand-ins that were replaced too
-	queue      []*pending          // answered, not yet sent
-	sent       map[uint16]*pending // sent, not yet acknowledged
-	sendCount  uint64              // answers sent so far
-	nextID     uint16
+	newest     map[string]*pending // newest hand-in of each identity, until its answer is acknowledged
+	unfinished int                 // hand-ins with an unacknowledged answer, older ones of an identity too
+	queue      []*pending          // answers not yet sent
+	sent       map[uint16]*pending // answers sent and not yet acknowledged, by packet id
+	sendCount  uint64              // number of answers of QoS 1 and 2 sent so far
+	nextID     uint16              // last packet id used for an answer
 }
 
-// flow is one QoS 1 or 2 hand-in as its packet id knows it.
+// flow is the exchange of packets for one PUBLISH of the client. Flows of QoS 1 and 2 are
+// kept by packet id, so that retransmissions are recognised.
 type flow struct {
 	id       uint16
 	qos      byte
 	identity string
-	epoch    uint64
-	accepted bool
+	epoch    uint64 // the session's epoch when the client last sent it
+	accepted bool   // by the core
 }
 
-// dismiss ends the connection of a client that is owed nothing while the relay
-// stops; under mu.
+// disconnectIfDrained closes the client's connection if the front drains and all answers
+// are acknowledged; under mu.
 func (s *session) disconnectIfDrained() {
 	if s.conn != nil && s.unfinished == 0 && s.front.draining.Load() {
 		s.conn.writeQueued()
@@ -67,9 +69,10 @@
 	}
 }
 
+// never is the value of nextExpiry while nothing can expire.
 const never = math.MaxInt64
 
-// due sets the time of the janitor's next look; under mu.
+// scheduleExpiry sets the time at which expiryLoop handles the session next; under mu.
 func (s *session) scheduleExpiry() {
 	if s.conn != nil || s.removed {
 		s.nextExpiry.Store(never)
@@ -82,7 +85,8 @@
 	s.nextExpiry.Store(at)
 }
 
-// taken tells the client that the core took a hand-in, or did not.
+// handleAccepted acknowledges the flows of a hand-in that the core accepted, or rejects
+// them with err.
 func (s *session) handleAccepted(p *pending, err error) {
 	if s.newest[p.identity] != p {
 		return
@@ -104,11 +108,11 @@
 	p.waitingFlows = nil
 }
 
-// ack sends PUBACK or PUBREC for a flow that is taken.
+// sendAck sends the PUBACK or PUBREC of a flow that the core accepted.
 func (s *session) sendAck(fl *flow) {
 	fl.accepted = true
 	if fl.qos == 0 || fl.epoch != s.epoch || s.conn == nil {
-		return // nothing to say, or the client asks again on its next connection
+		return // QoS 0, or the client retransmits on its next connection
 	}
 	if fl.qos == 1 {
 		s.inFlight--
@@ -118,8 +122,9 @@
 	}
 }
 
-// nack turns a flow away. Before 5.0 there is no code for it: the connection
-// closes without acknowledgement, and the client hands in again.
+// reject rejects a flow by the reason code of its PUBACK or PUBREC. MQTT 3.1.1 has no such
+// code: there the connection is closed without acknowledgement, and the client
+// retransmits.
 func (s *session) reject(fl *flow, err error) {
 	code, reason := byte(mqtt.ImplementationError), err.Error()
 	switch err {
@@ -152,9 +157,9 @@
 	}
 }
 
-// remember keeps a QoS 1 flow for a client that asks again after its
-// connection broke. A client has no more than Receive Maximum of them open, and
-// acknowledgements arrive in order, so that older ones cannot be asked for.
+// rememberFlow keeps a QoS 1 flow for a client that retransmits it after its connection
+// broke. A client has at most Receive Maximum of them open, and acknowledgements arrive in
+// order, so that older ones cannot be retransmitted.
 func (s *session) rememberFlow(fl *flow) {
 	if s.qos1Flows == nil {
 		s.qos1Flows = map[uint16]*flow{}
