--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -133,7 +133,8 @@
 		return fmt.Errorf("keys: %w", err)
 	}
 	if mode := st.Mode().Perm(); mode&0o007 != 0 {
-		return fmt.Errorf("keys: private key %s is accessible to others (mode %04o), run chmod 600 on it", p.KeyFile, mode)
+		return fmt.Errorf("keys: private key %s is accessible to others (mode %04o), run chmod 600 on it",
+			p.KeyFile, mode)
 	}
 	cert, err := tls.LoadX509KeyPair(p.CertFile, p.KeyFile)
 	if err != nil {
@@ -241,7 +242,8 @@
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		if pool := clients.Pool(); now.ClientCAs != pool { // a new Config, so that session tickets issued under the old authorities are void
+		if pool := clients.Pool(); now.ClientCAs != pool {
+			// A new Config, so that session tickets issued under the old authorities are void.
 			now = base.Clone()
 			now.ClientCAs = pool
 		}
@@ -262,7 +264,9 @@
 			c.RootCAs = ca.Pool()
 		}
 		if own != nil {
-			c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return own.Cert(), nil }
+			c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+				return own.Cert(), nil
+			}
 		}
 		return c
 	}
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -41,7 +41,8 @@
 					t.Fatalf("Frame of the re-encoded PUBLISH: ok %v, error %v", ok, e)
 				}
 				r, err := ParsePublish(v, f2, b2)
-				if err != nil || r.Topic != p.Topic || r.ID != p.ID || r.QoS != p.QoS || !bytes.Equal(r.Payload, p.Payload) ||
+				if err != nil || r.Topic != p.Topic || r.ID != p.ID || r.QoS != p.QoS ||
+					!bytes.Equal(r.Payload, p.Payload) ||
 					!bytes.Equal(r.Props.Correlation, p.Props.Correlation) || len(r.Props.User) != len(p.Props.User) {
 					t.Fatalf("PUBLISH %+v decodes to %+v after re-encoding (error %v)", p, r, err)
 				}
--- a/internal/mqttfront/conn.go
+++ b/internal/mqttfront/conn.go
@@ -23,8 +23,8 @@
 	sec           *secure.Conn // nil without TLS
 	out           io.Writer    // nb, or sec with TLS
 	certName      string       // common name of the verified client certificate, empty for none
-	opened        time.Time
-	last          atomic.Int64 // time of the last packet, as of front.Now
+	openedAt      time.Time
+	lastPacket    atomic.Int64 // time of the last packet, as of front.Now
 	partialSince  atomic.Int64 // start of the partially received packet, as of front.Now; 0 for none
 	partialBytes  atomic.Int64 // bytes of the partially received packet
 	ended         atomic.Bool
@@ -169,7 +169,7 @@
 		if !ok {
 			break
 		}
-		c.last.Store(front.Now())
+		c.lastPacket.Store(front.Now())
 		c.partialSince.Store(0)
 		b = rest
 		if err := c.handlePacket(first, body); err != nil {
@@ -248,9 +248,9 @@
 	st, keep := c.state, c.keepAlive
 	c.mu.Unlock()
 	switch {
-	case st != connected && now.Sub(c.opened) > wait:
+	case st != connected && now.Sub(c.openedAt) > wait:
 		c.end(mqtt.ProtocolError, "no CONNECT in time")
-	case st == connected && keep > 0 && front.Nanos(now)-c.last.Load() > int64(keep+keep/2):
+	case st == connected && keep > 0 && front.Nanos(now)-c.lastPacket.Load() > int64(keep+keep/2):
 		c.end(mqtt.KeepAliveTimeout, "nothing came within one and a half keep-alive times")
 	}
 }
@@ -476,11 +476,11 @@
 		return &mqtt.Error{Code: mqtt.QuotaExceeded, Text: "as many sessions as are kept"}
 	}
 	s := old
-	var before *conn
+	var previous *conn
 	var will *mqtt.Will
 	if s != nil {
 		s.mu.Lock()
-		before, will = s.conn, s.will
+		previous, will = s.conn, s.will
 		if s.conn == nil && !time.Now().Before(s.disconnectedAt.Add(s.expiry)) || in.Clean {
 			s.removed, s.conn = true, nil
 			s.scheduleExpiry()
@@ -527,12 +527,12 @@
 	c.canDisconnect.Store(c.version == mqtt.V5)
 	s.mu.Unlock()
 	f.mu.Unlock()
-	if before != nil {
-		go before.end(mqtt.SessionTakenOver, "another connection has this client identifier")
+	if previous != nil {
+		go previous.end(mqtt.SessionTakenOver, "another connection has this client identifier")
 	}
 	// The will of a connection that was taken over is due now if it has no delay, and so is
 	// any will of a session that has ended. Else its delay continues with the session.
-	if will != nil && (!present || before != nil && will.Props.WillDelay == 0) {
+	if will != nil && (!present || previous != nil && will.Props.WillDelay == 0) {
 		go f.publishWill(s, will)
 	}
 	return nil
--- a/internal/mqttfront/front.go
+++ b/internal/mqttfront/front.go
@@ -54,7 +54,7 @@
 	Sessions       int               // at this limit new ones are refused with 0x97 (Quota exceeded)
 	ReceiveMaximum int               // per connection, as announced to the client
 	TopicAliases   int               // Topic Alias Maximum, per connection
-	Pending        int               // hand-ins of a session with an unacknowledged answer; at this limit more are rejected
+	Pending        int               // unacknowledged answers of a session; at this limit hand-ins are rejected
 	Partial        int64             // bytes of partially received packets
 	SessionExpiry  time.Duration     // longest Session Expiry Interval granted
 	KeepAlive      time.Duration     // longest keep-alive interval granted; MQTT 5.0 only
@@ -193,8 +193,8 @@
 func (f *Front) open(nb *engine.Conn, secured bool) front.Conn {
 	c := &conn{front: f, nb: nb, out: nb}
 	now := time.Now()
-	c.opened = now
-	c.last.Store(front.Nanos(now))
+	c.openedAt = now
+	c.lastPacket.Store(front.Nanos(now))
 	f.mu.Lock()
 	full := len(f.conns) >= f.opt.Connections || f.stopping
 	if !full {
@@ -286,12 +286,13 @@
 		return
 	}
 	for {
-		most := f.largestPartial()
-		if most == nil {
+		largest := f.largestPartial()
+		if largest == nil {
 			return
 		}
-		if most.end(mqtt.QuotaExceeded, "half packets hold too much memory") {
-			f.partialTotal.Add(-most.partialBytes.Swap(0)) // freed at once, so that the next call does not close another connection
+		if largest.end(mqtt.QuotaExceeded, "half packets hold too much memory") {
+			// Freed at once, so that the next call does not close another connection.
+			f.partialTotal.Add(-largest.partialBytes.Swap(0))
 			return
 		}
 	}
@@ -299,15 +300,15 @@
 
 // largestPartial returns the open connection that holds most bytes of a partially
 // received packet, or nil if none is open.
-func (f *Front) largestPartial() (most *conn) {
+func (f *Front) largestPartial() (largest *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for o := range f.conns {
-		if !o.ended.Load() && (most == nil || o.partialBytes.Load() > most.partialBytes.Load()) {
-			most = o
+		if !o.ended.Load() && (largest == nil || o.partialBytes.Load() > largest.partialBytes.Load()) {
+			largest = o
 		}
 	}
-	return most
+	return largest
 }
 
 // writeLoop passes the core's replies to the sessions, until the front stops. Each batch
--- a/internal/mqttfront/front_test.go
+++ b/internal/mqttfront/front_test.go
@@ -165,9 +165,12 @@
 	}{
 		{"second CONNECT", connect("x", mqtt.Props{}), mqtt.ProtocolError},
 		{"retained", publish(0, 0, "", func(p *mqtt.Publish) { p.Retain = true }), mqtt.RetainNotSupported},
-		{"alias over the maximum", publish(0, 0, "", func(p *mqtt.Publish) { p.Props.Alias = 3 }), mqtt.TopicAliasInvalid},
-		{"alias not set", publish(0, 0, "", func(p *mqtt.Publish) { p.Props.Alias, p.Topic = 1, "" }), mqtt.ProtocolError},
-		{"wildcard in a topic", publish(0, 0, "", func(p *mqtt.Publish) { p.Topic = "send/#" }), mqtt.TopicNameInvalid},
+		{"alias over the maximum", publish(0, 0, "", func(p *mqtt.Publish) { p.Props.Alias = 3 }),
+			mqtt.TopicAliasInvalid},
+		{"alias not set", publish(0, 0, "", func(p *mqtt.Publish) { p.Props.Alias, p.Topic = 1, "" }),
+			mqtt.ProtocolError},
+		{"wildcard in a topic", publish(0, 0, "", func(p *mqtt.Publish) { p.Topic = "send/#" }),
+			mqtt.TopicNameInvalid},
 		{"QoS 3", []byte{0x36, 5, 0, 1, 'a', 0, 1}, mqtt.MalformedPacket},
 		{"packet id 0", []byte{0x32, 6, 0, 1, 'a', 0, 0, 0}, mqtt.MalformedPacket},
 		{"no UTF-8", []byte{0x30, 5, 0, 2, 0xff, 0xfe, 0}, mqtt.MalformedPacket},
@@ -177,7 +180,8 @@
 		{"properties past the end", []byte{0x30, 5, 0, 1, 'a', 9, 1}, mqtt.MalformedPacket},
 		{"long length", []byte{0x30, 0xff, 0xff, 0xff, 0xff}, mqtt.MalformedPacket},
 		{"packet too large", []byte{0x30, 0xff, 0xff, 0x7f}, mqtt.PacketTooLarge},
-		{"payload too large", publish(0, 0, "", func(p *mqtt.Publish) { p.Payload = make([]byte, 5000) }), mqtt.PacketTooLarge},
+		{"payload too large", publish(0, 0, "", func(p *mqtt.Publish) { p.Payload = make([]byte, 5000) }),
+			mqtt.PacketTooLarge},
 		{"flags of SUBSCRIBE", []byte{0x80, 7, 0, 1, 0, 0, 1, 'a', 0}, mqtt.MalformedPacket},
 		{"no filter", []byte{0x82, 3, 0, 1, 0}, mqtt.ProtocolError},
 		{"subscription identifier", []byte{0x82, 9, 0, 1, 2, 0x0b, 1, 0, 1, 'a', 0}, mqtt.SubIDsNotSupported},
@@ -211,7 +215,8 @@
 	}
 	addr := start(t, &fakeCore{}, func(o *Options) { o.Users = map[string]string{"u": string(hash)} })
 	con := func(v byte, change func(*mqtt.Connect)) []byte {
-		c := &mqtt.Connect{Version: v, ClientID: "c", Clean: true, HasUser: true, User: "u", Password: []byte("secret")}
+		c := &mqtt.Connect{Version: v, ClientID: "c", Clean: true, HasUser: true, User: "u",
+			Password: []byte("secret")}
 		if change != nil {
 			change(c)
 		}
@@ -227,8 +232,10 @@
 		{"password", con(mqtt.V5, func(c *mqtt.Connect) { c.Password = []byte("x") }), mqtt.BadUserOrPassword},
 		{"password 3.1.1", con(mqtt.V311, func(c *mqtt.Connect) { c.Password = []byte("x") }), 4},
 		{"unknown user", con(mqtt.V5, func(c *mqtt.Connect) { c.User = "who" }), mqtt.BadUserOrPassword},
-		{"no user", con(mqtt.V5, func(c *mqtt.Connect) { c.HasUser, c.Password = false, nil }), mqtt.BadUserOrPassword},
-		{"enhanced authentication", con(mqtt.V5, func(c *mqtt.Connect) { c.Props.AuthMethod = "SCRAM" }), mqtt.BadAuthMethod},
+		{"no user", con(mqtt.V5, func(c *mqtt.Connect) { c.HasUser, c.Password = false, nil }),
+			mqtt.BadUserOrPassword},
+		{"enhanced authentication", con(mqtt.V5, func(c *mqtt.Connect) { c.Props.AuthMethod = "SCRAM" }),
+			mqtt.BadAuthMethod},
 		{"empty id 3.1.1", con(mqtt.V311, func(c *mqtt.Connect) { c.ClientID, c.Clean = "", false }), 2},
 		{"version 3", con(3, nil), 1},
 		{"version 9", con(9, nil), mqtt.UnsupportedVersion},
@@ -253,7 +260,8 @@
 		a.Props.ResponseInfo != "answers/c" || a.Props.ReceiveMaximum != 4 {
 		t.Errorf("CONNACK %+v", a.Props)
 	}
-	p.send(mqtt.AppendSubscribe(nil, mqtt.V5, 5, mqtt.Filter{Topic: "answers/c", QoS: 2}, mqtt.Filter{Topic: "answers/+"},
+	p.send(mqtt.AppendSubscribe(nil, mqtt.V5, 5, mqtt.Filter{Topic: "answers/c", QoS: 2},
+		mqtt.Filter{Topic: "answers/+"},
 		mqtt.Filter{Topic: "$share/g/a"}, mqtt.Filter{Topic: "send/status/p"}))
 	kind, body := p.next()
 	want := []byte{0, 5, 0, 2, mqtt.WildcardNotSupported, mqtt.SharedNotSupported, mqtt.NotAuthorized}
@@ -296,7 +304,8 @@
 		t.Fatal("CONNACK without Session Present, want the session resumed")
 	}
 	kind, body := p.next() // sent again, as it was not acknowledged
-	if q, _ := mqtt.ParsePublish(mqtt.V5, 0x3c, body); kind != mqtt.PUBLISH || q.ID != id || string(q.Props.Correlation) != "a" {
+	if q, _ := mqtt.ParsePublish(mqtt.V5, 0x3c, body); kind != mqtt.PUBLISH || q.ID != id ||
+		string(q.Props.Correlation) != "a" {
 		t.Fatalf("packet type %d %x", kind, body)
 	}
 	p.send(mqtt.AppendAck(nil, mqtt.V5, mqtt.PUBREC, id, 0, ""))
@@ -386,7 +395,8 @@
 	}
 	var ne net.Error
 	if err == nil || errors.As(err, &ne) && ne.Timeout() {
-		t.Errorf("error %v: connection stays open with %d answers to a client that does not read", err, d.count()-before)
+		t.Errorf("error %v: connection stays open with %d answers to a client that does not read", err,
+			d.count()-before)
 	}
 	t.Logf("slow reader disconnected: %v after %d messages", err, d.count()-before)
 	good.send(mqtt.AppendEmpty(nil, mqtt.PINGREQ))
--- a/internal/mqttfront/handin.go
+++ b/internal/mqttfront/handin.go
@@ -92,9 +92,9 @@
 		s.reject(fl, err)
 		return
 	}
-	known := fl.identity != ""
-	kept := s.expiry > 0 && fl.qos > 0
-	if !known {
+	retransmitted := fl.identity != ""
+	persistent := s.expiry > 0 && fl.qos > 0
+	if !retransmitted {
 		if p.Props.HasCorrelation() {
 			fl.identity = s.correlationIdentity(p)
 		} else {
@@ -105,7 +105,7 @@
 	// A hand-in joins an earlier one that is not answered yet, and a retransmitted flow
 	// always belongs to its earlier hand-in. Any other comes after an answer and gets an
 	// answer of its own: the same one or, after the wait of a refusal, that of a new try.
-	if old := s.newest[fl.identity]; old != nil && (old.answer.Verdict == 0 || known) {
+	if old := s.newest[fl.identity]; old != nil && (old.answer.Verdict == 0 || retransmitted) {
 		if old.accepted {
 			s.sendAck(fl)
 		} else if !slices.Contains(old.waitingFlows, fl) {
@@ -117,34 +117,34 @@
 		s.reject(fl, front.ErrPending)
 		return
 	}
-	opened := &pending{session: s, identity: fl.identity, topic: p.Props.ResponseTopic, packetID: p.ID}
-	if opened.topic == "" {
-		opened.topic = answersTopic(s.id)
+	added := &pending{session: s, identity: fl.identity, topic: p.Props.ResponseTopic, packetID: p.ID}
+	if added.topic == "" {
+		added.topic = answersTopic(s.id)
 	}
 	if p.Props.HasCorrelation() {
-		opened.correlation = bytes.Clone(p.Props.Correlation)
-		if opened.correlation == nil {
-			opened.correlation = []byte{}
+		added.correlation = bytes.Clone(p.Props.Correlation)
+		if added.correlation == nil {
+			added.correlation = []byte{}
 		}
 	}
 	if fl.qos > 0 {
-		opened.waitingFlows = []*flow{fl}
+		added.waitingFlows = []*flow{fl}
 	}
 	m := &core.Message{Source: s.id, Class: class, Partner: partner, Key: p.Props.Get("key"),
 		Left: f.opt.Names.Lives[class],
-		Body: bytes.Clone(p.Payload), Reply: front.Reply[*pending]{Box: f.outbox, To: opened}}
+		Body: bytes.Clone(p.Payload), Reply: front.Reply[*pending]{Box: f.outbox, To: added}}
 	if p.Props.HasMessageExpiry() {
 		m.Left = min(m.Left, time.Duration(p.Props.MessageExpiry)*time.Second)
 	}
-	if p.Props.HasCorrelation() || kept {
+	if p.Props.HasCorrelation() || persistent {
 		m.Identity = fl.identity
 	}
 	if f.opt.Keeper != nil {
-		m.Front, m.Way = Name, opened.returnPath(fl.qos)
+		m.Front, m.Way = Name, added.returnPath(fl.qos)
 	}
-	s.addPending(opened)
+	s.addPending(added)
 	if err := f.opt.Door.Submit(m); err != nil {
-		s.removeRejected(opened)
+		s.removeRejected(added)
 		s.reject(fl, err)
 	}
 }
--- a/internal/mqttfront/keep.go
+++ b/internal/mqttfront/keep.go
@@ -15,22 +15,22 @@
 
 // sessionRecord is the stored form of a session, for a restart.
 type sessionRecord struct {
-	User    string          `cbor:"1,keyasint"`
-	Version byte            `cbor:"2,keyasint"`
-	Expiry  time.Duration   `cbor:"3,keyasint"`
-	Subs    map[string]byte `cbor:"4,keyasint"`
-	Born    int64           `cbor:"5,keyasint"`
+	User      string          `cbor:"1,keyasint"`
+	Version   byte            `cbor:"2,keyasint"`
+	Expiry    time.Duration   `cbor:"3,keyasint"`
+	Subs      map[string]byte `cbor:"4,keyasint"`
+	CreatedAt int64           `cbor:"5,keyasint"`
 }
 
 // returnPath is stored with a message and tells where its answer goes after a restart.
 type returnPath struct {
-	Session string `cbor:"1,keyasint"`
-	User    string `cbor:"2,keyasint"`
-	Topic   string `cbor:"3,keyasint"`
-	Corr    []byte `cbor:"4,keyasint"` // nil if the PUBLISH had no Correlation Data
-	Packet  uint16 `cbor:"5,keyasint"`
-	QoS     byte   `cbor:"6,keyasint"`
-	Born    int64  `cbor:"7,keyasint"` // creation time of the session
+	Session          string `cbor:"1,keyasint"`
+	User             string `cbor:"2,keyasint"`
+	Topic            string `cbor:"3,keyasint"`
+	Correlation      []byte `cbor:"4,keyasint"` // nil if the PUBLISH had no Correlation Data
+	PacketID         uint16 `cbor:"5,keyasint"`
+	QoS              byte   `cbor:"6,keyasint"`
+	SessionCreatedAt int64  `cbor:"7,keyasint"` // creation time of the session
 }
 
 // returnPath returns the encoded returnPath of a hand-in.
@@ -70,7 +70,7 @@
 			}
 			continue
 		}
-		s := &session{id: id, user: k.User, createdAt: k.Born, front: f, version: k.Version, expiry: k.Expiry,
+		s := &session{id: id, user: k.User, createdAt: k.CreatedAt, front: f, version: k.Version, expiry: k.Expiry,
 			disconnectedAt: time.Now(), subs: k.Subs, newest: map[string]*pending{}}
 		if s.subs == nil {
 			s.subs = map[string]byte{}
@@ -92,24 +92,24 @@
 	f.mu.Lock()
 	s := f.sessions[w.Session]
 	f.mu.Unlock()
-	if s == nil || s.user != w.User || s.createdAt != w.Born {
+	if s == nil || s.user != w.User || s.createdAt != w.SessionCreatedAt {
 		return discardReplies{} // the session has ended, so that nobody waits for the answer
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fl := &flow{id: w.Packet, qos: w.QoS, identity: o.Identity, accepted: true}
+	fl := &flow{id: w.PacketID, qos: w.QoS, identity: o.Identity, accepted: true}
 	switch w.QoS { // a client without its acknowledgement retransmits the flow
 	case 1:
 		s.rememberFlow(fl)
 	case 2:
 		s.restoredQoS2 = orNewMap(s.restoredQoS2)
-		s.restoredQoS2[w.Packet] = fl
+		s.restoredQoS2[w.PacketID] = fl
 	}
 	if o.Handed {
 		return discardReplies{}
 	}
 	p := &pending{session: s, identity: o.Identity, topic: w.Topic,
-		correlation: w.Corr, packetID: w.Packet, accepted: true}
+		correlation: w.Correlation, packetID: w.PacketID, accepted: true}
 	s.addPending(p)
 	if o.Answer.Verdict != 0 {
 		p.answer = o.Answer
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -268,7 +268,8 @@
 // called with the engine's connection before any data can arrive, onData with the
 // plaintext from then on.
 func Client(ctx context.Context, raw net.Conn, cfg *tls.Config, sockets *engine.Engine,
-	write func(*engine.Conn, []byte) (int, error), newHandler func(*engine.Conn, *Conn) engine.Handler, onData func([]byte)) error {
+	write func(*engine.Conn, []byte) (int, error), newHandler func(*engine.Conn, *Conn) engine.Handler,
+	onData func([]byte)) error {
 	s := &swapConn{raw}
 	tc := tls.Client(s, cfg)
 	if err := tc.HandshakeContext(ctx); err != nil {
--- a/internal/webpush/again_test.go
+++ b/internal/webpush/again_test.go
@@ -12,7 +12,7 @@
 	"basaltcross.example/basaltcross/internal/ledger"
 )
 
-// door takes everything and answers when told to.
+// fakeCore keeps the hand-ins that it receives; the test replies to them.
 type fakeCore struct{ taken []*core.Message }
 
 func (d *fakeCore) Submit(m *core.Message) error {
@@ -22,12 +22,13 @@
 
 func (d *fakeCore) Withdraw(string) {}
 
-// keeper notes whose answers were recorded as handed over.
+// keeper keeps the identities whose answers were recorded as acknowledged.
 type keeper struct{ handed []string }
 
 func (k *keeper) Session(string, string, []byte) {}
 func (k *keeper) Handed(identity string)         { k.handed = append(k.handed, identity) }
 
+// nopObserver ignores all reports.
 type nopObserver struct{}
 
 func (nopObserver) Push(int, int, int)  {}
@@ -35,7 +36,7 @@
 func (nopObserver) Handshake(error)     {}
 func (nopObserver) Logf(string, ...any) {}
 
-// bed is a front without sockets.
+// fixture is a front without sockets, with a fake core and keeper.
 type fixture struct {
 	t    *testing.T
 	f    *Front
@@ -43,40 +44,46 @@
 	keep *keeper
 }
 
+// newFixture returns a front with small limits that accepts requests without a token.
 func newFixture(t *testing.T) *fixture {
 	b := &fixture{t: t, door: &fakeCore{}, keep: &keeper{}}
 	b.f = New(Options{Names: front.Names{Classes: map[string]int{"status": 0}, Partners: map[string]int{"p": 0},
-		Lives: []time.Duration{time.Minute}}, Unsafe: []bool{false}, Anyone: true, Body: 4096, Messages: 100, Boxes: 10, Pending: 10,
-		Polls: 10, Keep: time.Minute, Poll: time.Second, Door: b.door, Keeper: b.keep, Observer: nopObserver{}})
+		Lives: []time.Duration{time.Minute}}, Unsafe: []bool{false}, Anyone: true, Body: 4096, Messages: 100,
+		Boxes: 10, Pending: 10, Polls: 10, Keep: time.Minute, Poll: time.Second,
+		Door: b.door, Keeper: b.keep, Observer: nopObserver{}})
 	return b
 }
 
-// do makes a request and returns what it got at once.
+// do makes a request and returns its response, or nil if there is none at once.
 func (b *fixture) do(method, path string, fields map[string]string) *response {
 	var got *response
-	b.f.serve(&request{method: method, path: path, header: func(name string) string { return fields[name] }, body: []byte("x")},
+	b.f.serve(&request{method: method, path: path, header: func(name string) string { return fields[name] },
+		body: []byte("x")},
 		func(r response) { got = &r })
 	return got
 }
 
-// post hands in the message that the client calls a. If it reaches the core, that takes it.
+// post POSTs a message with Idempotency-Key a and the given Push-Receipt. The core accepts
+// it if it receives it.
 func (b *fixture) post(receipts string) response {
 	b.t.Helper()
 	before := len(b.door.taken)
 	var got *response
-	fields := map[string]string{"TTL": "60", "Idempotency-Key": "a", "Prefer": "respond-async", "Push-Receipt": receipts}
-	b.f.serve(&request{method: http.MethodPost, path: "/push/status/p", header: func(name string) string { return fields[name] }},
+	fields := map[string]string{"TTL": "60", "Idempotency-Key": "a", "Prefer": "respond-async",
+		"Push-Receipt": receipts}
+	b.f.serve(&request{method: http.MethodPost, path: "/push/status/p",
+		header: func(name string) string { return fields[name] }},
 		func(r response) { got = &r })
 	if len(b.door.taken) > before {
 		b.reply(front.Said[*push]{})
 	}
 	if got == nil || got.status != http.StatusAccepted {
-		b.t.Fatalf("POST: %+v", got)
+		b.t.Fatalf("POST: response %+v, want 202", got)
 	}
 	return *got
 }
 
-// say passes on what the core says of the newest hand-in.
+// reply passes a reply of the core about the newest hand-in to the front.
 func (b *fixture) reply(s front.Said[*push]) {
 	s.To = b.door.taken[len(b.door.taken)-1].Reply.(front.Reply[*push]).To
 	b.f.mu.Lock()
@@ -84,11 +91,13 @@
 	b.f.unlock()
 }
 
+// answer gives the final answer of the newest hand-in.
 func (b *fixture) answer(v ledger.Verdict, after time.Duration) {
 	b.reply(front.Said[*push]{Answer: ledger.Answer{Verdict: v, After: after}})
 }
 
-// receipts fetches those after one, which it acknowledges.
+// receipts fetches the receipts of a subscription and returns their answers. The query
+// after, empty or ?after=SEQ, acknowledges those up to SEQ.
 func (b *fixture) receipts(path, after string) (answers []string) {
 	b.t.Helper()
 	var got struct{ Receipts []receipt }
@@ -101,6 +110,7 @@
 	return answers
 }
 
+// field returns the value of a header field, or "".
 func (r response) field(name string) string {
 	for _, h := range r.header {
 		if h[0] == name {
@@ -110,7 +120,7 @@
 	return ""
 }
 
-// subscription is the path of the receipt subscription that a response names.
+// subscriptionPath returns the path of the receipt subscription in a response's Link field.
 func subscriptionPath(t *testing.T, r response) string {
 	t.Helper()
 	link := r.field("Link")
@@ -120,36 +130,37 @@
 	return link[1:slices.Index([]byte(link), '>')]
 }
 
-// A refused message that is posted again after its time is tried anew, whether or not its
-// receipt was acknowledged, and has a receipt of its own. Until that is acknowledged the
-// identity does not count as handed over: a restart would forget the receipt.
+// A refused message that is POSTed again after the wait of its refusal must be tried again
+// and get a receipt of its own, whether or not the first receipt was acknowledged. The
+// identity may be recorded as finished only when the second receipt is acknowledged;
+// otherwise a restart would lose that receipt.
 func TestRetryBeforeReceiptIsAcknowledged(t *testing.T) {
 	b := newFixture(t)
 	first := b.post("")
 	path := subscriptionPath(t, first)
 	b.answer(ledger.Refused, 0)
 	if got := b.receipts(path, ""); !slices.Equal(got, []string{"refused"}) {
-		t.Fatalf("receipts %v", got)
+		t.Fatalf("receipts %v, want refused", got)
 	}
 	second := b.post(path)
 	if len(b.door.taken) != 2 || second.field("Location") == first.field("Location") {
-		t.Fatalf("the core heard of %d hand-ins, want 2; %+v", len(b.door.taken), second)
+		t.Fatalf("the core received %d hand-ins, want 2; second response %+v", len(b.door.taken), second)
 	}
 	b.answer(ledger.Delivered, 0)
 	if got := b.receipts(path, "?after=1"); !slices.Equal(got, []string{"delivered"}) {
-		t.Fatalf("receipts after the first %v", got)
+		t.Fatalf("receipts after the first %v, want delivered", got)
 	}
 	if len(b.keep.handed) != 0 {
-		t.Fatal("the identity counts as handed over while its second receipt is not acknowledged")
+		t.Fatal("the identity is recorded as finished before its second receipt is acknowledged")
 	}
 	b.receipts(path, "?after=2")
 	if len(b.keep.handed) != 1 {
-		t.Errorf("handed over: %q", b.keep.handed)
+		t.Errorf("identities recorded as finished %q, want 1", b.keep.handed)
 	}
 }
 
-// The same holds for receipts of two subscriptions, acknowledged in either order, and for a
-// first push that is not kept any more.
+// The identity must also not be recorded as finished too early when the two receipts belong
+// to different subscriptions and the pushes were evicted.
 func TestReceiptsOfOneIdentityInTwoSubscriptions(t *testing.T) {
 	b := newFixture(t)
 	one := subscriptionPath(t, b.post(""))
@@ -160,20 +171,21 @@
 	b.f.evictOldest()
 	b.receipts(one, "?after=1")
 	if len(b.keep.handed) != 0 {
-		t.Fatal("the identity counts as handed over while its second receipt is not acknowledged")
+		t.Fatal("the identity is recorded as finished before its second receipt is acknowledged")
 	}
 	b.receipts(two, "?after=1")
 	if len(b.keep.handed) != 1 {
-		t.Errorf("handed over: %q", b.keep.handed)
+		t.Errorf("identities recorded as finished %q, want 1", b.keep.handed)
 	}
 }
 
-// Before its time a refused message that is posted again has the receipt that it had.
+// A refused message that is POSTed again before the wait of its refusal is over must not be
+// tried again: the response names the first push.
 func TestRetryBeforeRetryAfterReturnsTheSameReceipt(t *testing.T) {
 	b := newFixture(t)
 	first := b.post("")
 	b.answer(ledger.Refused, time.Minute)
 	if again := b.post(""); len(b.door.taken) != 1 || again.field("Location") != first.field("Location") {
-		t.Errorf("the core heard of %d hand-ins, want 1; %+v", len(b.door.taken), again)
+		t.Errorf("the core received %d hand-ins, want 1; second response %+v", len(b.door.taken), again)
 	}
 }
--- a/internal/webpush/front.go
+++ b/internal/webpush/front.go
@@ -1,7 +1,10 @@
-// Package webpush is the relay's Web Push front: the application server's side
-// of RFC 8030 with VAPID (RFC 8292), over HTTP/1.1 and HTTP/2. What is pushed to
-// /push/<class>/<partner> is handed to the core like any message; its final
-// answer comes as a receipt. Encrypted content (RFC 8291) is carried as it is.
+// Package webpush is the relay's Web Push server: the part of a push service that
+// application servers use (RFC 8030), with VAPID (RFC 8292), over HTTP/1.1 and HTTP/2.
+// A message POSTed to /push/<class>/<partner> is handed in to the core, and its final
+// answer is given as a push receipt.
+//
+// It serves no user agents, and forwards encrypted content (RFC 8291) unchanged. Section
+// numbers in comments without an RFC are those of RFC 8030.
 package webpush
 
 import (
@@ -25,45 +28,48 @@
 	"basaltcross.example/basaltcross/internal/secure"
 )
 
-// Observer is told what passes.
+// Observer receives the front's metrics and log lines.
 type Observer interface {
-	// Push tells connections, messages and receipt subscriptions kept now.
+	// Push reports, at each tick, the number of connections, of messages and of receipt
+	// subscriptions.
 	Push(connections, messages, boxes int)
+	// NotTaken is called for each message that the core does not accept, with the reason.
 	NotTaken(reason string)
+	// Handshake is called after each TLS handshake, with its error or nil.
 	Handshake(err error)
 	Logf(format string, args ...any)
 }
 
-// Options of a Front.
+// Options configures a Front.
 type Options struct {
-	Listen      []string // without TLS
-	TLSListen   []string
+	Listen      []string // addresses to listen on without TLS
+	TLSListen   []string // addresses to listen on with TLS
 	TLS         *tls.Config
 	Slots       secure.Slots
 	Names       front.Names
-	Unsafe      []bool              // by class: needs an Idempotency-Key
-	Audience    []string            // origins that tokens may be for
-	Keys        map[string][]string // resources by VAPID key; nil: any key, any resource
-	Anyone      bool                // no token is needed; on loopback only
-	Body        int
-	Header      int
-	Connections int
-	Streams     int // at once on one HTTP/2 connection
-	Messages    int // kept, ended ones included
-	Boxes       int // receipt subscriptions
-	Pending     int // receipts owed to one subscription
-	Polls       int // long polls that wait
-	Keep        time.Duration
-	Poll        time.Duration // longest wait of a long poll
-	Handshake   time.Duration // for a TLS handshake, and for the rest of a begun request
-	Idle        time.Duration // connections without a request close after it
-	WriteBuffer int
+	Unsafe      []bool              // by class: a POST must have an Idempotency-Key
+	Audience    []string            // origins accepted as the audience of a VAPID token
+	Keys        map[string][]string // by VAPID key: allowed resources, none for all; empty map: any key, any resource
+	Anyone      bool                // requests without a token are accepted; for loopback addresses only
+	Body        int                 // largest content of a request, in bytes
+	Header      int                 // largest header of a request, in bytes
+	Connections int                 // at this limit new ones are closed at once
+	Streams     int                 // concurrent streams of an HTTP/2 connection
+	Messages    int                 // messages kept, with those that have ended
+	Boxes       int                 // receipt subscriptions kept
+	Pending     int                 // messages without acknowledged receipt, per subscription
+	Polls       int                 // long polls waiting; at this limit polls are answered at once
+	Keep        time.Duration       // how long ended messages and unused subscriptions are kept
+	Poll        time.Duration       // longest wait of a long poll
+	Handshake   time.Duration       // time limit of a TLS handshake, and of receiving a request
+	Idle        time.Duration       // connections without a request are closed after this time
+	WriteBuffer int                 // unsent bytes of one connection
 	Door        front.Door
 	Observer    Observer
-	Keeper      front.Keeper // nil: nothing outlives the process
+	Keeper      front.Keeper // stores subscriptions and answers for a restart; nil for none
 }
 
-// Front serves Web Push.
+// Front is a Web Push server.
 type Front struct {
 	opt        Options
 	listeners  []*front.Listeners
@@ -79,29 +85,31 @@
 	conns  map[*conn]struct{}
 
 	mu            sync.Mutex
-	pushes        map[string]*push
+	pushes        map[string]*push // by id
 	byIdentity    map[string]*push
-	topics        map[string]*push
-	unread        map[string]*push // by identity: the newest whose receipt is to come or not acknowledged
-	ended         *list.List       // of pushes, oldest first
+	topics        map[string]*push // by topic: messages not ended that a newer one replaces
+	unread        map[string]*push // by identity: the newest one without acknowledged receipt
+	ended         *list.List       // of *push, in the order in which they ended
 	subscriptions map[string]*subscription
-	polls         int
+	polls         int // long polls waiting
 	lastSweep     time.Time
-	deferred      []func() // responses, for when mu is let go
+	deferred      []func() // responses to send after mu is unlocked
 }
 
-// New makes a front that does not listen yet: what an earlier run kept may be
-// restored first.
+// New returns a front that does not listen yet, so that Restore and Owe can restore the
+// state of an earlier run before Start.
 func New(opt Options) *Front {
-	return &Front{opt: opt, vapid: newVAPID(opt.Audience), outbox: front.NewOutbox[*push](), stop: make(chan struct{}),
+	return &Front{opt: opt, vapid: newVAPID(opt.Audience), outbox: front.NewOutbox[*push](),
+		stop:  make(chan struct{}),
 		conns: map[*conn]struct{}{}, pushes: map[string]*push{}, byIdentity: map[string]*push{},
-		topics: map[string]*push{}, unread: map[string]*push{}, ended: list.New(), subscriptions: map[string]*subscription{},
+		topics: map[string]*push{}, unread: map[string]*push{}, ended: list.New(),
+		subscriptions: map[string]*subscription{},
 		h2: &http2.Server{MaxConcurrentStreams: uint32(opt.Streams), MaxReadFrameSize: 16 << 10, IdleTimeout: opt.Idle,
 			MaxUploadBufferPerConnection: 1 << 20, MaxUploadBufferPerStream: 256 << 10,
 			MaxDecoderHeaderTableSize: 4096, MaxEncoderHeaderTableSize: 4096}}
 }
 
-// Start opens the listeners.
+// Start opens the listeners and starts the front.
 func (f *Front) Start() error {
 	opt := &f.opt
 	for i, addrs := range [][]string{opt.Listen, opt.TLSListen} {
@@ -109,8 +117,9 @@
 			continue
 		}
 		l, err := front.Listen(front.Sockets{Name: "webpush", Addrs: addrs, ReadBuffer: 32 << 10,
-			WriteBuffer: opt.WriteBuffer, Open: func(nb *engine.Conn, _ time.Duration) front.Conn { return f.open(nb, i == 1) },
-			Failed: func(err error) { opt.Observer.Logf("webpush: accept: %v", err) }})
+			WriteBuffer: opt.WriteBuffer,
+			Open:        func(nb *engine.Conn, _ time.Duration) front.Conn { return f.open(nb, i == 1) },
+			Failed:      func(err error) { opt.Observer.Logf("webpush: accept: %v", err) }})
 		if err != nil {
 			f.closeListeners()
 			return err
@@ -136,8 +145,10 @@
 	return nil
 }
 
-// Addrs and TLSAddrs are the addresses listened on.
-func (f *Front) Addrs() []string    { return f.addrs }
+// Addrs returns the addresses that the front listens on without TLS.
+func (f *Front) Addrs() []string { return f.addrs }
+
+// TLSAddrs returns the addresses that the front listens on with TLS.
 func (f *Front) TLSAddrs() []string { return f.tlsAddrs }
 
 func (f *Front) closeListeners() {
@@ -146,7 +157,8 @@
 	}
 }
 
-// Close ends everything; what the core said before is handed on first.
+// Close passes on the replies received from the core, answers all long polls, and closes
+// listeners and connections.
 func (f *Front) Close() {
 	close(f.stop)
 	f.goroutines.Wait()
@@ -161,6 +173,8 @@
 	f.closeListeners()
 }
 
+// expiryLoop removes expired messages and subscriptions, closes connections over their
+// time limit and reports to the observer, every 200 ms, until the front stops.
 func (f *Front) expiryLoop() {
 	defer f.goroutines.Done()
 	tick := time.NewTicker(200 * time.Millisecond)
@@ -191,21 +205,22 @@
 	}
 }
 
-// conn is one connection.
+// conn is a client's connection.
 type conn struct {
 	front *Front
 	nb    *engine.Conn
 	sec   *secure.Conn // nil without TLS
-	out   io.Writer
-	since atomic.Int64 // by front.Now: a request began, or the connection idles since
-	state atomic.Int32 // 0 idles, 1 within a request, 2 answering, 3 HTTP/2
+	out   io.Writer    // nb, or sec with TLS
+	since atomic.Int64 // when the request or the idle time began, as of front.Now
+	state atomic.Int32 // 0 idle, 1 receiving a request, 2 waiting for its response, 3 HTTP/2
 
 	mu        sync.Mutex
 	req       http1.Request
-	pipelined []byte // after a request that is being answered
+	pipelined []byte // received while a request waits for its response
 	closed    bool
 }
 
+// open accepts a connection, or returns nil at the limit of connections.
 func (f *Front) open(nb *engine.Conn, secured bool) front.Conn {
 	c := &conn{front: f, nb: nb, out: nb}
 	c.since.Store(front.Now())
@@ -226,7 +241,8 @@
 	return c
 }
 
-// ready goes on after the handshake.
+// handshakeDone is called after the TLS handshake. It serves HTTP/2 until the end of the
+// connection and returns nil, or returns the receiver of the plaintext of HTTP/1.1.
 func (c *conn) handshakeDone(s *secure.Conn, err error) func([]byte) {
 	c.front.opt.Observer.Handshake(err)
 	if err != nil {
@@ -242,7 +258,7 @@
 	return c.handlePlaintext
 }
 
-// Data takes in what the socket gave.
+// Data accepts bytes received on the socket.
 func (c *conn) Data(b []byte) {
 	if c.sec != nil {
 		c.sec.Data(b)
@@ -251,7 +267,7 @@
 	c.handlePlaintext(b)
 }
 
-// Closed takes in the end of the connection.
+// Closed is called when the connection has ended.
 func (c *conn) Closed() {
 	if c.sec != nil {
 		c.sec.End()
@@ -261,7 +277,8 @@
 	c.front.connMu.Unlock()
 }
 
-// overdue tells whether a connection idled too long, or its request does not end.
+// overdue reports whether a connection exceeded its idle time or the time limit of
+// receiving a request.
 func (c *conn) overdue(now time.Time) bool {
 	age := front.Nanos(now) - c.since.Load()
 	switch c.state.Load() {
@@ -273,11 +290,11 @@
 	return false
 }
 
-// plain takes in bytes of HTTP/1.1.
+// handlePlaintext accepts received bytes of HTTP/1.1.
 func (c *conn) handlePlaintext(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state.Load() == 2 { // answered first; pipelined ones wait, bounded
+	if c.state.Load() == 2 { // pipelined requests wait for this response, up to a limit
 		if c.pipelined = append(c.pipelined, b...); len(c.pipelined) > c.front.opt.Header+c.front.opt.Body {
 			_ = c.nb.Close()
 			c.pipelined = nil
@@ -287,7 +304,7 @@
 	c.parse(b)
 }
 
-// parse goes through requests until one must wait for its answer; under mu.
+// parse handles requests until one must wait for its response; under mu.
 func (c *conn) parse(b []byte) {
 	for len(b) > 0 && !c.closed {
 		if c.state.CompareAndSwap(0, 1) {
@@ -314,7 +331,7 @@
 		c.pipelined = append(c.pipelined[:0], rest...)
 		q := &request{method: c.req.Method, path: c.req.Path, header: c.req.Header, body: c.req.Body}
 		var responseMu sync.Mutex
-		var immediate *response // it came before serve returned
+		var immediate *response // response that came before serve returned
 		async := false
 		c.front.serve(q, func(r response) {
 			responseMu.Lock()
@@ -335,7 +352,7 @@
 		async = immediate == nil
 		responseMu.Unlock()
 		if async {
-			return // the answer goes on from there
+			return // the callback writes the response and continues to parse
 		}
 		c.write(*immediate)
 		b = c.pipelined
@@ -343,7 +360,7 @@
 	}
 }
 
-// write sends a response and readies the connection for the next request; under mu.
+// write sends a response and prepares the connection for the next request; under mu.
 func (c *conn) write(r response) {
 	if c.closed {
 		return
@@ -372,14 +389,15 @@
 	c.state.Store(0)
 }
 
-// serveHTTP is the way of HTTP/2 requests.
+// serveHTTP handles a request of HTTP/2.
 func (f *Front) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	var body bytes.Buffer
 	if _, err := body.ReadFrom(io.LimitReader(r.Body, int64(f.opt.Body)+1)); err != nil {
 		return
 	}
 	if body.Len() > f.opt.Body {
-		http.Error(w, fmt.Sprintf("content is over its limit of %d bytes", f.opt.Body), http.StatusRequestEntityTooLarge)
+		http.Error(w, fmt.Sprintf("content is over its limit of %d bytes", f.opt.Body),
+			http.StatusRequestEntityTooLarge)
 		return
 	}
 	done := make(chan response, 1)
@@ -392,6 +410,6 @@
 		}
 		w.WriteHeader(a.status)
 		_, _ = w.Write(a.body)
-	case <-r.Context().Done(): // reset or gone; what was handed in goes on
+	case <-r.Context().Done(): // stream reset or connection lost; a message that was handed in is still delivered
 	}
 }
--- a/internal/webpush/keep.go
+++ b/internal/webpush/keep.go
@@ -9,39 +9,40 @@
 	"basaltcross.example/basaltcross/internal/front"
 )
 
-// Name of the front in records.
+// Name identifies this front in stored records.
 const Name = "webpush"
 
-// keptBox is what outlives the process of a receipt subscription. Receipts of each
-// run are numbered from a base of its own, above all earlier ones: an
-// acknowledgement of an earlier run's must not let go one of this.
+// subscriptionRecord is the stored form of a receipt subscription, for a restart. Each
+// run numbers its receipts from a base above all earlier ones, so that an
+// acknowledgement of a receipt of an earlier run does not remove one of this run.
 type subscriptionRecord struct {
-	Owner string `cbor:"1,keyasint"`
-	Base  uint64 `cbor:"2,keyasint"`
+	Owner   string `cbor:"1,keyasint"`
+	BaseSeq uint64 `cbor:"2,keyasint"`
 }
 
-// perRun is how far apart the bases of two runs are.
+// seqPerRun is the difference between the bases of two successive runs.
 const seqPerRun = 1 << 32
 
-// way back to a push, as a message's record has it.
+// returnPath is stored with a message and holds what is needed to restore its push.
 type returnPath struct {
-	ID    string        `cbor:"1,keyasint"`
-	Owner string        `cbor:"2,keyasint"`
-	Box   string        `cbor:"3,keyasint"` // empty for none
-	Topic string        `cbor:"4,keyasint"`
-	Life  time.Duration `cbor:"5,keyasint"`
+	ID           string        `cbor:"1,keyasint"`
+	Owner        string        `cbor:"2,keyasint"`
+	Subscription string        `cbor:"3,keyasint"` // id of the receipt subscription, empty for none
+	Topic        string        `cbor:"4,keyasint"`
+	TTL          time.Duration `cbor:"5,keyasint"`
 }
 
+// returnPath returns the encoded returnPath of p.
 func (p *push) returnPath() []byte {
-	w := returnPath{ID: p.id, Owner: p.owner, Topic: p.topic, Life: p.ttl}
+	w := returnPath{ID: p.id, Owner: p.owner, Topic: p.topic, TTL: p.ttl}
 	if p.subscription != nil {
-		w.Box = p.subscription.id
+		w.Subscription = p.subscription.id
 	}
-	b, _ := cbor.Marshal(w) // plain fields: cannot fail
+	b, _ := cbor.Marshal(w) // cannot fail for these field types
 	return b
 }
 
-// keep records a receipt subscription; under mu.
+// persist stores a receipt subscription; under mu.
 func (f *Front) persist(b *subscription) {
 	if k := f.opt.Keeper; k != nil {
 		v, _ := cbor.Marshal(subscriptionRecord{b.owner, b.baseSeq})
@@ -49,7 +50,7 @@
 	}
 }
 
-// Restore takes in receipt subscriptions of an earlier run, before Start.
+// Restore adds the stored receipt subscriptions of an earlier run, before Start.
 func (f *Front) Restore(boxes map[string][]byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,14 +63,15 @@
 			}
 			continue
 		}
-		b := &subscription{id: id, owner: k.Owner, used: time.Now(), baseSeq: k.Base + seqPerRun, lastSeq: k.Base + seqPerRun}
+		b := &subscription{id: id, owner: k.Owner, used: time.Now(),
+			baseSeq: k.BaseSeq + seqPerRun, lastSeq: k.BaseSeq + seqPerRun}
 		f.subscriptions[id] = b
 		f.persist(b)
 	}
 }
 
-// Owe takes in a message of an earlier run, or its answer, before Start, and
-// returns where the answer goes if it is still to come.
+// Owe adds a message of an earlier run, with its answer if it has one, before Start. It
+// returns the receiver of an answer that is still to come.
 func (f *Front) Owe(o front.Owed) core.Reply {
 	var w returnPath
 	if err := cbor.Unmarshal(o.Way, &w); err != nil {
@@ -78,10 +80,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := &push{id: w.ID, identity: o.Identity, owner: w.Owner, subscription: f.subscriptions[w.Box], topic: w.Topic, ttl: w.Life, accepted: true,
+	p := &push{id: w.ID, identity: o.Identity, owner: w.Owner,
+		subscription: f.subscriptions[w.Subscription], topic: w.Topic, ttl: w.TTL, accepted: true,
 		answer: o.Answer}
 	if len(f.pushes) >= f.opt.Messages {
-		f.evictOldest() // one that ended; what is owed is held past the bound
+		f.evictOldest() // makes room if a message has ended; one that has not is kept over the limit
 	}
 	f.pushes[p.id], f.byIdentity[p.identity] = p, p
 	if p.subscription != nil && !o.Handed {
--- a/internal/webpush/push.go
+++ b/internal/webpush/push.go
@@ -18,31 +18,33 @@
 	"basaltcross.example/basaltcross/internal/ledger"
 )
 
-// request is one request, however it came.
+// request is an HTTP request, of HTTP/1.1 or HTTP/2.
 type request struct {
 	method, path string
 	header       func(name string) string
 	body         []byte
 }
 
-// response is what goes back.
+// response is the response to a request.
 type response struct {
 	status int
 	header [][2]string
 	body   []byte
 }
 
+// with returns r with one more header field.
 func (r response) with(name, value string) response {
 	r.header = append(r.header, [2]string{name, value})
 	return r
 }
 
-// say is a response with a line of text.
+// textResponse returns a response with one line of plain text.
 func textResponse(status int, format string, args ...any) response {
 	return response{status: status, header: [][2]string{{"Content-Type", "text/plain; charset=utf-8"}},
 		body: fmt.Appendf(nil, format+"\n", args...)}
 }
 
+// jsonResponse returns a response with v as JSON.
 func jsonResponse(status int, v any) response {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -51,65 +53,66 @@
 	return response{status: status, header: [][2]string{{"Content-Type", "application/json"}}, body: append(b, '\n')}
 }
 
-// push is one message handed in by POST, until its answer was fetched or its
-// time of keeping is over.
+// push is a message handed in by POST. It is kept until Options.Keep after it ended, or
+// until its place is needed for another.
 type push struct {
-	id           string // of its resource, not to be guessed
+	id           string // random id of its resource, which cannot be guessed
 	identity     string
-	owner        string        // VAPID key
-	subscription *subscription // where its receipt goes, nil for none
+	owner        string        // VAPID key of the sender
+	subscription *subscription // that gets its receipt, nil for none
 	topic        string
-	ttl          time.Duration // granted
+	ttl          time.Duration // granted time to live
 	accepted     bool
 	answer       ledger.Answer
 	ended        time.Time
-	onAccepted   []func(error)      // that wait until it is taken
-	longPolls    map[*longPoll]bool // long polls of it
+	onAccepted   []func(error)      // responses of POSTs that wait until the core accepts it
+	longPolls    map[*longPoll]bool // long polls that wait for its end
 }
 
-// waiter is a long poll.
+// longPoll is a long poll that waits.
 type longPoll struct {
 	done  func()
 	timer *time.Timer
 }
 
-// serve handles a request; respond is called once, maybe later and from
-// another goroutine.
+// serve handles a request. respond is called once, before or after serve returns, in the
+// latter case from another goroutine.
 func (f *Front) serve(q *request, respond func(response)) {
 	section, rest, _ := strings.Cut(strings.TrimPrefix(q.path, "/"), "/")
 	if q.path == "/" || section != "push" && section != "message" && section != "receipts" || rest == "" {
 		respond(textResponse(http.StatusNotFound, "no such resource"))
 		return
 	}
-	who, err := f.vapid.check(q.header("Authorization"), time.Now())
+	sender, err := f.vapid.check(q.header("Authorization"), time.Now())
 	if err != nil && !(f.opt.Anyone && errors.Is(err, errNoToken)) {
 		respond(textResponse(http.StatusUnauthorized, "%v", err).with("WWW-Authenticate", "vapid"))
 		return
 	}
 	switch {
 	case section == "push" && q.method == http.MethodPost:
-		f.post(q, who, rest, respond)
+		f.post(q, sender, rest, respond)
 	case section == "push":
 		respond(textResponse(http.StatusMethodNotAllowed, "POST a message here").with("Allow", "POST"))
 	case section == "message" && q.method == http.MethodDelete:
-		respond(f.remove(who, rest))
+		respond(f.remove(sender, rest))
 	case section == "message" && q.method == http.MethodGet:
-		f.getMessage(q, who, rest, respond)
+		f.getMessage(q, sender, rest, respond)
 	case section == "message":
 		respond(textResponse(http.StatusMethodNotAllowed, "GET or DELETE").with("Allow", "GET, DELETE"))
 	case section == "receipts" && q.method == http.MethodGet:
-		f.getReceipts(q, who, rest, respond)
+		f.getReceipts(q, sender, rest, respond)
 	default:
 		respond(textResponse(http.StatusMethodNotAllowed, "GET").with("Allow", "GET"))
 	}
 }
 
-// may tells whether a key may push to a resource.
-func (f *Front) mayPush(who Sender, path string) bool {
+// mayPush reports whether the sender's key may push to a resource <class>/<partner>. An
+// allowed resource may be "*", "<class>/*" or "*/<partner>" too.
+func (f *Front) mayPush(sender Sender, path string) bool {
 	if len(f.opt.Keys) == 0 {
 		return true
 	}
-	allowed, ok := f.opt.Keys[who.Key]
+	allowed, ok := f.opt.Keys[sender.Key]
 	for _, a := range allowed {
 		if a == "*" || a == path || strings.HasSuffix(a, "/*") && strings.HasPrefix(path, a[:len(a)-1]) ||
 			strings.HasPrefix(a, "*/") && strings.HasSuffix(path, a[1:]) {
@@ -119,11 +122,11 @@
 	return ok && len(allowed) == 0
 }
 
-// carried are the fields that go on to the partner as they came, with RFC
-// 8291's own in its older form too.
+// forwardedFields are the header fields that are forwarded to the partner unchanged,
+// with Encryption and Crypto-Key of older drafts of RFC 8291.
 var forwardedFields = []string{"Content-Type", "Content-Encoding", "Encryption", "Crypto-Key", "Urgency", "Topic"}
 
-// check reads the fields of a POST; the error names the one that is wrong.
+// check reads the header fields of a POST; the error names the one that is invalid.
 func (f *Front) check(q *request, class int) (m core.Message, topic string, async bool, err error) {
 	ttl := q.header("TTL")
 	seconds, e := strconv.ParseUint(ttl, 10, 31)
@@ -131,7 +134,7 @@
 		return m, "", false, fmt.Errorf("TTL: %.40q is not a number of seconds; the field is required", ttl)
 	}
 	m.Left = min(time.Duration(seconds)*time.Second, f.opt.Names.Lives[class])
-	if seconds == 0 { // now or never (RFC 8030, 5.2)
+	if seconds == 0 { // deliver at once or not at all (5.2)
 		m.Now, m.Left = true, f.opt.Names.Lives[class]
 	}
 	switch u := q.header("Urgency"); u {
@@ -140,7 +143,8 @@
 		return m, "", false, fmt.Errorf("Urgency: %.40q is none of very-low, low, normal, high", u)
 	}
 	topic = q.header("Topic")
-	if len(topic) > 32 || strings.Trim(topic, "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_") != "" {
+	if len(topic) > 32 ||
+		strings.Trim(topic, "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_") != "" {
 		return m, "", false, fmt.Errorf("Topic: %.40q is not at most 32 characters of base64url", topic)
 	}
 	for part := range strings.SplitSeq(q.header("Prefer"), ",") {
@@ -162,14 +166,14 @@
 	return m, topic, async, nil
 }
 
-// post takes a push message in (RFC 8030, 5).
-func (f *Front) post(q *request, who Sender, path string, respond func(response)) {
+// post handles a POST of a message (5).
+func (f *Front) post(q *request, sender Sender, path string, respond func(response)) {
 	class, partner, err := f.opt.Names.Route(path)
 	if err != nil {
 		respond(textResponse(http.StatusNotFound, "/push/%.100s %v", path, err))
 		return
 	}
-	if !f.mayPush(who, path) {
+	if !f.mayPush(sender, path) {
 		respond(textResponse(http.StatusForbidden, "this key may not push to /push/%s", path))
 		return
 	}
@@ -183,28 +187,29 @@
 		respond(textResponse(http.StatusBadRequest, "Idempotency-Key: over 256 bytes"))
 		return
 	}
-	m.Class, m.Partner, m.Source, m.Body = class, partner, who.Key, bytes.Clone(q.body)
+	m.Class, m.Partner, m.Source, m.Body = class, partner, sender.Key, bytes.Clone(q.body)
 	f.mu.Lock()
 	defer f.unlock()
 	respond = f.afterUnlock(respond)
 	now := time.Now()
 	f.sweep(now)
-	// What has no identity of its own gets one that nobody repeats, so that it
-	// can be withdrawn; its class is told apart by own.
-	p := &push{id: rand.Text(), owner: who.Key, ttl: m.Left}
+	// A message without Idempotency-Key gets a random identity that no other POST can repeat,
+	// so that it can be withdrawn.
+	p := &push{id: rand.Text(), owner: sender.Key, ttl: m.Left}
 	if m.Now {
 		p.ttl = 0
 	}
 	if idempotencyKey != "" {
-		p.identity = front.Identity('w', who.Key, who.Subject, idempotencyKey)
+		p.identity = front.Identity('w', sender.Key, sender.Subject, idempotencyKey)
 		if old := f.byIdentity[p.identity]; old != nil && (old.answer.Verdict != ledger.Refused ||
 			now.Before(old.ended.Add(old.answer.After))) {
 			f.answerRepeat(old, async, respond)
 			return
 		}
 	} else if f.opt.Unsafe[class] {
-		respond(textResponse(http.StatusBadRequest, "Idempotency-Key: messages of this class must never take effect twice; "+
-			"name each by this field"))
+		respond(textResponse(http.StatusBadRequest,
+			"Idempotency-Key: messages of this class must never take effect twice; "+
+				"name each by this field"))
 		return
 	} else {
 		p.identity = front.Identity('x', p.id)
@@ -214,17 +219,18 @@
 		return
 	}
 	if async || q.header("Push-Receipt") != "" {
-		if p.subscription, err = f.subscriptionFor(q.header("Push-Receipt"), who.Key, now); err != nil {
+		if p.subscription, err = f.subscriptionFor(q.header("Push-Receipt"), sender.Key, now); err != nil {
 			respond(textResponse(http.StatusBadRequest, "Push-Receipt: %v", err))
 			return
 		}
 		if p.subscription.owed+len(p.subscription.receipts) >= f.opt.Pending {
-			respond(textResponse(http.StatusTooManyRequests, "this receipt subscription is owed %d receipts; fetch them", f.opt.Pending))
+			respond(textResponse(http.StatusTooManyRequests,
+				"this receipt subscription is owed %d receipts; fetch them", f.opt.Pending))
 			return
 		}
 	}
 	if topic != "" {
-		p.topic = front.Identity('t', who.Key, path, topic)
+		p.topic = front.Identity('t', sender.Key, path, topic)
 	}
 	m.Identity, m.Reply = p.identity, front.Reply[*push]{Box: f.outbox, To: p}
 	if f.opt.Keeper != nil {
@@ -241,14 +247,14 @@
 	}
 	f.pushes[p.id], f.byIdentity[p.identity] = p, p
 	if topic != "" {
-		if old := f.topics[p.topic]; old != nil { // a newer one replaces it (5.4)
+		if old := f.topics[p.topic]; old != nil { // replaced by this one (5.4)
 			f.opt.Door.Withdraw(old.identity)
 		}
 		f.topics[p.topic] = p
 	}
 }
 
-// repeat answers a POST of an identity that is known: under mu.
+// answerRepeat responds to a POST of a known identity; under mu.
 func (f *Front) answerRepeat(p *push, async bool, respond func(response)) {
 	if !p.accepted && p.answer.Verdict == 0 {
 		p.onAccepted = append(p.onAccepted, func(err error) { respond(f.postResponse(p, async, err)) })
@@ -257,7 +263,8 @@
 	respond(f.postResponse(p, async, nil))
 }
 
-// created answers a POST once the core has taken the message or not.
+// postResponse returns the response to a POST whose message the core accepted, or rejected
+// with err.
 func (f *Front) postResponse(p *push, async bool, err error) response {
 	switch {
 	case errors.Is(err, core.ErrStopping):
@@ -281,7 +288,8 @@
 	return r
 }
 
-// said takes in what the core says of a push; under mu.
+// handleReply handles the core's reply about a push: that it is accepted or rejected, or
+// its final answer; under mu.
 func (f *Front) handleReply(s front.Said[*push]) {
 	p := s.To
 	if s.Answer.Verdict == 0 {
@@ -315,7 +323,7 @@
 	endPolls(&p.longPolls)
 }
 
-// drop takes a push off the tables; under mu.
+// drop removes a push from the maps; under mu.
 func (f *Front) drop(p *push) {
 	delete(f.pushes, p.id)
 	if f.byIdentity[p.identity] == p {
@@ -326,7 +334,8 @@
 	}
 }
 
-// sweep forgets what was kept long enough; under mu.
+// sweep removes ended messages and unused receipt subscriptions after Options.Keep; under
+// mu.
 func (f *Front) sweep(now time.Time) {
 	for e := f.ended.Front(); e != nil; e = f.ended.Front() {
 		p := e.Value.(*push)
@@ -353,8 +362,9 @@
 	}
 }
 
-// forget makes room at the bound: the push that ended first is forgotten, its
-// identity not: the core keeps that for as long as it is configured to.
+// evictOldest removes the push that ended first, to make room for another, and reports
+// whether there was one; under mu. The core still keeps its identity for as long as it is
+// configured to.
 func (f *Front) evictOldest() bool {
 	e := f.ended.Front()
 	if e == nil {
@@ -365,13 +375,13 @@
 	return true
 }
 
-// remove withdraws a message (RFC 8030, 6.2 gives the codes for DELETE).
-func (f *Front) remove(who Sender, id string) response {
+// remove handles a DELETE, which withdraws a message (status codes as in 6.2).
+func (f *Front) remove(sender Sender, id string) response {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.pushes[id]
 	switch {
-	case p == nil || p.owner != who.Key:
+	case p == nil || p.owner != sender.Key:
 		return textResponse(http.StatusNotFound, "no such message of yours")
 	case p.answer.Verdict != 0:
 		return textResponse(http.StatusGone, "it ended before: %v", p.answer.Verdict)
@@ -380,7 +390,8 @@
 	return response{status: http.StatusNoContent}
 }
 
-// patience is the wait that a long poll asks for (RFC 7240, 4.3), bounded.
+// pollWait returns the wait that a long poll asks for by Prefer (RFC 7240, 4.3), limited
+// to Options.Poll.
 func (f *Front) pollWait(q *request) time.Duration {
 	for part := range strings.SplitSeq(q.header("Prefer"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(strings.ToLower(part)), "wait="); ok {
@@ -392,19 +403,21 @@
 	return 0
 }
 
-// getMessage tells what became of one message, waiting if asked to.
-func (f *Front) getMessage(q *request, who Sender, id string, respond func(response)) {
+// getMessage returns the outcome of a message. While there is none it waits as long as the
+// request asks.
+func (f *Front) getMessage(q *request, sender Sender, id string, respond func(response)) {
 	f.mu.Lock()
 	defer f.unlock()
 	respond = f.afterUnlock(respond)
 	p := f.pushes[id]
-	if p == nil || p.owner != who.Key {
+	if p == nil || p.owner != sender.Key {
 		respond(textResponse(http.StatusNotFound, "no such message of yours"))
 		return
 	}
 	answer := func() {
 		if p.answer.Verdict == 0 {
-			respond(jsonResponse(http.StatusAccepted, receipt{Message: "/message/" + p.id, Status: http.StatusAccepted, Answer: "none"}))
+			respond(jsonResponse(http.StatusAccepted,
+				receipt{Message: "/message/" + p.id, Status: http.StatusAccepted, Answer: "none"}))
 			return
 		}
 		respond(withRetryAfter(jsonResponse(http.StatusOK, receiptOf(p)), p.answer.After))
@@ -416,6 +429,7 @@
 	answer()
 }
 
+// withRetryAfter returns r with a Retry-After field, in seconds rounded up, if after is not 0.
 func withRetryAfter(r response, after time.Duration) response {
 	if after > 0 {
 		r = r.with("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
@@ -423,13 +437,13 @@
 	return r
 }
 
-// afterwards makes a respond that may be called under mu: it runs once mu is
-// let go, as connections have locks of their own.
+// afterUnlock returns a respond that may be called under mu. The response is sent by
+// unlock, as connections have mutexes of their own.
 func (f *Front) afterUnlock(respond func(response)) func(response) {
 	return func(r response) { f.deferred = append(f.deferred, func() { respond(r) }) }
 }
 
-// unlock lets mu go and runs what waits for that.
+// unlock unlocks mu and sends the responses that were deferred until then.
 func (f *Front) unlock() {
 	calls := f.deferred
 	f.deferred = nil
@@ -439,10 +453,10 @@
 	}
 }
 
-// hold keeps a long poll until release or its time; under mu. answer runs
-// under mu, once.
+// startPoll adds a long poll to set. answer is called once, under mu: by endPolls, or after
+// the wait. The caller holds mu.
 func (f *Front) startPoll(set *map[*longPoll]bool, wait time.Duration, answer func()) {
-	if f.polls >= f.opt.Polls { // at the bound polls do not wait
+	if f.polls >= f.opt.Polls { // answered at once at the limit
 		answer()
 		return
 	}
@@ -462,6 +476,7 @@
 	})
 }
 
+// endPolls answers all long polls of set; under mu.
 func endPolls(set *map[*longPoll]bool) {
 	for w := range *set {
 		w.timer.Stop()
--- a/internal/webpush/receipts.go
+++ b/internal/webpush/receipts.go
@@ -12,29 +12,31 @@
 	"basaltcross.example/basaltcross/internal/ledger"
 )
 
-// box is a receipt subscription (RFC 8030, 4 and 5.1).
+// subscription is a receipt subscription (4 and 5.1).
 type subscription struct {
 	id        string
 	owner     string
 	used      time.Time
-	owed      int    // receipts to come
+	owed      int    // messages whose receipt is still to come
 	lastSeq   uint64 // sequence number of the last receipt
-	baseSeq   uint64 // where this run began to count
+	baseSeq   uint64 // sequence number before the first receipt of this run
 	receipts  []receipt
 	longPolls map[*longPoll]bool
 }
 
-// receipt tells what became of a message.
+// receipt is the JSON form of a push receipt: the outcome of a message.
 type receipt struct {
 	Seq     uint64 `json:"seq"`
 	Message string `json:"message"`
-	// Status is 204 for a message that was delivered, 410 for one that was not.
+	// Status is 204 for a message that was delivered, 410 for one that was not, and 202
+	// for one that has not ended.
 	Status       int    `json:"status"`
 	Answer       string `json:"answer"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	push         *push
 }
 
+// receiptOf returns the receipt of a message that has ended, without sequence number.
 func receiptOf(p *push) receipt {
 	r := receipt{push: p, Message: "/message/" + p.id, Status: http.StatusGone, Answer: p.answer.Verdict.String(),
 		RetryAfterMS: int64(math.Ceil(float64(p.answer.After) / float64(time.Millisecond)))}
@@ -44,7 +46,8 @@
 	return r
 }
 
-// boxFor finds the receipt subscription that a POST names, or makes one.
+// subscriptionFor returns the receipt subscription that the Push-Receipt field of a POST
+// names, or a new one if the field is empty; under mu.
 func (f *Front) subscriptionFor(link, owner string, now time.Time) (*subscription, error) {
 	if link != "" {
 		id := link[strings.LastIndexByte(link, '/')+1:]
@@ -64,7 +67,7 @@
 	return b, nil
 }
 
-// receipt is ready to be fetched.
+// addReceipt appends the receipt of p to those that can be fetched.
 func (b *subscription) addReceipt(p *push) {
 	b.lastSeq++
 	r := receiptOf(p)
@@ -72,15 +75,16 @@
 	b.receipts = append(b.receipts, r)
 }
 
-// read says that nobody will read the receipt of a push any more, or that it was read.
+// forgetUnread removes a push from the unread ones: its receipt was acknowledged, or nobody
+// can fetch it any more.
 func (f *Front) forgetUnread(p *push) {
 	if f.unread[p.identity] == p {
 		delete(f.unread, p.identity)
 	}
 }
 
-// acknowledged lets a receipt go. The record of its identity is that of the newest push,
-// whose receipt may still be to be read; under mu.
+// acknowledge handles the acknowledgement of a receipt; under mu. The stored record of an
+// identity belongs to its newest push, so that it is only marked as finished with that.
 func (f *Front) acknowledge(p *push) {
 	newest := f.unread[p.identity]
 	f.forgetUnread(p)
@@ -89,18 +93,19 @@
 	}
 }
 
-// mostReceipts in one answer.
+// maxReceipts is the largest number of receipts in one response.
 const maxReceipts = 1000
 
-// getReceipts hands out the receipts of a subscription. Those up to ?after=SEQ
-// are acknowledged by it and let go; without receipts it waits as asked.
-func (f *Front) getReceipts(q *request, who Sender, id string, respond func(response)) {
+// getReceipts returns the receipts of a subscription. The query after=SEQ acknowledges and
+// removes those up to SEQ first. While there are no receipts it waits as long as the
+// request asks.
+func (f *Front) getReceipts(q *request, sender Sender, id string, respond func(response)) {
 	f.mu.Lock()
 	defer f.unlock()
 	respond = f.afterUnlock(respond)
 	id, query, _ := strings.Cut(id, "?")
 	b := f.subscriptions[id]
-	if b == nil || b.owner != who.Key {
+	if b == nil || b.owner != sender.Key {
 		respond(textResponse(http.StatusNotFound, "no such receipt subscription of yours"))
 		return
 	}
--- a/internal/webpush/vapid.go
+++ b/internal/webpush/vapid.go
@@ -17,23 +17,23 @@
 	"github.com/golang-jwt/jwt/v5"
 )
 
-// Sender is who a VAPID token speaks for (RFC 8292).
+// Sender is the application server that a VAPID token identifies (RFC 8292).
 type Sender struct {
-	Key     string // public key, base64url of the uncompressed point
-	Subject string
-	Until   time.Time
+	Key     string    // public key, base64url of the uncompressed point
+	Subject string    // contact, a mailto: or https: URI, or empty
+	Until   time.Time // expiry of the token
 }
 
-// mostLife is the longest that a token may live (RFC 8292, 2).
+// maxTokenLifetime is the longest time until a token's expiry (RFC 8292, 2).
 const maxTokenLifetime = 24 * time.Hour
 
-// mostTokens bounds the tokens remembered as checked.
+// maxTokens is the largest number of verified tokens that are cached.
 const maxTokens = 4096
 
-// vapid checks tokens. What was found good is remembered until it expires, as
-// senders use one for hours.
+// vapid verifies tokens. A valid token is cached until it expires, as application servers
+// use one for hours.
 type vapid struct {
-	audience []string
+	audience []string // accepted audiences
 	mu       sync.Mutex
 	verified map[[32]byte]Sender
 }
@@ -44,7 +44,7 @@
 
 var errNoToken = errors.New("Authorization: a VAPID token is needed: vapid t=TOKEN, k=KEY")
 
-// check reads an Authorization field (RFC 8292, 3).
+// check verifies the token of an Authorization field (RFC 8292, 3).
 func (v *vapid) check(field string, now time.Time) (Sender, error) {
 	scheme, rest, _ := strings.Cut(field, " ")
 	if !strings.EqualFold(scheme, "vapid") {
@@ -66,9 +66,9 @@
 	}
 	sum := sha256.Sum256([]byte(field))
 	v.mu.Lock()
-	s, known := v.verified[sum]
+	s, cached := v.verified[sum]
 	v.mu.Unlock()
-	if known {
+	if cached {
 		if !now.Before(s.Until) {
 			return Sender{}, errors.New("Authorization: token is expired")
 		}
@@ -94,12 +94,14 @@
 	return s, nil
 }
 
+// verify checks the signature and claims of a token signed with key, a public key in
+// base64url.
 func (v *vapid) verify(token, key string, now time.Time) (Sender, error) {
 	raw, err := base64.RawURLEncoding.DecodeString(strings.TrimRight(key, "="))
 	if err != nil {
 		return Sender{}, fmt.Errorf("k is no base64url: %w", err)
 	}
-	if _, err := ecdh.P256().NewPublicKey(raw); err != nil { // on the curve, and not its zero
+	if _, err := ecdh.P256().NewPublicKey(raw); err != nil { // not a point of the curve, or infinity
 		return Sender{}, fmt.Errorf("k is no P-256 public key: %w", err)
 	}
 	public := &ecdsa.PublicKey{Curve: elliptic.P256(), X: new(big.Int).SetBytes(raw[1:33]),
