--- a/internal/mqtt/encode.go
+++ b/internal/mqtt/encode.go
@@ -32,8 +32,8 @@
 
 // appendProps appends the properties that are set, without the length field that precedes them.
 func appendProps(b []byte, p *Props) []byte {
-	u8 := func(id, v byte, set bool) {
-		if set {
+	u8 := func(id, v byte, isSet bool) {
+		if isSet {
 			b = append(b, id, v)
 		}
 	}
