--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -287,7 +287,8 @@
 		return nil, err
 	}
 	t := &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: name},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(lasts), IsCA: true, BasicConstraintsValid: true,
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(lasts),
+		IsCA: true, BasicConstraintsValid: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
 	if err != nil {
@@ -313,7 +314,8 @@
 // Issue writes a certificate and its key to NAME.pem and NAME.key in dir. With hosts
 // it is a server certificate for these names and addresses, else a client
 // certificate for name.
-func (a *Authority) Issue(dir, name string, from, to time.Time, hosts ...string) (certFile, keyFile string, err error) {
+func (a *Authority) Issue(dir, name string, from, to time.Time, hosts ...string) (certFile, keyFile string,
+	err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return "", "", err
--- a/internal/mqttfront/front.go
+++ b/internal/mqttfront/front.go
@@ -323,7 +323,7 @@
 			if said.Answer.Verdict != 0 {
 				s.queueAnswer(said.To, said.Answer)
 			} else {
-				s.handleAccepted(said.To, said.Err)
+				s.handleSubmitResult(said.To, said.Err)
 			}
 			if c := s.conn; c != nil && len(c.outQueue) > 0 && !c.dirty {
 				c.dirty = true
--- a/internal/mqttfront/front_test.go
+++ b/internal/mqttfront/front_test.go
@@ -22,7 +22,7 @@
 // when the test calls answer.
 type fakeCore struct {
 	mu         sync.Mutex
-	msgs       []*core.Message
+	received   []*core.Message
 	busy       bool
 	autoAnswer bool
 }
@@ -33,7 +33,7 @@
 	if d.busy {
 		return core.ErrBusy
 	}
-	d.msgs = append(d.msgs, m)
+	d.received = append(d.received, m)
 	m.Reply.Taken(nil)
 	if d.autoAnswer {
 		m.Reply.Answer(ledger.Answer{Verdict: ledger.Delivered})
@@ -46,7 +46,7 @@
 func (d *fakeCore) count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.msgs)
+	return len(d.received)
 }
 
 // nopObserver ignores all reports.
--- a/internal/mqttfront/repeat_test.go
+++ b/internal/mqttfront/repeat_test.go
@@ -35,7 +35,7 @@
 func (d *fakeCore) answer(v ledger.Verdict) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.msgs[len(d.msgs)-1].Reply.Answer(ledger.Answer{Verdict: v, After: 10 * time.Millisecond})
+	d.received[len(d.received)-1].Reply.Answer(ledger.Answer{Verdict: v, After: 10 * time.Millisecond})
 }
 
 // receivedAnswer is an answer that the client received, with the packet id of its PUBLISH.
@@ -237,7 +237,7 @@
 	p.readUntil(mqtt.PUBACK)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.msgs = d.msgs[:len(d.msgs)-1]
+	d.received = d.received[:len(d.received)-1]
 }
 
 // A PUBLISH that is retransmitted on the next connection is not a new hand-in: it is
@@ -312,7 +312,7 @@
 	p.readUntil(mqtt.PUBACK)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if n := len(d.msgs); n != 2 || d.msgs[0].Identity == d.msgs[1].Identity {
+	if n := len(d.received); n != 2 || d.received[0].Identity == d.received[1].Identity {
 		t.Errorf("the core received %d hand-ins, want 2 of different identities", n)
 	}
 }
--- a/internal/mqttfront/session.go
+++ b/internal/mqttfront/session.go
@@ -85,9 +85,9 @@
 	s.nextExpiry.Store(at)
 }
 
-// handleAccepted acknowledges the flows of a hand-in that the core accepted, or rejects
+// handleSubmitResult acknowledges the flows of a hand-in that the core accepted, or rejects
 // them with err.
-func (s *session) handleAccepted(p *pending, err error) {
+func (s *session) handleSubmitResult(p *pending, err error) {
 	if s.newest[p.identity] != p {
 		return
 	}
--- a/internal/webpush/front.go
+++ b/internal/webpush/front.go
@@ -207,12 +207,12 @@
 
 // conn is a client's connection.
 type conn struct {
-	front *Front
-	nb    *engine.Conn
-	sec   *secure.Conn // nil without TLS
-	out   io.Writer    // nb, or sec with TLS
-	since atomic.Int64 // when the request or the idle time began, as of front.Now
-	state atomic.Int32 // 0 idle, 1 receiving a request, 2 waiting for its response, 3 HTTP/2
+	front      *Front
+	nb         *engine.Conn
+	sec        *secure.Conn // nil without TLS
+	out        io.Writer    // nb, or sec with TLS
+	stateSince atomic.Int64 // when the request or the idle time began, as of front.Now
+	state      atomic.Int32 // 0 idle, 1 receiving a request, 2 waiting for its response, 3 HTTP/2
 
 	mu        sync.Mutex
 	req       http1.Request
@@ -223,7 +223,7 @@
 // open accepts a connection, or returns nil at the limit of connections.
 func (f *Front) open(nb *engine.Conn, secured bool) front.Conn {
 	c := &conn{front: f, nb: nb, out: nb}
-	c.since.Store(front.Now())
+	c.stateSince.Store(front.Now())
 	c.req.Reset(http1.Limits{Header: f.opt.Header, Body: f.opt.Body})
 	f.connMu.Lock()
 	full := len(f.conns) >= f.opt.Connections
@@ -248,7 +248,7 @@
 	if err != nil {
 		return nil
 	}
-	c.since.Store(front.Now())
+	c.stateSince.Store(front.Now())
 	if s.ConnectionState().NegotiatedProtocol == "h2" {
 		c.state.Store(3)
 		c.front.h2.ServeConn(s.Conn, &http2.ServeConnOpts{Handler: http.HandlerFunc(c.front.serveHTTP),
@@ -280,7 +280,7 @@
 // overdue reports whether a connection exceeded its idle time or the time limit of
 // receiving a request.
 func (c *conn) overdue(now time.Time) bool {
-	age := front.Nanos(now) - c.since.Load()
+	age := front.Nanos(now) - c.stateSince.Load()
 	switch c.state.Load() {
 	case 0:
 		return age > int64(c.front.opt.Idle)
@@ -308,7 +308,7 @@
 func (c *conn) parse(b []byte) {
 	for len(b) > 0 && !c.closed {
 		if c.state.CompareAndSwap(0, 1) {
-			c.since.Store(front.Now())
+			c.stateSince.Store(front.Now())
 		}
 		rest, err := c.req.Feed(b, &c.req)
 		if err != nil {
@@ -385,7 +385,7 @@
 	}
 	c.req.Reset(http1.Limits{Header: c.front.opt.Header, Body: c.front.opt.Body})
 	c.req.Body = nil
-	c.since.Store(front.Now())
+	c.stateSince.Store(front.Now())
 	c.state.Store(0)
 }
 
--- a/internal/webpush/persist.go
+++ b/internal/webpush/persist.go
@@ -63,7 +63,7 @@
 			}
 			continue
 		}
-		b := &subscription{id: id, owner: k.Owner, used: time.Now(),
+		b := &subscription{id: id, owner: k.Owner, lastUsed: time.Now(),
 			baseSeq: k.BaseSeq + seqPerRun, lastSeq: k.BaseSeq + seqPerRun}
 		f.subscriptions[id] = b
 		f.persist(b)
@@ -91,7 +91,7 @@
 		f.unread[p.identity] = p
 	}
 	if o.Answer.Verdict != 0 {
-		p.ended = time.Now()
+		p.endedAt = time.Now()
 		f.ended.PushBack(p)
 		if p.subscription != nil && !o.Handed {
 			p.subscription.addReceipt(p)
@@ -102,7 +102,7 @@
 		f.topics[p.topic] = p
 	}
 	if p.subscription != nil {
-		p.subscription.owed++
+		p.subscription.outstanding++
 	}
 	return front.Reply[*push]{Box: f.outbox, To: p}
 }
--- a/internal/webpush/push.go
+++ b/internal/webpush/push.go
@@ -59,17 +59,17 @@
 	id           string // random id of its resource, which cannot be guessed
 	identity     string
 	owner        string        // VAPID key of the sender
-	subscription *subscription // that gets its receipt, nil for none
+	subscription *subscription // receipt subscription that gets its receipt, nil for none
 	topic        string
 	ttl          time.Duration // granted time to live
 	accepted     bool
 	answer       ledger.Answer
-	ended        time.Time
-	onAccepted   []func(error)      // responses of POSTs that wait until the core accepts it
+	endedAt      time.Time
+	waitingPosts []func(error)      // respond to POSTs that wait until the core accepts or rejects it
 	longPolls    map[*longPoll]bool // long polls that wait for its end
 }
 
-// longPoll is a long poll that waits.
+// longPoll is a GET that waits for an answer or a receipt.
 type longPoll struct {
 	done  func()
 	timer *time.Timer
@@ -202,7 +202,7 @@
 	if idempotencyKey != "" {
 		p.identity = front.Identity('w', sender.Key, sender.Subject, idempotencyKey)
 		if old := f.byIdentity[p.identity]; old != nil && (old.answer.Verdict != ledger.Refused ||
-			now.Before(old.ended.Add(old.answer.After))) {
+			now.Before(old.endedAt.Add(old.answer.After))) {
 			f.answerRepeat(old, async, respond)
 			return
 		}
@@ -223,7 +223,7 @@
 			respond(textResponse(http.StatusBadRequest, "Push-Receipt: %v", err))
 			return
 		}
-		if p.subscription.owed+len(p.subscription.receipts) >= f.opt.Pending {
+		if p.subscription.outstanding+len(p.subscription.receipts) >= f.opt.Pending {
 			respond(textResponse(http.StatusTooManyRequests,
 				"this receipt subscription is owed %d receipts; fetch them", f.opt.Pending))
 			return
@@ -236,13 +236,13 @@
 	if f.opt.Keeper != nil {
 		m.Front, m.Way = Name, p.returnPath()
 	}
-	p.onAccepted = append(p.onAccepted, func(err error) { respond(f.postResponse(p, async, err)) })
+	p.waitingPosts = append(p.waitingPosts, func(err error) { respond(f.postResponse(p, async, err)) })
 	if err := f.opt.Door.Submit(&m); err != nil {
 		respond(f.postResponse(p, async, err))
 		return
 	}
 	if p.subscription != nil {
-		p.subscription.owed++
+		p.subscription.outstanding++
 		f.unread[p.identity] = p
 	}
 	f.pushes[p.id], f.byIdentity[p.identity] = p, p
@@ -257,7 +257,7 @@
 // answerRepeat responds to a POST of a known identity; under mu.
 func (f *Front) answerRepeat(p *push, async bool, respond func(response)) {
 	if !p.accepted && p.answer.Verdict == 0 {
-		p.onAccepted = append(p.onAccepted, func(err error) { respond(f.postResponse(p, async, err)) })
+		p.waitingPosts = append(p.waitingPosts, func(err error) { respond(f.postResponse(p, async, err)) })
 		return
 	}
 	respond(f.postResponse(p, async, nil))
@@ -293,12 +293,12 @@
 func (f *Front) handleReply(s front.Said[*push]) {
 	p := s.To
 	if s.Answer.Verdict == 0 {
-		posts := p.onAccepted
-		p.onAccepted, p.accepted = nil, s.Err == nil
+		posts := p.waitingPosts
+		p.waitingPosts, p.accepted = nil, s.Err == nil
 		if s.Err != nil {
 			f.drop(p)
 			if p.subscription != nil {
-				p.subscription.owed--
+				p.subscription.outstanding--
 				f.forgetUnread(p)
 			}
 		}
@@ -310,13 +310,13 @@
 	if p.answer.Verdict != 0 || f.pushes[p.id] != p {
 		return
 	}
-	p.answer, p.ended = s.Answer, time.Now()
+	p.answer, p.endedAt = s.Answer, time.Now()
 	f.ended.PushBack(p)
 	if f.topics[p.topic] == p {
 		delete(f.topics, p.topic)
 	}
 	if b := p.subscription; b != nil {
-		b.owed--
+		b.outstanding--
 		b.addReceipt(p)
 		endPolls(&b.longPolls)
 	}
@@ -339,7 +339,7 @@
 func (f *Front) sweep(now time.Time) {
 	for e := f.ended.Front(); e != nil; e = f.ended.Front() {
 		p := e.Value.(*push)
-		if now.Sub(p.ended) < f.opt.Keep {
+		if now.Sub(p.endedAt) < f.opt.Keep {
 			break
 		}
 		f.ended.Remove(e)
@@ -350,7 +350,7 @@
 	}
 	f.lastSweep = now
 	for id, b := range f.subscriptions {
-		if b.owed == 0 && len(b.longPolls) == 0 && now.Sub(b.used) >= f.opt.Keep {
+		if b.outstanding == 0 && len(b.longPolls) == 0 && now.Sub(b.lastUsed) >= f.opt.Keep {
 			delete(f.subscriptions, id)
 			for _, r := range b.receipts {
 				f.forgetUnread(r.push)
--- a/internal/webpush/receipts.go
+++ b/internal/webpush/receipts.go
@@ -14,14 +14,14 @@
 
 // subscription is a receipt subscription (4 and 5.1).
 type subscription struct {
-	id        string
-	owner     string
-	used      time.Time
-	owed      int    // messages whose receipt is still to come
-	lastSeq   uint64 // sequence number of the last receipt
-	baseSeq   uint64 // sequence number before the first receipt of this run
-	receipts  []receipt
-	longPolls map[*longPoll]bool
+	id          string
+	owner       string
+	lastUsed    time.Time
+	outstanding int    // messages whose receipt is still to come
+	lastSeq     uint64 // sequence number of the last receipt
+	baseSeq     uint64 // sequence number before the first receipt of this run
+	receipts    []receipt
+	longPolls   map[*longPoll]bool
 }
 
 // receipt is the JSON form of a push receipt: the outcome of a message.
@@ -55,13 +55,13 @@
 		if b == nil || b.owner != owner {
 			return nil, errors.New("no such receipt subscription of yours")
 		}
-		b.used = now
+		b.lastUsed = now
 		return b, nil
 	}
 	if len(f.subscriptions) >= f.opt.Boxes {
 		return nil, errors.New("as many receipt subscriptions as are kept; use one for many messages")
 	}
-	b := &subscription{id: rand.Text(), owner: owner, used: now}
+	b := &subscription{id: rand.Text(), owner: owner, lastUsed: now}
 	f.subscriptions[b.id] = b
 	f.persist(b)
 	return b, nil
@@ -120,14 +120,14 @@
 			b.receipts = b.receipts[1:]
 		}
 	}
-	b.used = time.Now()
+	b.lastUsed = time.Now()
 	answer := func() {
-		b.used = time.Now()
+		b.lastUsed = time.Now()
 		n := min(len(b.receipts), maxReceipts)
 		respond(jsonResponse(http.StatusOK, struct {
 			Receipts []receipt `json:"receipts"`
 			Owed     int       `json:"owed"`
-		}{append([]receipt{}, b.receipts[:n]...), b.owed}))
+		}{append([]receipt{}, b.receipts[:n]...), b.outstanding}))
 	}
 	if wait := f.pollWait(q); wait > 0 && len(b.receipts) == 0 {
 		f.startPoll(&b.longPolls, wait, answer)
--- a/internal/webpush/repeat_test.go
+++ b/internal/webpush/repeat_test.go
@@ -13,10 +13,10 @@
 )
 
 // fakeCore keeps the hand-ins that it receives; the test replies to them.
-type fakeCore struct{ taken []*core.Message }
+type fakeCore struct{ received []*core.Message }
 
 func (d *fakeCore) Submit(m *core.Message) error {
-	d.taken = append(d.taken, m)
+	d.received = append(d.received, m)
 	return nil
 }
 
@@ -38,19 +38,19 @@
 
 // fixture is a front without sockets, with a fake core and keeper.
 type fixture struct {
-	t    *testing.T
-	f    *Front
-	door *fakeCore
-	keep *keeper
+	t          *testing.T
+	f          *Front
+	backend    *fakeCore
+	handedOver *keeper
 }
 
 // newFixture returns a front with small limits that accepts requests without a token.
 func newFixture(t *testing.T) *fixture {
-	b := &fixture{t: t, door: &fakeCore{}, keep: &keeper{}}
+	b := &fixture{t: t, backend: &fakeCore{}, handedOver: &keeper{}}
 	b.f = New(Options{Names: front.Names{Classes: map[string]int{"status": 0}, Partners: map[string]int{"p": 0},
 		Lives: []time.Duration{time.Minute}}, Unsafe: []bool{false}, Anyone: true, Body: 4096, Messages: 100,
 		Boxes: 10, Pending: 10, Polls: 10, Keep: time.Minute, Poll: time.Second,
-		Door: b.door, Keeper: b.keep, Observer: nopObserver{}})
+		Door: b.backend, Keeper: b.handedOver, Observer: nopObserver{}})
 	return b
 }
 
@@ -67,14 +67,14 @@
 // it if it receives it.
 func (b *fixture) post(receipts string) response {
 	b.t.Helper()
-	before := len(b.door.taken)
+	before := len(b.backend.received)
 	var got *response
 	fields := map[string]string{"TTL": "60", "Idempotency-Key": "a", "Prefer": "respond-async",
 		"Push-Receipt": receipts}
 	b.f.serve(&request{method: http.MethodPost, path: "/push/status/p",
 		header: func(name string) string { return fields[name] }},
 		func(r response) { got = &r })
-	if len(b.door.taken) > before {
+	if len(b.backend.received) > before {
 		b.reply(front.Said[*push]{})
 	}
 	if got == nil || got.status != http.StatusAccepted {
@@ -85,7 +85,7 @@
 
 // reply passes a reply of the core about the newest hand-in to the front.
 func (b *fixture) reply(s front.Said[*push]) {
-	s.To = b.door.taken[len(b.door.taken)-1].Reply.(front.Reply[*push]).To
+	s.To = b.backend.received[len(b.backend.received)-1].Reply.(front.Reply[*push]).To
 	b.f.mu.Lock()
 	b.f.handleReply(s)
 	b.f.unlock()
@@ -143,19 +143,19 @@
 		t.Fatalf("receipts %v, want refused", got)
 	}
 	second := b.post(path)
-	if len(b.door.taken) != 2 || second.field("Location") == first.field("Location") {
-		t.Fatalf("the core received %d hand-ins, want 2; second response %+v", len(b.door.taken), second)
+	if len(b.backend.received) != 2 || second.field("Location") == first.field("Location") {
+		t.Fatalf("the core received %d hand-ins, want 2; second response %+v", len(b.backend.received), second)
 	}
 	b.answer(ledger.Delivered, 0)
 	if got := b.receipts(path, "?after=1"); !slices.Equal(got, []string{"delivered"}) {
 		t.Fatalf("receipts after the first %v, want delivered", got)
 	}
-	if len(b.keep.handed) != 0 {
+	if len(b.handedOver.handed) != 0 {
 		t.Fatal("the identity is recorded as finished before its second receipt is acknowledged")
 	}
 	b.receipts(path, "?after=2")
-	if len(b.keep.handed) != 1 {
-		t.Errorf("identities recorded as finished %q, want 1", b.keep.handed)
+	if len(b.handedOver.handed) != 1 {
+		t.Errorf("identities recorded as finished %q, want 1", b.handedOver.handed)
 	}
 }
 
@@ -170,12 +170,12 @@
 	b.answer(ledger.Delivered, 0)
 	b.f.evictOldest()
 	b.receipts(one, "?after=1")
-	if len(b.keep.handed) != 0 {
+	if len(b.handedOver.handed) != 0 {
 		t.Fatal("the identity is recorded as finished before its second receipt is acknowledged")
 	}
 	b.receipts(two, "?after=1")
-	if len(b.keep.handed) != 1 {
-		t.Errorf("identities recorded as finished %q, want 1", b.keep.handed)
+	if len(b.handedOver.handed) != 1 {
+		t.Errorf("identities recorded as finished %q, want 1", b.handedOver.handed)
 	}
 }
 
@@ -185,7 +185,7 @@
 	b := newFixture(t)
 	first := b.post("")
 	b.answer(ledger.Refused, time.Minute)
-	if again := b.post(""); len(b.door.taken) != 1 || again.field("Location") != first.field("Location") {
-		t.Errorf("the core received %d hand-ins, want 1; second response %+v", len(b.door.taken), again)
+	if again := b.post(""); len(b.backend.received) != 1 || again.field("Location") != first.field("Location") {
+		t.Errorf("the core received %d hand-ins, want 1; second response %+v", len(b.backend.received), again)
 	}
 }
