--- a/choice/admission.go
+++ b/choice/admission.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Admission: a message is refused in the step of its arrival when it surely can't be tried in its time. The
-// expectation is Little's law: what waits before it, divided by the rate at which what waited was served. Two
-// queues count: the messages of its class for the same destination, and those that share its key of the order,
-// which go one at a time.
+// Admission control: a message is refused in the step of its arrival if it almost certainly can't be attempted
+// before its deadline. Its wait is estimated by Little's law: the number of messages ahead of it, divided by the
+// rate at which waiting messages were served. Two queues count: the messages of its class for the same
+// destination, and those that share its ordering key, which are sent one at a time.
 
 const (
-	// waitShare of its time left a message may be expected to wait; the rest is for its tries.
+	// waitShare is the share of the time left that a message may be expected to wait; the rest is for its attempts.
 	waitShare = 0.9
-	// confidence in standard deviations: a queue counts as served faster than was measured by so much.
+	// confidence is the number of standard deviations by which a queue is assumed to be served faster than measured.
 	confidence = 2.0
-	// leastBusy is how long messages must have waited for a rate to mean something, in shortest aims.
+	// leastBusy is how long messages must have waited before a service rate is used, in shortest Aims.
 	leastBusy = 1.0 / 32
-	// followerShare of what the messages behind it in the order of its key lose counts for the first one.
+	// followerShare is the share of the loss of the messages queued behind it that counts for the first one of a key.
 	followerShare = 0.5
 )
 
-// queueRate measures how fast the messages that wait in one queue are served. Both figures fade with time.
+// queueRate measures how fast the messages of one queue are served. Both counts decay with time.
 type queueRate struct {
-	served    float64       // messages that had waited
+	served    float64       // messages that were served after they had waited
 	busy      float64       // seconds in which messages waited
-	updatedAt time.Duration // both were brought up to date
-	waiting   bool          // something waits since then
+	updatedAt time.Duration // time of the last update of both counts
+	waiting   bool          // messages have been waiting since then
 }
 
-// update takes in the time since the last one.
+// update accounts for the time since the last update. The counts decay by a factor of e in the time memory.
 func (q *queueRate) update(now, memory time.Duration) {
 	span := now - q.updatedAt
 	if span <= 0 {
@@ -48,13 +48,13 @@
 	q.busy *= keep
 }
 
-// leastWait is how long a message behind others waits at least, with confidence.
+// leastWait returns a lower bound of the wait of a message with the given number of messages ahead of it.
 func (q *queueRate) leastWait(ahead int) time.Duration {
 	most := q.served + 1 + confidence*math.Sqrt(q.served+1)
 	return time.Duration(float64(ahead+1) * q.busy / most * float64(time.Second))
 }
 
-// measure brings the rates of destinations up to date, before the decisions of a step.
+// measure updates the service rates of the active destinations, before the decisions of a step.
 func (c *Chooser) measure() {
 	for _, d := range c.live {
 		for i := range d.rates {
@@ -66,7 +66,7 @@
 	}
 }
 
-// noteWaiting notes what waits once a step has decided.
+// noteWaiting records which queues hold waiting messages, after the decisions of a step.
 func (c *Chooser) noteWaiting() {
 	for _, d := range c.live {
 		for i := range d.rates {
@@ -78,7 +78,7 @@
 	}
 }
 
-// admit refuses those of the messages that have just come which can't be tried in their time.
+// admit refuses the messages of this step's arrivals that can't be attempted before their deadline.
 func (c *Chooser) admit() {
 	for _, m := range c.arrived {
 		if m.over || m.call != nil {
@@ -93,11 +93,11 @@
 	c.arrived = c.arrived[:0]
 }
 
-// expectedWait is how long a message that has just come will wait for its first try at least.
+// expectedWait returns a lower bound of the time until the first attempt of a message that has just arrived.
 func (c *Chooser) expectedWait(m *message) time.Duration {
 	d := m.dest
 	if len(d.hosts) == 0 {
-		return 0 // when it gets one is not known
+		return 0 // unknown, since the destination has no host yet
 	}
 	wait := max(c.shutFor(d), c.behindInLine(m))
 	ahead := -1 // itself
@@ -107,7 +107,7 @@
 		}
 	}
 	if ahead <= 0 && d.hasReady() {
-		return wait // a destination is tried by what waits for it
+		return wait // without messages ahead this one is the next attempt, whatever the measured rate
 	}
 	if q := &d.rates[m.Class]; c.means(q) {
 		wait = max(wait, q.leastWait(ahead))
@@ -115,7 +115,7 @@
 	return wait
 }
 
-// behindInLine is how long a message waits for those of its key that came before it.
+// behindInLine returns a lower bound of the time for which a message waits for earlier messages of its key.
 func (c *Chooser) behindInLine(m *message) time.Duration {
 	l := c.lines[m.Key]
 	if l == nil || !m.class.Ordered || !c.means(&l.rate) {
@@ -124,16 +124,16 @@
 	return l.rate.leastWait(len(l.queue) - 1)
 }
 
-// means tells whether messages have waited long enough for a rate to mean something.
+// means reports whether messages have waited long enough for a service rate to be used.
 func (c *Chooser) means(q *queueRate) bool { return q.busy >= leastBusy*c.minAim.Seconds() }
 
-// hasReady tells whether one of a destination's hosts wants work.
+// hasReady reports whether one of the destination's hosts is Ready.
 func (d *dest) hasReady() bool {
 	return slices.ContainsFunc(d.hosts, func(h *host) bool { return h.State == Ready })
 }
 
-// shutFor is how long none of a destination's units may be sent to. While none of its hosts wants work, that is
-// expected to last as long again as it has lasted.
+// shutFor returns the time for which no unit of a destination may be sent to. A period without Ready hosts is
+// expected to last as long again as it has lasted so far.
 func (c *Chooser) shutFor(d *dest) time.Duration {
 	if !d.hasReady() {
 		return c.now - d.readyAt
@@ -149,8 +149,8 @@
 	return max(0, opens-c.now)
 }
 
-// loss is what a message loses by waiting for a time, with a part of what those behind it in the order of its
-// key lose.
+// loss returns the worth that a message loses by the given wait, plus a share of what the messages queued behind
+// it under the same key lose.
 func (c *Chooser) loss(m *message, wait time.Duration) float64 {
 	lost := c.worth(m, c.now) - c.worth(m, c.now+wait)
 	if !m.class.Ordered || m.Key == "" {
@@ -162,6 +162,6 @@
 	return lost
 }
 
-// goesFirst tells whether a message goes before those that lose more by waiting: an earlier run took it, and
-// it was not tried yet.
+// goesFirst reports whether a message is sent before messages that lose more by waiting: an earlier run accepted
+// it, and it has not been attempted yet.
 func (m *message) goesFirst() bool { return m.restored && m.attempts == 0 }
--- a/choice/answers.go
+++ b/choice/answers.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Final answers: what is answered when, refused or failed, and with which advice to return.
+// Final answers: when a message is refused or failed, and which Retry-After a refusal carries.
 
-// answer ends messages whose time is up, and the least worth while the holding room is crowded.
+// answer gives the final answer to waiting messages that can't be sent any more, and sheds those of least worth
+// while the number of held messages is close to MaxHeld.
 func (c *Chooser) answer() {
 	for _, d := range c.live {
 		for i := len(d.waiting) - 1; i >= 0; i-- {
@@ -24,7 +25,7 @@
 				w := c.worth(m, c.now) / float64(len(d.waiting))
 				if b := c.set.TakenBack; !m.ran && c.now > m.taken &&
 					(c.now-m.taken).Seconds() < b.Before*(m.due-m.taken).Seconds() {
-					w += b.Cost * m.class.Worth // rather refused before it is taken than given up after
+					w += b.Cost * m.class.Worth // prefers refusing a new message to shedding an accepted one
 				}
 				if w < least && (!m.ran || m.class.Effect == Safe && !m.noRefuse) {
 					least, worst = w, m
@@ -38,7 +39,7 @@
 	}
 }
 
-// final answers a message that is not out: refused where that is lawful, else failed.
+// final gives a message that is not in flight its final answer: Refuse where the rules allow it, otherwise Fail.
 func (c *Chooser) final(m *message) {
 	harmless := m.class.Effect == Safe || m.class.Effect == Keyed && !m.class.SameZone
 	if !m.ran || harmless && !c.set.Certain && !m.noRefuse {
@@ -52,8 +53,8 @@
 	c.end(m)
 }
 
-// back tells how long a client should stay away: until a wait, a pause or a trial of its destination is over,
-// and a zone of it is open.
+// back returns the Retry-After of a refusal: the time until a unit of the destination may be called again and the
+// budget allows sends to the zone of one of its hosts, limited to MaxRetryAfter.
 func (c *Chooser) back(m *message) time.Duration {
 	wait, d := c.set.MaxRetryAfter, m.dest
 	if m.excess > 0 {
--- a/choice/api.go
+++ b/choice/api.go
@@ -1,95 +1,96 @@
-// Package choice makes the decisions of an outbound gateway: which message a
-// relay sends next, to which endpoint, how long it waits, whether it tries
-// again, and when it gives a message back.
+// Package choice makes the scheduling decisions of an outbound gateway: which
+// message a relay sends next, to which host, with which timeout, whether it
+// retries, and when it refuses or fails a message.
 //
-// A relay embeds one Chooser. It hands Step the time and everything that has
-// happened since the last call, carries out the actions that come back, and
-// reports what became of them as later events. The package opens no
-// connection, starts no goroutine and reads no clock.
+// A relay embeds one Chooser. It passes Step the current time and all events
+// since the previous call, carries out the returned actions, and reports their
+// results as later events. The package opens no connections, starts no
+// goroutines and reads no clock.
 //
-// Times are durations since an epoch of the relay's choosing; they must never
-// run backwards. The same seed and the same events yield the same actions.
+// Times are durations since an epoch that the relay chooses; they must never
+// go backwards. The same seed and the same events yield the same actions.
 package choice
 
 import "time"
 
-// Effect says what a second execution of a message would do.
+// Effect says whether a message may be executed more than once.
 type Effect int
 
-// The kinds of effect.
+// The effects of a message.
 const (
-	Safe   Effect = iota // a repeat does no harm
-	Keyed                // the destination drops repeats for a while
-	Unsafe               // a repeat must never happen
+	Safe   Effect = iota // idempotent: may be repeated at any time
+	Keyed                // the destination deduplicates repeats for Class.Window
+	Unsafe               // at most once: must never be repeated if it may have run
 )
 
-// Class describes one class of message.
+// Class describes one class of messages.
 type Class struct {
 	Name      string
-	Aim       time.Duration // delivered within this, it earns all its worth
-	Deadline  time.Duration // after this it is worth nothing
-	Worth     float64
-	LateShare float64 // share of the worth that is left at the deadline
+	Aim       time.Duration // latency target: a message delivered within it counts with its full worth
+	Deadline  time.Duration // time after which a message is worth nothing
+	Worth     float64       // value of a message delivered within Aim; weighs messages against each other
+	LateShare float64       // share of Worth that is left at the deadline
 	Effect    Effect
-	// SameZone limits repeats of a keyed message to endpoints in the zone of
-	// the attempt that may have run; otherwise every endpoint drops them.
+	// SameZone limits repeats of a Keyed message to hosts in the zone of the attempt that
+	// may have run, since only they deduplicate it. If false, all hosts deduplicate it.
 	SameZone bool
-	Window   time.Duration // how long a keyed message is remembered
-	Ordered  bool          // messages that share a key go one at a time, in order
+	Window   time.Duration // time for which a destination recognises repeats of a Keyed message
+	Ordered  bool          // messages that share a key are sent one at a time, in order of arrival
 }
 
 // Kind describes one kind of destination.
 type Kind struct {
-	Apart   bool // endpoints are routes apart, each with limits and health of its own
-	PerCall int  // messages that one call carries at most
+	Apart   bool // each host has limits and health of its own, instead of sharing its destination's
+	PerCall int  // maximum number of messages in one call
 }
 
-// Rules are the figures of the operating rules.
+// Rules hold the parameters of the platform's operating rules.
 type Rules struct {
-	AnswerGrace    time.Duration // how long past its deadline a final answer still counts
-	DrainGrace     time.Duration // how long a draining endpoint may still be sent to
-	OverloadFactor float64       // a cold destination falls over above this multiple ...
-	Fall           time.Duration // ... of its present capacity, kept up for this long
-	ColdFrom       float64       // share of its capacity with which a destination returns
-	Cold           time.Duration // time until it has all of its capacity again
-	OrderSettle    time.Duration // rest of a key after an attempt whose end is unsure
+	AnswerGrace time.Duration // time after the deadline within which a final answer still counts as in time
+	DrainGrace  time.Duration // time for which a draining host may still be sent to
+	// OverloadFactor is the multiple of its present capacity above which a warming-up destination
+	// fails again, if the load stays that high for the time Fall.
+	OverloadFactor float64
+	Fall           time.Duration // window over which the load of a warming-up destination counts, see OverloadFactor
+	ColdFrom       float64       // share of its capacity that a destination has when it returns from an outage
+	Cold           time.Duration // warm-up time after an outage, until a destination has its full capacity
+	OrderSettle    time.Duration // time for which a key is blocked after an attempt with an unknown outcome
 }
 
 // Settings configure a Chooser.
 type Settings struct {
-	Index       int // this relay's number, from 0
-	Fleet       int // relays in all
-	Workers     int // calls that may be out at once
-	MaxHeld     int // messages held at most, sent or not
-	MaxAttempts int // attempts for one message, those never sent included
-	Tick        time.Duration
-	// MaxRetryAfter is the longest Refuse.After that clients heed; 0 where none may be told.
+	Index       int           // number of this relay in the fleet, from 0
+	Fleet       int           // number of relays in the fleet
+	Workers     int           // maximum number of calls in flight
+	MaxHeld     int           // maximum number of messages held, waiting or in flight; 0 for no limit
+	MaxAttempts int           // maximum number of attempts for one message, including those that were never sent
+	Tick        time.Duration // time resolution of the relay; final answers are given some ticks before the deadline
+	// MaxRetryAfter is the longest Refuse.After that clients respect; 0 if refusals may carry none.
 	MaxRetryAfter time.Duration
-	ConnIdle      time.Duration // idle connections close by themselves after this; 0 if unknown
+	ConnIdle      time.Duration // time after which idle connections close by themselves; 0 if unknown
 	Classes       []Class
 	Kinds         []Kind
-	ZoneFee       []float64 // points for each message a route apart takes on, by zone
-	Halving       bool      // after the aim worth falls by half with each further aim; else evenly
-	Listed        bool      // Host.Rate is the rate that a destination takes from all relays
-	Cancels       bool      // Cancel is allowed
-	Subscribe     bool      // list changes come only after Subscribe
-	Certain       bool      // refuse only what certainly never ran; else also what may safely come again
-	// Acknowledged: a message that was refused or failed keeps its place in the order of its key until Settled.
+	ZoneFee       []float64 // cost, as a share of Worth, of each message sent to a host with its own limits; by zone
+	Halving       bool      // after Aim, the worth halves with each further Aim; otherwise it falls linearly
+	Listed        bool      // Host.Rate is the rate that a destination accepts from all relays together
+	Cancels       bool      // the relay supports Cancel
+	Subscribe     bool      // updates of the host list arrive only after a Subscribe action
+	Certain       bool      // refuse only messages that certainly never ran; otherwise also those a client may repeat
+	// Acknowledged keeps a refused or failed message at its place in the order of its key until a Settled event.
 	Acknowledged bool
-	// TakenBack is what it costs to give up a message that has surely not run once the step that took it is over:
-	// a share of its worth, before a share of its time has gone. 0 where that costs nothing.
+	// TakenBack is the penalty for refusing a message that has not run in a later step than the one that accepted it:
+	// the share Cost of its worth, while less than the share Before of its time has passed. Zero for no penalty.
 	TakenBack struct{ Cost, Before float64 }
-	// ReportLimit is the place in Result.Report of the limit in calls a second;
-	// below 0 where it is not reported.
+	// ReportLimit is the index in Result.Report of the host's limit in calls per second; negative if not reported.
 	ReportLimit int
 	Rules       Rules
 }
 
-// Outcome is how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome int
 
-// The outcomes. Refused, NoConnection and NotSent prove that the message never
-// ran; Served proves that it did; the others prove nothing.
+// The outcomes of an attempt. After Refused, NoConnection and NotSent the message
+// certainly did not run, after Served it certainly did; after the others it may have run.
 const (
 	Served Outcome = iota
 	Error
@@ -99,36 +100,37 @@
 	Reset
 	Cancelled
 	NotSent
-	// Doubted: answered, but perhaps not this attempt. It may have run; nothing is learned of the endpoint.
+	// Doubted means that the answer may belong to another attempt. The message may have run;
+	// the answer says nothing about the host.
 	Doubted
 )
 
-// An Event tells a Chooser what happened. The types below are the events.
+// Event is an input of Chooser.Step; the types below with an event method implement it.
 type Event interface{ event() }
 
-// Arrival is a new message; the Chooser owes it one final answer.
+// Arrival reports a new message. The Chooser gives each message exactly one final answer.
 type Arrival struct {
 	ID    string
-	Class int
-	Dest  int
-	Left  time.Duration // how long it may still be delivered
-	Key   string        // key of the order; empty for none
+	Class int           // index in Settings.Classes
+	Dest  int           // number of its destination
+	Left  time.Duration // time left until its deadline
+	Key   string        // ordering key; empty for none
 }
 
-// Restored is an Arrival of a message that an earlier run of the relay held.
+// Restored reports a message that an earlier run of the relay held.
 type Restored struct {
 	Arrival
-	Attempts int
-	Answered bool          // refused or failed then, and not Settled yet
-	Ran      bool          // one of them may have run, and its answer have come: it is not refused any more
-	Since    time.Duration // ago the first of those was sent
-	Zone     int           // to which zone; below 0 if it is not known any more
+	Attempts int           // attempts made by earlier runs
+	Answered bool          // the message was refused or failed, and a Settled event is still due
+	Ran      bool          // an attempt may have run, and may have been answered: the message must not be refused
+	Since    time.Duration // time since the first attempt that may have run
+	Zone     int           // zone of that attempt; negative if unknown
 }
 
-// Waited is what an earlier run knew of an endpoint that is on the list.
+// Waited restores what an earlier run knew about a host that is on the list.
 type Waited struct {
 	Host    string
-	Left    time.Duration // of a told wait
+	Left    time.Duration // rest of the wait that the host asked for (Retry-After)
 	Failing bool          // its last calls failed
 }
 
@@ -136,7 +138,7 @@
 	Reset: "reset", Cancelled: "cancelled", NotSent: "not_sent",
 	Doubted: "doubted"}
 
-// String is the outcome's name in logs and metrics.
+// String returns the name of the outcome in logs and metrics.
 func (o Outcome) String() string {
 	if o < 0 || int(o) >= len(outcomeNames) {
 		return "unknown"
@@ -144,80 +146,82 @@
 	return outcomeNames[o]
 }
 
-// Result ends one attempt.
+// Result reports the end of one attempt.
 type Result struct {
 	ID      string
 	Host    string
-	Attempt int
+	Attempt int // number of the attempt, from 0
 	Outcome Outcome
-	Took    time.Duration // since the attempt went out
-	Wait    time.Duration // told: send nothing there for so long; 0 if none was told
-	Done    bool          // the message is finished; no answer is owed any more. Served without it came too late
-	Spent   bool          // with NotSent: the message has had all its attempts
-	Report  []float64     // load report, if any
+	Took    time.Duration // time since the attempt was sent
+	Wait    time.Duration // time for which the host asks for no further calls (Retry-After); 0 if it does not
+	// Done says that the message needs no final answer any more.
+	// Served without Done means that the answer came too late for the client.
+	Done   bool
+	Spent  bool      // with NotSent: the message may not be attempted again
+	Report []float64 // load report of the host, if any
 }
 
-// Withdrawn says that nobody wants a message any more: it is sent no further. Where it is still owed its final
-// answer, that comes in this step, or with the result if the message is out.
+// Withdrawn reports that the client no longer wants a message: no further attempt is made. If Owed is set the
+// message still gets its final answer: in this step, or with its result if it is in flight.
 type Withdrawn struct {
 	ID   string
 	Owed bool
 }
 
-// State is an endpoint's state on the list.
+// State is the state of a host on the host list.
 type State int
 
-// The states; none tells of health.
+// The states of a host. They are those of the list and say nothing about its health.
 const (
 	Gone State = iota
 	Ready
 	Draining
 )
 
-// Host is one endpoint as the list has it.
+// Host is one entry of the host list.
 type Host struct {
 	Addr  string
-	Dest  int
-	Kind  int
-	Zone  int
-	Rate  float64 // see Settings.Listed
+	Dest  int     // number of its destination
+	Kind  int     // index in Settings.Kinds
+	Zone  int     // number of its zone
+	Rate  float64 // listed rate in calls per second, see Settings.Listed
 	State State
 }
 
-// Listing is news of the endpoint list.
+// Listing is an update of the host list.
 type Listing struct {
-	Whole  bool // replaces the old list; else only changed entries
-	Failed bool // asking for the list failed; the old one stands
+	Whole  bool // Hosts replaces the whole list; otherwise it holds only the changed entries
+	Failed bool // the list could not be read; the previous one stays in force
 	Hosts  []Host
 }
 
-// Tolls say what crossing to other zones costs from now on; the next ones replace them. A message may go to a
-// zone other than Home while what is Left would stay at its class's floor or above; each send takes its cost.
+// Tolls hold the budget for sends to other zones, until the next Tolls event. A message may be sent to a zone other
+// than Home if its cost leaves the shared rest, Left, at its class's floor or above. Each such send deducts its cost.
 type Tolls struct {
-	Home  int
-	Left  float64
-	Class []Toll
+	Home  int     // zone of this relay
+	Left  float64 // rest of the budget that all classes share
+	Class []Toll  // by class
 }
 
-// Toll is what crossing costs one class.
+// Toll is the part of the budget for sends to other zones that concerns one class.
 type Toll struct {
-	Cost, Floor float64
-	Urgent      float64       // the floor for a message with less than a quarter of its time left
-	Own         float64       // left of the class's own allowance
-	Again       time.Duration // where it is closed: until then at least, on the clock of Step
+	Cost, Floor float64       // cost of one send, and the shared rest below which the class may not go
+	Urgent      float64       // floor for a message with less than a quarter of its time left
+	Own         float64       // rest of the class's own budget
+	Again       time.Duration // while the budget does not suffice: earliest time, on the clock of Step, when it may
 }
 
-// Fleet says that the fleet has changed: this relay's number in it, from 0, and its size.
+// Fleet reports a change of the fleet: the number of this relay, from 0, and the number of relays.
 type Fleet struct{ Index, Size int }
 
 // Woken is the wake-up that a Wake action asked for.
 type Woken struct{}
 
-// Settled says that the final answer of a message has reached who is owed it; see Settings.Acknowledged.
+// Settled reports that the client has acknowledged the final answer of a message; see Settings.Acknowledged.
 type Settled struct{ ID string }
 
-// Stop says that the relay shuts down: nothing further may be sent. Messages that wait get their final answer
-// in this step, those that are out with their result; with Keep a later run goes on with all that is not over.
+// Stop reports that the relay shuts down. Without Keep, waiting messages get their final answer in this step and
+// those in flight with their result. With Keep, nothing more is sent and a later run resumes what is unfinished.
 type Stop struct{ Keep bool }
 
 func (Arrival) event()   {}
@@ -232,44 +236,46 @@
 func (Restored) event()  {}
 func (Waited) event()    {}
 
-// An Action is something the relay must do. The types below are the actions.
+// Action is an output of Chooser.Step that the relay must carry out; the types below implement it.
 type Action interface{ action() }
 
-// Send calls an endpoint with a message. The attempt ends as Timeout after the
-// given time. Sends of one Step to one host share a call as far as
-// Kind.PerCall allows.
+// Send sends a message to a host. The attempt ends with outcome Timeout after the
+// given time. Sends of one Step to one host share a call, up to Kind.PerCall
+// messages.
 type Send struct {
 	ID      string
 	Host    string
 	Timeout time.Duration
-	Within  time.Duration // not sent any more once this is over, as where no connection was up; 0 for no such time
+	// Within is the time after which the message must not be written to the host any more, for example
+	// because the connection took long to open; 0 for no limit.
+	Within time.Duration
 }
 
-// Refuse ends a message: it did not run, and the client may safely come again.
+// Refuse is the final answer of a message that did not run, or that the client may safely repeat.
 type Refuse struct {
 	ID    string
-	After time.Duration // advice to the client: not before then; 0 for none
+	After time.Duration // time that the client should wait before it retries (Retry-After); 0 for none
 }
 
-// Fail ends a message; whether it ran is not known.
+// Fail is the final answer of a message that may have run.
 type Fail struct{ ID string }
 
-// Cancel calls an attempt off; it still gets its Result.
+// Cancel cancels an attempt. The attempt still gets its Result.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// CloseIdle shuts this relay's idle connections to an endpoint. A Send to it that follows opens a new one.
+// CloseIdle closes this relay's idle connections to a host. A later Send to the host opens a new one.
 type CloseIdle struct{ Host string }
 
-// Wake asks for a Step with a Woken event after a while.
+// Wake asks for a Step with a Woken event after the given time.
 type Wake struct{ After time.Duration }
 
-// Subscribe asks for changes of the endpoint list.
+// Subscribe asks for updates of the host list.
 type Subscribe struct{}
 
-// Log is a line for the operators.
+// Log is a line for the relay's log.
 type Log struct{ Text string }
 
 func (Send) action()      {}
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,8 +1,8 @@
 package choice
 
-// The decisions of the relay. In reading order: constants; the endpoint list; the timeout oracle; health,
-// pacing and waits; arrivals and results; order of keys; the turn. Admission and final answers have their own
-// files.
+// The decisions of the relay. In reading order: constants; the host list; the timeout estimator; health,
+// waits and back-off; arrivals and results; key ordering; dispatch. Admission, pacing and final answers have
+// their own files.
 
 import (
 	"cmp"
@@ -15,26 +15,40 @@
 )
 
 const (
-	// buckets is the paper's H; their bound is the longest aim.
+	// buckets is the number of buckets of a latency table, H in the paper on the timeout estimator. They
+	// cover the longest Aim.
 	buckets = 100
-	// minSamples before the oracle is heard: the 98% edge means nothing with fewer.
+	// minSamples is the number of samples from which a latency table is used: the 98% edge of fewer means
+	// nothing.
 	minSamples = 30
-	// memory in samples of a latency table. Twice H: it fills the tail's buckets and still relearns.
+	// memory is the number of samples over which a latency table decays. Twice the number of buckets fills
+	// the buckets of the tail and still adapts.
 	memory = 200
-	// wasted is the restart cost c in mean latencies: the attempt runs on, its successor waits behind it.
+	// wasted is the cost of a restart (c in the paper) in mean latencies: the abandoned attempt goes on
+	// running, and the next one queues behind it.
 	wasted = 4.0
-	// outage of the last history outcomes of a unit must have failed: one stray error is none.
+	// outage is the number of failures among the last history outcomes of a unit from which it is suspect:
+	// a single stray error is not an outage.
 	history, outage = 5, 2
-	margin          = 4        // ticks between the last own look at a message and its deadline
-	budgetShare     = 0.9      // of the rule's budget for a cold destination
-	aside           = 0.02     // share of worth by which a host that failed or is not yet well comes later
-	glance          = 200      // looks without news within the shortest aim
-	scarce          = 1.0 / 32 // share of a kind's calls without a connection above which none is left open
-	doubt           = 1.0 / 8  // share lost on rested connections beyond that on others: three in a row
-	crowded         = 0.9      // part of the holding room above which the least worth is turned away
+	// margin is the time in ticks, before the deadline, at which a waiting message gets its final answer.
+	margin = 4
+	// budgetShare is the share that is used of the rules' call budget for a warming-up destination.
+	budgetShare = 0.9
+	// aside is the cost, as a share of worth, added to a host that failed or whose unit is not healthy.
+	aside = 0.02
+	// glance is the number of steps without events within the shortest Aim.
+	glance = 200
+	// scarce is the share of a kind's calls without a connection from which no idle connection is kept.
+	scarce = 1.0 / 32
+	// doubt is the excess of the share of calls lost on reused idle connections, over twice that on new
+	// ones, from which idle connections are distrusted: about three losses in a row.
+	doubt = 1.0 / 8
+	// crowded is the share of MaxHeld above which the messages of least worth are shed.
+	crowded = 0.9
 )
 
-// New returns a Chooser for one relay. Pauses are drawn from the seed.
+// New returns a Chooser for one relay. Its random choices, such as the jitter of back-offs, derive from the
+// seed.
 func New(s Settings, seed uint64) (*Chooser, error) {
 	if err := s.check(); err != nil {
 		return nil, fmt.Errorf("choice: settings: %w", err)
@@ -54,7 +68,7 @@
 	return c, nil
 }
 
-// Step takes in all that happened, then decides once.
+// Step processes the events and then makes all decisions once. It returns the actions to carry out, in order.
 func (c *Chooser) Step(now time.Duration, events []Event) []Action {
 	c.now, c.acts = now, nil
 	for _, e := range events {
@@ -132,8 +146,8 @@
 	return c.acts
 }
 
-// fleet takes in its new size. What this relay found out to be its part of a limit is less in a larger one;
-// in a smaller one it finds out.
+// fleet applies a new fleet size. In a larger fleet the learned limits shrink with this relay's share; in a
+// smaller one they grow by themselves.
 func (c *Chooser) fleet(e Fleet) {
 	if e.Size < 1 {
 		return
@@ -148,7 +162,7 @@
 
 func (c *Chooser) act(a Action) { c.acts = append(c.acts, a) }
 
-// list takes in news of the endpoint list.
+// list applies an update of the host list.
 func (c *Chooser) list(e Listing) {
 	if e.Failed {
 		c.askAt = c.now + time.Second
@@ -179,13 +193,13 @@
 		}
 		if h.Host = n; c.set.Listed && n.State == Ready {
 			if h.unit.listed = n.Rate; h.unit.limit == 0 {
-				h.unit.limit = n.Rate // all relays together may send no more, so neither may one
+				h.unit.limit = n.Rate // the listed rate is for all relays, so one may not exceed it
 			}
 		}
 	}
 	for _, d := range c.order {
 		d.hosts = slices.DeleteFunc(d.hosts, func(h *host) bool {
-			// A host that may come back keeps its wait, and what is known of its health.
+			// A host that may return soon is kept, with its wait and its health.
 			left := h.State == Gone && h.out == 0 && c.now >= h.unit.waitUntil &&
 				(h.unit.state == healthy || c.now-h.unit.since > c.set.Rules.Cold)
 			if left {
@@ -217,23 +231,23 @@
 	return d
 }
 
-// The timeout oracle.
+// The timeout estimator.
 
-// table holds the latencies of one destination. Old samples fade: each new one weighs a
-// little more than the one before it.
+// table is a latency histogram. Old samples decay: each new one weighs a little more than the one before it.
+// From it follows the restart timeout that minimises the expected completion time E.
 type table struct {
-	width  time.Duration
-	weight float64
-	count  []float64     // N_i; made with the first sample
-	sum    []float64     // N_i times M_i, seconds
-	beyond float64       // N_tau
-	total  float64       // samples, not faded
-	edge   time.Duration // least-E edge, 0 for none
-	high   time.Duration // edge below which 98% of the answers lie, 0 if unknown
-	stale  bool
+	width  time.Duration // width of a bucket
+	weight float64       // weight of the newest sample
+	count  []float64     // weight of the samples by bucket, N_i; allocated with the first sample
+	sum    []float64     // sum of the latencies by bucket in seconds, N_i times M_i
+	beyond float64       // weight of the samples above the last bucket, and of abandoned attempts, N_tau
+	total  float64       // number of samples, without decay
+	edge   time.Duration // upper edge of the bucket with the least E as a timeout; 0 if unknown
+	high   time.Duration // upper edge of the bucket below which 98% of the answers lie; 0 if unknown
+	stale  bool          // samples were added since edge and high were computed
 }
 
-// add enters one served latency; cutShort one attempt that was given up at the bound.
+// add enters the latency of a served attempt.
 func (t *table) add(took time.Duration) {
 	i := int(took / t.width)
 	if i < 0 || i >= buckets {
@@ -248,8 +262,10 @@
 	t.sum[i] += t.weight * took.Seconds()
 }
 
+// cutShort enters an attempt that was abandoned without an answer, as longer than all buckets.
 func (t *table) cutShort() { t.fade(); t.beyond += t.weight }
 
+// fade increases the weight of the next sample, relative to the older ones.
 func (t *table) fade() {
 	t.total++
 	t.stale = true
@@ -262,7 +278,8 @@
 	}
 }
 
-// look brings edge and high up to date.
+// look recomputes edge and high if samples were added. For a timeout at the edge of each bucket, E is the
+// mean latency of the answers before it, plus the expected number of restarts times the cost of one.
 func (t *table) look() {
 	if !t.stale || t.total < minSamples {
 		return
@@ -296,7 +313,7 @@
 	}
 }
 
-// patience is how long a call to a destination may stay unanswered before its silence means something.
+// patience returns how long a call to a destination may stay unanswered before the unit counts as silent.
 func (c *Chooser) patience(d *dest) time.Duration {
 	t, least := &d.table, c.minAim/8
 	if t.total < minSamples {
@@ -308,7 +325,7 @@
 	return min(max(2*t.high, least), c.bound)
 }
 
-// timeout for the next try of a message at a unit.
+// timeout returns the timeout for the next attempt of a message at a unit.
 func (c *Chooser) timeout(m *message, u *unit) time.Duration {
 	left := m.due - c.now
 	if m.class.Effect == Unsafe || !c.repeatable(m) || m.attempts+1 >= c.set.MaxAttempts {
@@ -321,11 +338,12 @@
 	case u.state == suspect:
 		t = c.patience(d) << min(u.trials, 4)
 	case t == 0 && c.pool.total >= minSamples && c.thin(u):
-		// Its table never fills: that of all destinations together stands in, longer with each try.
+		// A seldom called destination never fills its table. The table of all destinations serves instead,
+		// with a timeout that grows with each attempt.
 		t = max(2*c.patience(d), m.class.Aim) * time.Duration(m.attempts+1)
 	case t > 0 && len(d.waiting) > 1:
-		// With a message waiting here a restart takes its place, and feeds an overload:
-		// only calls that are very likely lost are given up.
+		// While other messages wait here, a restart takes the place of one of them and feeds an overload:
+		// only calls that are very likely lost are abandoned.
 		t = max(t, c.patience(d))
 	}
 	t <<= min(d.backoff, 4)
@@ -340,9 +358,9 @@
 	return t
 }
 
-// Health, pacing and waits.
+// Health, waits and back-off.
 
-// bad takes in a failure or a refusal.
+// bad counts a failure or a refusal.
 func (c *Chooser) bad(u *unit) {
 	u.streak, u.bad = 0, u.bad+1
 	if u.state == suspect {
@@ -351,13 +369,13 @@
 	}
 }
 
-// failed takes in a failure. It is held against the host alone while another of its unit is well: that
-// guards against the loss of one building, and of one machine among several.
+// failed counts a failure. It counts against the host alone while another host of its unit is well, so that
+// the loss of one machine or one data centre does not make the whole destination suspect.
 func (c *Chooser) failed(h *host, o Outcome, took time.Duration) {
 	u, d := h.unit, h.dest
 	h.fails++
 	h.retryAt = c.now + min(c.set.Rules.Fall/8<<min(h.fails, 3), c.set.Rules.Fall/3)
-	trials := 0 // a second host that failed was the trial
+	trials := 0 // set to 1 if another host failed before: this call then counts as a failed probe
 	for _, g := range d.hosts {
 		if g.unit == u && g != h && g.State == Ready {
 			if g.fails == 0 || c.now-g.retryAt > c.set.Rules.Cold {
@@ -368,18 +386,18 @@
 	}
 	c.bad(u)
 	if o == NoConnection && took < c.minAim/4 && d.habits.unconn > 1.0/history && c.thin(u) {
-		u.pauseUntil = max(u.pauseUntil, c.now+2*c.spread(u, d, 2*u.bad-2)) // full table
+		u.pauseUntil = max(u.pauseUntil, c.now+2*c.spread(u, d, 2*u.bad-2)) // its connection table is full
 		return
 	}
 	u.risky, u.errors = u.risky || o != NoConnection, u.errors || o == Error
 	u.note(true)
-	alone := c.thin(u) && c.now-u.lastServed > c.set.Rules.Fall // nothing here speaks against an outage
+	alone := c.thin(u) && c.now-u.lastServed > c.set.Rules.Fall // no recent served call
 	if u.state != suspect && (alone || bits.OnesCount(u.recent) >= outage) {
 		c.suspect(u, d, "failures", trials)
 	}
 }
 
-// note remembers whether the last outcome was a failure.
+// note records whether the last outcome was a failure.
 func (u *unit) note(failed bool) {
 	u.recent = u.recent << 1 & (1<<history - 1)
 	if failed {
@@ -387,7 +405,8 @@
 	}
 }
 
-// budget is this relay's share of the calls that the rule allows in its window, a while after a return.
+// budget returns this relay's share of the calls that the rules allow to a warming-up destination within
+// Rules.Fall, at the given time after its return.
 func (c *Chooser) budget(u *unit, back time.Duration) float64 {
 	rate := u.listed
 	if rate == 0 {
@@ -398,9 +417,10 @@
 	return budgetShare * k.OverloadFactor * share * rate * k.Fall.Seconds() / float64(c.set.Fleet)
 }
 
-// gap between trials, drawn by chance: it doubles up to a third of the rule's window, or to what leaves the
-// trials of all relays within the budget of a unit just back, its rate half too high. In a large fleet each
-// tries for itself: there one trial comes soon, or at another host, and gaps are long once it failed.
+// gap returns a random interval until the next probe. It doubles with each failed probe up to a third of
+// Rules.Fall, or to what keeps the probes of all relays within the budget of a unit that has just returned
+// even if its rate is overestimated by half. In a large fleet each relay probes by itself: the first probe
+// comes soon, or at another host, and the intervals are at their longest once it has failed.
 func (c *Chooser) gap(u *unit) time.Duration {
 	fall := c.set.Rules.Fall
 	longest := max(fall/3, min(2*c.set.Rules.Cold, time.Duration(1.5*float64(fall)/c.budget(u, 0))))
@@ -411,6 +431,7 @@
 	return gap/2 + time.Duration(c.rand.Float64()*float64(gap))
 }
 
+// suspect makes a unit suspect and schedules its first probe.
 func (c *Chooser) suspect(u *unit, d *dest, why string, trials int) {
 	if u.state == healthy {
 		u.base = max(u.served, 1/c.set.Rules.Cold.Seconds())
@@ -422,8 +443,8 @@
 
 func (c *Chooser) log(format string, args ...any) { c.act(Log{fmt.Sprintf(format, args...)}) }
 
-// rate that a unit takes from all relays together: listed or reported; else what it served here times
-// the fleet, and at least a call in an eighth of an aim.
+// rate returns the rate that a unit accepts from all relays together: the listed or reported one, otherwise
+// the rate served to this relay times the fleet size, and at least one call in an eighth of the shortest Aim.
 func (c *Chooser) rate(u *unit) float64 {
 	if u.listed > 0 {
 		return u.listed
@@ -431,15 +452,16 @@
 	return max(u.served*float64(c.set.Fleet), 8/c.minAim.Seconds())
 }
 
-// even is the time in which this relay's even share of that is one call.
+// even returns the interval between calls at this relay's even share of that rate.
 func (c *Chooser) even(u *unit) time.Duration {
 	return time.Duration(float64(c.set.Fleet) / c.rate(u) * float64(time.Second))
 }
 
-// thin tells whether this relay meets a unit too seldom to learn a pace from its own calls.
+// thin reports whether this relay calls a unit too seldom to learn a rate limit from its own calls.
 func (c *Chooser) thin(u *unit) bool { return c.even(u) > c.minAim/2 }
 
-// refused takes in a refusal: a wait if one was told, a pause of its own and a lower pace if not.
+// refused handles a refusal: it keeps the wait that the destination asked for (Retry-After), or backs off
+// without one, and lowers the rate limit.
 func (c *Chooser) refused(u *unit, d *dest, wait time.Duration) {
 	c.bad(u)
 	u.noteRefusal(c.now, c.set.Rules.Cold, wait > 0)
@@ -447,9 +469,9 @@
 	u.pauseUntil = max(c.now, u.waitUntil)
 	step := u.bad - 1
 	if wait > 0 {
-		d.habits.power = 2 // told waits tell of room too, not luck alone
+		d.habits.power = 2 // waits depend on free capacity too, so the share of served retries weighs less
 	} else {
-		step *= 2 // a full queue tells no wait, and may be that of a unit that hangs
+		step *= 2 // a full queue asks for no wait, and may be that of a hanging unit
 	}
 	if wait <= 0 || c.thin(u) {
 		u.pauseUntil += c.spread(u, d, step)
@@ -464,25 +486,27 @@
 		d.pauseUntil = c.now + 2*c.spread(u, d, step)
 	}
 	c.cutPace(u)
-	// Refusals alone, for longer than a limit explains, are those of a shut destination. Of one that it meets
-	// seldom a relay sees but few before it opens and all relays come at once: three in a row are enough.
+	// Only refusals, for longer than a rate limit explains, mean that the destination is closed. From one
+	// that it seldom calls, a relay gets few refusals before it opens and all relays call at once: there
+	// three in a row suffice.
 	fall := c.set.Rules.Fall
 	alone := (u.bad > 6 || u.bad > 2 && c.thin(u)) && c.now-u.lastServed >= fall
 	if u.state == healthy && (wait > 2*fall/3 || alone) {
 		if c.suspect(u, d, "refusals only", 0); wait > 0 && c.thin(u) {
-			u.trials = 1 // all that were refused would come at once when it opens, cold
+			u.trials = 1 // otherwise all refused relays would call at once when it opens, cold
 			u.trialAt = u.waitUntil + min(c.gap(u), time.Duration(8*c.rand.Float64()*float64(wait)))
 		}
 	}
 }
 
-// spread is a pause drawn by chance, so that relays do not come back in step. It doubles with each step up
-// to the even share of a call, all of it longer the fewer calls after a refusal are served at this kind:
-// where refused calls use up the limit, retries alone keep it shut. May harm where refusals come by chance:
-// where a rate is listed it is never longer than what keeps all relays within the budget of a destination
-// just back; elsewhere that is known only once it was out. What a relay of a large fleet meets once in the
-// rule's window or less it leaves alone for a third of that at first: all that were refused just before it
-// opens would come at once.
+// spread returns a back-off with jitter, so that relays do not return in step. It doubles with each step, up
+// to the interval of this relay's even share. It is longer the fewer retries after a refusal are served at
+// this kind of destination, since retries alone can keep a destination closed whose limit refused calls use
+// up. As this does harm where refusals are random, the back-off never exceeds the interval that keeps all
+// relays within the budget of a destination that has just returned; without a listed rate that is known only
+// after an outage. A relay of a large fleet that calls a unit at most once within Rules.Fall starts with a
+// back-off of a third of it: otherwise all relays that were refused just before the unit opens would call at
+// once.
 func (c *Chooser) spread(u *unit, d *dest, step int) time.Duration {
 	base := c.minAim / 4
 	if c.even(u) > c.set.Rules.Fall {
@@ -493,10 +517,11 @@
 	return time.Duration(pause * (0.5 + c.rand.Float64()) * float64(time.Second))
 }
 
-// coldGap is the time in seconds in which this relay's share of what the rule allows a destination just back
-// is one call.
+// coldGap returns the interval in seconds between calls at this relay's share of the budget of a destination
+// that has just returned from an outage.
 func (c *Chooser) coldGap(u *unit) float64 { return c.set.Rules.Fall.Seconds() / c.budget(u, 0) }
 
+// served handles a served call: it updates latency and served rate, and the unit recovers.
 func (c *Chooser) served(u *unit, d *dest, took time.Duration) {
 	u.latency = cmp.Or(u.latency, took.Seconds())
 	u.latency += (took.Seconds() - u.latency) / 8
@@ -522,8 +547,8 @@
 	}
 }
 
-// watch makes units suspect that leave calls unanswered: a guard against any silence, before a
-// time-out tells. It holds as well against calls that unsafe messages leave out for long.
+// watch makes units suspect that leave calls unanswered. It detects silence before a timeout does, and in
+// particular where the timeout is long because the call carries an unsafe message.
 func (c *Chooser) watch() {
 	for _, d := range c.live {
 		for _, u := range d.units {
@@ -536,7 +561,7 @@
 	}
 }
 
-// room tells whether a unit may be sent a call now.
+// room reports whether a call may be sent to a unit now.
 func (c *Chooser) room(u *unit) bool {
 	if c.now < u.waitUntil || c.now < u.pauseUntil {
 		return false
@@ -556,8 +581,9 @@
 	return u.hasToken()
 }
 
-// Admission and final answers.
+// Arrivals and results.
 
+// arrive adds a new message.
 func (c *Chooser) arrive(e Arrival) *message {
 	e.Class = min(max(e.Class, 0), len(c.set.Classes)-1)
 	k := &c.set.Classes[e.Class]
@@ -579,7 +605,7 @@
 	return m
 }
 
-// result takes in how an attempt ended.
+// result handles the end of an attempt.
 func (c *Chooser) result(e Result) {
 	m := c.msgs[e.ID]
 	if m == nil || m.call == nil {
@@ -587,7 +613,7 @@
 	}
 	k, h, u, d := m.call, m.call.host, m.call.host.unit, m.dest
 	m.call, m.last = nil, h
-	u.waitUntil = max(u.waitUntil, c.now+e.Wait) // with an error too: a told wait is heeded
+	u.waitUntil = max(u.waitUntil, c.now+e.Wait) // a wait is kept whatever the outcome
 	if e.Spent {
 		m.attempts = c.set.MaxAttempts
 	}
@@ -618,7 +644,7 @@
 	case Refused:
 		c.refused(u, d, e.Wait)
 	case Error, Reset:
-		if !k.bad { // several messages of one call are one failure
+		if !k.bad { // the messages of one call count as one failure
 			c.failed(h, e.Outcome, e.Took)
 		}
 		k.bad = true
@@ -643,7 +669,7 @@
 	switch {
 	case e.Done || m.over:
 		c.end(m)
-	case e.Outcome == Served: // too late for who waits: its end is still owed
+	case e.Outcome == Served: // too late for the client: the final answer is still due
 		m.ran, m.noRefuse = true, true
 		c.final(m)
 	case m.unwanted || !c.repeatable(m) || m.attempts >= c.set.MaxAttempts:
@@ -653,15 +679,17 @@
 	}
 }
 
-// part closes idle connections where calls get none: an endpoint may take few, idle ones counted, and those
-// of a large fleet fill its table though each is seldom used again. Elsewhere a handshake is saved.
-// Where clearly more calls are lost on connections that had idled than on others, the path drops them unseen,
-// and the shortest such idling tells how long they can be trusted. A slow host loses calls on both.
+// part updates the connection statistics at the end of a call, and closes idle connections where calls get no
+// connection: a host may accept only few, including idle ones, and those of a large fleet fill its connection
+// table although each is seldom reused. Elsewhere idle connections are kept, which saves handshakes. Clearly
+// more lost calls on reused idle connections than on new ones mean that the network drops idle connections
+// silently; the shortest idle time of a lost call then limits how long they are trusted. A slow host loses
+// calls on both.
 func (c *Chooser) part(k *call, o Outcome, took time.Duration) {
 	h, none := k.host, &k.host.dest.habits.unconn
 	before := *none
 	if *none -= *none / memory; o == NoConnection && took < c.minAim/4 && h.State == Ready {
-		*none += 1.0 / history // a full table refuses at once; who is down or gone seldom does
+		*none += 1.0 / history // a full table refuses at once; a host that is down seldom does
 	}
 	lost := &c.lost[k.reused]
 	*lost -= *lost / 16
@@ -688,7 +716,7 @@
 	}
 }
 
-// queue lets a message wait for its next try.
+// queue adds a message to those that wait for their next attempt.
 func (c *Chooser) queue(m *message) {
 	d := m.dest
 	if d.waiting = append(d.waiting, m); !d.live {
@@ -696,11 +724,12 @@
 	}
 }
 
-// repeatable tells whether the effect of a message allows one more send now.
+// repeatable reports whether the effect of a message allows another attempt now.
 func (c *Chooser) repeatable(m *message) bool {
 	return !m.ran || m.class.Effect == Safe || m.class.Effect == Keyed && c.now < c.windowEnd(m)
 }
 
+// windowEnd returns the time until which a destination deduplicates repeats of a message.
 func (c *Chooser) windowEnd(m *message) time.Duration {
 	if !m.ran {
 		return c.now + m.class.Window
@@ -708,7 +737,7 @@
 	return m.ranAt + m.class.Window
 }
 
-// end frees a message; one that is out keeps its record, and its key, until its outcome.
+// end forgets a finished message. One that is in flight keeps its state and its key until its result.
 func (c *Chooser) end(m *message) {
 	if !m.over {
 		m.over = true
@@ -724,7 +753,7 @@
 	c.leave(m)
 }
 
-// leave gives up a message's place in the order of its key, once nothing of it is out or owed.
+// leave removes a message from the queue of its key, once it is neither in flight nor unacknowledged.
 func (c *Chooser) leave(m *message) {
 	if m.call != nil || c.owing[m.ID] == m {
 		return
@@ -744,7 +773,7 @@
 	}
 }
 
-// worth of a message if it is served at a time.
+// worth returns the worth of a message if it is served at the given time.
 func (c *Chooser) worth(m *message, at time.Duration) float64 {
 	k := m.class
 	if at >= m.due {
@@ -761,9 +790,9 @@
 	return k.Worth * (1 - (1-k.LateShare)*late/(k.Deadline-k.Aim).Seconds())
 }
 
-// Order of keys.
+// Key ordering.
 
-// hasTurn tells whether the order of its key lets a message go.
+// hasTurn reports whether the order of its key allows a message to be sent now.
 func (c *Chooser) hasTurn(m *message) bool {
 	if !m.class.Ordered || m.Key == "" {
 		return true
@@ -772,6 +801,7 @@
 	return l.queue[0] == m && c.now >= l.rest
 }
 
+// freeLines forgets empty key queues whose key is no longer blocked.
 func (c *Chooser) freeLines() {
 	c.resting = slices.DeleteFunc(c.resting, func(l *line) bool {
 		if len(l.queue) == 0 && c.now >= l.rest {
@@ -781,13 +811,15 @@
 	})
 }
 
-// The turn.
+// Dispatch.
 
-// turn fills the free slots: the destination with the fewest calls out goes first.
+// turn sends waiting messages while call slots are free, to the destination with the fewest calls in flight
+// first.
 func (c *Chooser) turn() {
 	most := max(1, (3*c.set.Workers+3)/4-1)
 	half := max(1, c.set.Workers/2)
-	// Trials go last, lest a small relay's slots fill with calls that may hang; those long due do not.
+	// Probes go last, so that calls that may hang do not fill the slots of a small relay, unless they are
+	// overdue.
 	well := func(u *unit) bool { return u.state != suspect || c.now-u.trialAt > c.set.Rules.Fall }
 	trial := func(d *dest) int {
 		if slices.ContainsFunc(d.units, well) {
@@ -826,10 +858,11 @@
 	}
 }
 
-// callOff frees a slot while all are taken and a message waits for one: the oldest call out beyond its
-// destination's patience, twice that if the unit has served others since, and as often as it was tried. It
-// guards against calls that nobody will answer. An unsafe message is lost by it: twice the patience while
-// such calls hold no more than half of the slots. Half the room taken halves the patience.
+// callOff cancels the oldest overdue call if all slots are taken while a message waits for one: calls that
+// are never answered must not block the slots. A call is overdue after its destination's silence limit: twice
+// that if the unit has served others since, times the number of attempts, and half of it once messages fill
+// half of MaxHeld. Cancelling loses an unsafe message, so its call gets at least twice the limit while
+// overdue calls hold no more than half of the slots.
 func (c *Chooser) callOff() {
 	var stuck []*call
 	for _, d := range c.live {
@@ -866,7 +899,8 @@
 	}
 }
 
-// sendOne sends the best message of a destination, and others along in the same call.
+// sendOne sends the best message of a destination, together with others that fit in the same call. It reports
+// whether there was a message to send.
 func (c *Chooser) sendOne(d *dest) bool {
 	m, h := c.pick(d)
 	if m == nil {
@@ -876,12 +910,12 @@
 	k := &call{host: h, sent: c.now, idle: c.now - h.idleAt}
 	if old := h.kept && h.out == 0; old && k.idle > c.keep {
 		c.act(CloseIdle{h.Addr})
-	} else if old && k.idle > c.set.ConnIdle/16 { // a shorter rest says nothing of what rests are worth
+	} else if old && k.idle > c.set.ConnIdle/16 { // a shorter idle time is no evidence
 		k.reused = 1
 	}
 	c.busy, d.out, h.out, d.lastTurn = c.busy+1, d.out+1, h.out+1, c.now
 	for len(u.sends) > 0 && c.now-u.sends[0] > max(c.set.Rules.Cold, time.Second) {
-		u.sends = u.sends[1:] // by time; to scan all of them at each send took most of a busy relay's time
+		u.sends = u.sends[1:] // oldest first: scanning all at each send took most of a busy relay's CPU time
 	}
 	u.outs, u.sends = append(u.outs, k), append(u.sends, c.now)
 	u.takeToken()
@@ -896,7 +930,8 @@
 		}
 		c.join(m, k)
 	}
-	// They share one end: the most patient among them is waited for, until the first one's time is up.
+	// The messages of a call end together: the longest of their timeouts applies, up to the earliest
+	// deadline.
 	longest, left := time.Duration(0), time.Duration(math.MaxInt64)
 	for _, m := range k.members {
 		longest, left = max(longest, m.timeout), min(left, m.due-c.now)
@@ -904,18 +939,18 @@
 	for _, m := range k.members {
 		m.timeout = min(longest, left)
 		s := Send{ID: m.ID, Host: h.Addr, Timeout: m.timeout}
-		if m.ran && m.class.Effect == Keyed { // a connection may come up after its repeats are remembered
+		if m.ran && m.class.Effect == Keyed { // a connection may open only after the window
 			s.Within = c.windowEnd(m) - c.now
 		}
 		c.act(s)
 	}
 	if len(k.members) > 1 {
-		u.sends = append(u.sends, c.now) // further messages weigh a little: counted as one more call
+		u.sends = append(u.sends, c.now) // further messages count as one more call
 	}
 	return true
 }
 
-// join puts a message into a call.
+// join adds a message to a call.
 func (c *Chooser) join(m *message, k *call) {
 	d := m.dest
 	m.timeout = c.timeout(m, k.host.unit)
@@ -929,8 +964,8 @@
 	k.members = append(k.members, m)
 }
 
-// passes tells whether a zone is open to a message; if not, it comes with the time until when. The last
-// quarter of its time makes a message urgent.
+// passes reports whether the budget allows a message to be sent to a zone, and if not, the earliest time when
+// it may. A message is urgent in the last quarter of its time.
 func (c *Chooser) passes(m *message, zone int) (time.Duration, bool) {
 	if c.tolls == nil || zone == c.tolls.Home {
 		return 0, true
@@ -943,13 +978,13 @@
 	return t.Again, c.tolls.Left-t.Cost >= floor && t.Own >= t.Cost
 }
 
-// barred tells whether all endpoints of a message's destination lie in zones that stay closed past its time.
+// barred reports whether the budget excludes all hosts of a message's destination until past its deadline.
 func (c *Chooser) barred(m *message) bool {
 	if c.tolls == nil || len(m.dest.hosts) == 0 {
 		return false
 	}
 	if t := &c.tolls.Class[m.Class]; c.tolls.Left-t.Cost >= t.Urgent {
-		return false // it crosses once it is urgent
+		return false // it may be sent once it is urgent
 	}
 	return !slices.ContainsFunc(m.dest.hosts, func(h *host) bool {
 		again, open := c.passes(m, h.Zone)
@@ -957,7 +992,7 @@
 	})
 }
 
-// fits tells whether a message may go to a host now, room in its unit apart.
+// fits reports whether a message may be sent to a host now, limits of the host's unit aside.
 func (c *Chooser) fits(m *message, h *host) bool {
 	if _, open := c.passes(m, h.Zone); !open {
 		return false
@@ -968,14 +1003,14 @@
 	if m.class.Effect == Keyed && m.class.SameZone && m.ran && h.Zone != m.ranZone {
 		return false
 	}
-	// What cannot be repeated is kept from a unit whose failures may have run until it has served
-	// a few, unless its own time runs short.
+	// A message that must not be repeated is not sent to a unit where failed messages may have run, until the
+	// unit has served a few calls or the message is urgent.
 	u := h.unit
 	proven := u.state == healthy || !u.risky || u.state == recovering && (!u.errors || u.streak >= history)
 	return proven || m.class.Effect != Unsafe || m.due-c.now < m.class.Deadline/4
 }
 
-// best is the message that loses most by waiting, among those that a test lets through.
+// best returns the message that loses most by waiting, among those that pass the test.
 func (c *Chooser) best(d *dest, test func(*message) bool) *message {
 	rate := 0.0
 	for _, u := range d.units {
@@ -1002,7 +1037,7 @@
 	return best
 }
 
-// pick chooses a message of a destination and a host for it.
+// pick returns the best message of a destination that can be sent now, and the host of least cost for it.
 func (c *Chooser) pick(d *dest) (*message, *host) {
 	var open []*host
 	for _, h := range d.hosts {
@@ -1022,7 +1057,8 @@
 	return m, best
 }
 
-// cost of a route in shares of worth: its fee, and what its pace and its calls out take of the aim.
+// cost returns the cost of sending a message to a host, as a share of worth: the zone fee, and the share of
+// the Aim that the host's latency and its calls in flight take.
 func (c *Chooser) cost(m *message, h *host) float64 {
 	u := h.unit
 	cost := 0.0
@@ -1035,7 +1071,7 @@
 	finish := u.latency * float64(h.out+1) / m.class.Aim.Seconds()
 	cost += max(0, finish-0.25) + finish/100
 	if h == m.last || u.state != healthy || h.fails > 0 {
-		cost += aside * float64(1+min(h.fails, 4)) // before long an untried host comes first
+		cost += aside * float64(1+min(h.fails, 4)) // after a few failures an untried host is preferred
 	}
 	if c.now < h.retryAt {
 		cost++
--- a/choice/pacing.go
+++ b/choice/pacing.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// Pacing: how many calls a second a relay allows itself at one unit. A refusal cuts the limit, and it grows again
-// with time. Calls take tokens, which come at the rate of the limit.
+// Pacing: a token bucket for each unit limits the rate of this relay's calls. A refusal cuts the rate limit, which
+// then grows again with time.
 //
-// A refusal is taken for that of a limit where the destination tells waits, or where this relay sends more than its
-// even share of a listed rate. A unit that has served nothing is paced alike until it serves. Otherwise a refusal may
-// have come by chance: the cut is as deep as the share of calls refused, less the share refused whatever the pace.
+// A refusal is taken for rate limiting if the destination's refusals carry waits (Retry-After), or if this relay sends
+// more than its even share of a listed rate. A unit that has served nothing yet is paced in the same way until it
+// does. Otherwise the refusal may be random: the limit is cut by the share of calls refused, less the share of calls
+// that the unit refuses at any rate.
 
 const (
-	// cutShare of the limit goes with a cut at most.
+	// cutShare is the largest share by which a refusal cuts the limit.
 	cutShare = 0.2
-	// listedGrowth is the share by which a limit grows in a second where a rate is listed, searchGrowth where none is.
+	// listedGrowth is the growth of the limit per second, as a share, if a rate is listed; searchGrowth if none is.
 	listedGrowth, searchGrowth = 0.05, 0.1
-	// mostLimit in calls a second keeps a limit that is never cut a number.
+	// mostLimit, in calls per second, keeps a limit that is never cut from growing to infinity.
 	mostLimit = 1e9
-	// cutInterval is the least time between two cuts, and that over which the own rate is measured.
+	// cutInterval is the minimum time between two cuts, and the span over which this relay's own rate is measured.
 	cutInterval = time.Second
-	// burstAims is how much of the shortest aim's calls may go at once.
+	// burstAims is the size of the token bucket, as the time in shortest Aims in which the limit fills it.
 	burstAims = 1.0 / 8
-	// calmPace is the share of the pace at the last cut below which a refusal says nothing of this relay's load.
+	// calmPace is the share of the rate at the last cut below which a refusal is not attributed to this relay's load.
 	calmPace = 0.9
-	// calmMemory is how many calls at a calm pace count; each one weighs a little more than the one before it.
+	// calmMemory is the number of calls over which the refusals below that rate decay.
 	calmMemory = 64
-	// mostChance is the largest share of refusals that is put down to chance: one that is shut or cold refuses more.
+	// mostChance is the largest share of refusals taken for random: a closed or warming-up unit refuses more.
 	mostChance = 0.3
-	// tellsMemory is the number of refusals over which the share that tells a wait is smoothed.
+	// tellsMemory is the number of refusals over which the share of those with a wait is smoothed.
 	tellsMemory = 8
-	// tellsLimit is the share of refusals with a told wait from which all of them are taken for those of a limit.
+	// tellsLimit is the share of refusals with a wait from which all refusals are taken for rate limiting.
 	tellsLimit = 0.1
 )
 
-// pacer is the limit of a unit, and its tokens.
+// pacer is the token bucket of a unit.
 type pacer struct {
-	limit      float64       // calls a second this relay allows itself; 0 for no limit
-	refilledAt time.Duration // limit and tokens were last brought up to date
-	cutAt      time.Duration
-	cutFrom    float64 // the limit or pace that the last cut found
-	tokens     float64
-	refusals   []time.Duration // within the longest span of a cut
-	tellsWait  float64         // share of the refusals, faded
-	calm       refusalShare    // of the calls at a calm pace
-	uncertain  bool            // the limit was set before anything was served; the first call served lifts it
+	limit      float64         // limit in calls per second; 0 for no limit
+	refilledAt time.Duration   // time of the last update of limit and tokens
+	cutAt      time.Duration   // time of the last cut
+	cutFrom    float64         // rate, or limit if lower, before the last cut
+	tokens     float64         // calls that may be sent at once; negative after a burst
+	refusals   []time.Duration // times of the refusals within Rules.Cold
+	tellsWait  float64         // smoothed share of the refusals that carried a wait
+	calm       refusalShare    // refusals while the limit is well below the rate at the last cut
+	uncertain  bool            // limit was set before anything was served; the first served call removes it
 }
 
-// refusalShare counts calls and those of them that were refused. Old ones fade.
+// refusalShare counts calls, and those of them that were refused. Both counts decay with each call.
 type refusalShare struct{ calls, refused float64 }
 
-// add enters a call.
+// add counts a call.
 func (s *refusalShare) add(refused bool) {
 	keep := 1 - 1.0/calmMemory
 	s.calls = s.calls*keep + 1
@@ -58,14 +59,15 @@
 	}
 }
 
-// noteAnswer enters whether a call was refused. What is refused at a calm pace is refused whatever the pace.
+// noteAnswer counts a call while the limit is well below the rate at the last cut. Refusals at such a rate are not
+// caused by this relay's load.
 func (p *pacer) noteAnswer(refused bool) {
 	if p.cutFrom > 0 && p.limit < calmPace*p.cutFrom {
 		p.calm.add(refused)
 	}
 }
 
-// noteServed enters a call that was served.
+// noteServed counts a served call.
 func (p *pacer) noteServed() {
 	p.noteAnswer(false)
 	if p.uncertain {
@@ -73,7 +75,7 @@
 	}
 }
 
-// noteRefusal enters a refusal, and whether it told a wait.
+// noteRefusal counts a refusal; told says whether it carried a wait. Refusals older than memory are forgotten.
 func (p *pacer) noteRefusal(now, memory time.Duration, told bool) {
 	p.noteAnswer(true)
 	p.tellsWait -= p.tellsWait / tellsMemory
@@ -86,7 +88,7 @@
 	}
 }
 
-// chance is the share of the calls that is refused whatever the pace.
+// chance returns the share of the calls that the unit refuses at any rate.
 func (p *pacer) chance() float64 {
 	if p.calm.refused < 1 {
 		return 0
@@ -98,17 +100,17 @@
 	return share
 }
 
-// hasToken tells whether the pace lets a call go now.
+// hasToken reports whether the limit allows a call now.
 func (p *pacer) hasToken() bool { return p.limit == 0 || p.tokens >= 1 }
 
-// takeToken pays for a call. What is sent while there is no limit is no debt.
+// takeToken takes the token of a call. Calls sent while there is no limit take none, so that they leave no debt.
 func (p *pacer) takeToken() {
 	if p.limit > 0 {
 		p.tokens--
 	}
 }
 
-// refill brings limit and tokens of a unit up to date.
+// refill updates the limit and the tokens of a unit to the current time.
 func (c *Chooser) refill(u *unit) {
 	elapsed := (c.now - u.refilledAt).Seconds()
 	u.refilledAt = c.now
@@ -120,12 +122,13 @@
 	u.tokens = min(u.tokens+u.limit*elapsed, max(1, u.limit*c.minAim.Seconds()*burstAims))
 }
 
-// cutPace lowers the limit of a unit that refused a call, where this relay meets it often enough to learn a pace.
+// cutPace lowers the limit of a unit that refused a call, if this relay calls it often enough to learn a rate.
 func (c *Chooser) cutPace(u *unit) {
 	if u.cutFrom > 0 && c.now-u.cutAt < cutInterval || c.thin(u) {
 		return
 	}
-	// Over at least the even share of a call, or the refused call alone counts as more than its share.
+	// The span holds at least one call of this relay's even share; with a shorter one the refused call alone would
+	// exceed that share.
 	span := min(max(cutInterval, c.even(u)), c.set.Rules.Cold)
 	calls := c.sent(u, span)
 	found, depth := calls/span.Seconds(), cutShare
@@ -135,7 +138,7 @@
 	case c.servesNothing(u):
 		u.uncertain = u.uncertain || u.limit == 0
 	case !u.sentFor(span, c.now):
-		return // how much it sends is not known yet
+		return // this relay's own rate is not known yet
 	default:
 		refused := float64(countWithin(u.refusals, c.now, span))
 		if depth = min(cutShare, refused/calls-u.chance()); depth <= 0 {
@@ -153,23 +156,23 @@
 	u.tokens = min(u.tokens, 0)
 }
 
-// tellsOfLimit tells whether refusals of a unit are those of a limit, at a pace of this relay.
+// tellsOfLimit reports whether refusals of a unit are taken for rate limiting, at the given rate of this relay.
 func (c *Chooser) tellsOfLimit(u *unit, pace float64) bool {
 	return u.tellsWait >= tellsLimit || u.listed > 0 && pace > u.listed/float64(c.set.Fleet)
 }
 
-// servesNothing tells whether a unit has served no call yet, or none for the cold time, and refused more than one: it
-// may be shut.
+// servesNothing reports whether a unit may be closed: it has served no call yet, or none for the time Rules.Cold, and
+// has refused more than one.
 func (c *Chooser) servesNothing(u *unit) bool {
 	return u.bad > 1 && (u.served == 0 || c.now-u.lastServed > c.set.Rules.Cold)
 }
 
-// sent counts the calls to a unit within a span until now.
+// sent returns the number of calls to a unit within a span that ends now.
 func (c *Chooser) sent(u *unit, span time.Duration) float64 {
 	return float64(countWithin(u.sends, c.now, span))
 }
 
-// countWithin counts the times within a span until now.
+// countWithin returns the number of times that lie within a span that ends now.
 func countWithin(times []time.Duration, now, span time.Duration) int {
 	count := 0
 	for _, at := range times {
@@ -180,12 +183,12 @@
 	return count
 }
 
-// sentFor tells whether calls have gone to a unit for a span at least.
+// sentFor reports whether the remembered calls to a unit reach back for at least the given span.
 func (u *unit) sentFor(span, now time.Duration) bool {
 	return len(u.sends) > 0 && now-u.sends[0] >= span
 }
 
-// peak is the highest rate of calls to a unit over any such span that is remembered.
+// peak returns the highest rate of calls to a unit over any span of the given length among the remembered calls.
 func (u *unit) peak(span time.Duration) float64 {
 	most, first := 0, 0
 	for i, at := range u.sends {
--- a/choice/pause.go
+++ b/choice/pause.go
@@ -1,7 +1,7 @@
 package choice
 
-// Pause says that calls can't begin now, for a reason of the relay's own such as a disk that fails, or that they
-// can again. What waits goes on waiting, its time runs, and nothing of it counts against an endpoint.
+// Pause reports that no call can begin for a reason local to the relay, such as a failing disk (On), or that calls can
+// begin again. Waiting messages keep waiting while their deadlines approach; hosts are not blamed for the delay.
 type Pause struct{ On bool }
 
 func (Pause) event() {}
--- a/choice/retracted.go
+++ b/choice/retracted.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Retracted says that the result of an attempt was another's: a message that was believed to have surely not run
-// may have run, sent so long ago.
+// Retracted reports that the reported result of an attempt belonged to another attempt: a message that was believed
+// not to have run may have run.
 type Retracted struct {
 	ID    string
-	Since time.Duration
+	Since time.Duration // time since that attempt was sent
 }
 
 func (Retracted) event() {}
 
-// retract takes in that a message may have run. Where it may not be repeated its final answer comes in this step,
-// or with its result if it is out again.
+// retract records that a message may have run. If it may not be repeated, its final answer follows in this step,
+// or with its result if it is in flight again.
 func (c *Chooser) retract(e Retracted) {
 	m := c.msgs[e.ID]
 	if m == nil || m.ran {
