--- a/choice/admission_test.go
+++ b/choice/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// overload hands in more than a destination serves, for a while, and tells what became of it: taken, tried
-// and given up untried after it was taken.
+// overload hands in a message every interval for the given span, to a destination that serves one at a time, and
+// returns how many were accepted, attempted, and refused without an attempt after they had been accepted.
 func overload(t *testing.T, s Settings, span, every, service time.Duration) (taken, tried, untried int) {
 	t.Helper()
 	s.Workers, s.MaxHeld, s.TakenBack.Cost, s.TakenBack.Before = 1, 0, 0.3, 0.7
@@ -51,52 +51,54 @@
 	return taken, tried, untried
 }
 
-// Guards against messages that are taken without a chance: under twice what a destination serves, what can't
-// be tried in its time is refused before it is taken.
+// TestOverloadIsRefusedBeforeTaking guards against accepting messages that have no chance: at twice the rate that a
+// destination serves, messages that can't be attempted before their deadline are refused on arrival.
 func TestOverloadIsRefusedBeforeTaking(t *testing.T) {
 	s := settings()
 	span := 6 * s.Classes[0].Deadline
 	taken, tried, untried := overload(t, s, span, 50*ms, 100*ms)
 	offered := int(span / (50 * ms))
-	t.Logf("of %d offered %d taken, %d tried, %d given up untried", offered, taken, tried, untried)
+	t.Logf("of %d offered %d accepted, %d attempted, %d refused later unattempted", offered, taken, tried, untried)
 	if 2*tried < 9*offered/10 {
-		t.Errorf("%d tried, want nearly half of %d", tried, offered)
+		t.Errorf("%d attempted, want nearly half of %d", tried, offered)
 	}
 	if 50*untried >= taken {
-		t.Errorf("%d of %d taken were given up untried, want under one in fifty", untried, taken)
+		t.Errorf("%d of %d accepted were refused later without an attempt, want under one in fifty", untried, taken)
 	}
 }
 
-// What a destination can serve is taken: no refusal below its rate.
+// TestWhatCanBeServedIsTaken guards against refusals below the rate that a destination serves.
 func TestWhatCanBeServedIsTaken(t *testing.T) {
 	s := settings()
 	span := 3 * s.Classes[0].Deadline
 	taken, _, untried := overload(t, s, span, 120*ms, 100*ms)
 	if offered := int(span/(120*ms)) - 1; taken < offered || untried > 0 {
-		t.Errorf("%d of %d taken, %d given up untried", taken, offered, untried)
+		t.Errorf("%d of %d accepted, %d refused later without an attempt, want all and none", taken, offered, untried)
 	}
 }
 
-// Guards against restarts that give up what they find untried: it goes before what has come since.
+// TestRestoredGoesFirst guards against restored messages that wait until they are refused: one that was never
+// attempted is sent before new ones that lose more by waiting.
 func TestRestoredGoesFirst(t *testing.T) {
 	s := settings()
 	s.Workers, s.Halving = 1, true
 	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	old, fresh := arrival("old", 0), arrival("new", 0)
-	old.Left = s.Classes[0].Deadline / 2    // loses nothing more by waiting
-	fresh.Left -= s.Classes[0].Aim - 500*ms // loses much
+	old.Left = s.Classes[0].Deadline / 2    // its worth does not fall any further
+	fresh.Left -= s.Classes[0].Aim - 500*ms // its worth is about to fall
 	acts := r.step(Restored{Arrival: old}, fresh)
 	for _, a := range acts {
 		if send, is := a.(Send); is && send.ID != "old" {
-			t.Errorf("%s goes before what an earlier run took", send.ID)
+			t.Errorf("%s was sent before the restored message", send.ID)
 		}
 	}
 	if len(acts) == 0 {
-		t.Error("nothing was sent")
+		t.Error("no actions")
 	}
 }
 
-// A destination whose hosts all drain is not handed more and more: the longer that lasts, the less is taken.
+// TestNothingIsTakenWhileAllHostsDrain guards against accepting messages without end for a destination whose hosts all
+// drain: the longer that lasts, the longer the time that a message must have left.
 func TestNothingIsTakenWhileAllHostsDrain(t *testing.T) {
 	s := settings()
 	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Draining})
@@ -107,10 +109,10 @@
 			return
 		}
 	}
-	t.Error("taken, with no host that wants work for as long as it may wait")
+	t.Error("message was accepted although no host has been ready for longer than it may wait")
 }
 
-// The expected wait grows with what waits before a message, at the rate that was measured.
+// TestLeastWaitGrowsWithTheQueue checks that the expected wait grows with the number of messages ahead.
 func TestLeastWaitGrowsWithTheQueue(t *testing.T) {
 	s := settings()
 	var q queueRate
@@ -121,6 +123,6 @@
 	}
 	short, long := q.leastWait(0), q.leastWait(39)
 	if short <= 0 || long < 30*short {
-		t.Errorf("%v behind none, %v behind 39", short, long)
+		t.Errorf("wait %v behind no message, %v behind 39, want at least 30 times as long", short, long)
 	}
 }
--- a/choice/chance_test.go
+++ b/choice/chance_test.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// chancePlay is a fleet of relays that hand messages to one destination. It serves all that comes, and refuses a
-// share of the calls by chance.
+// chancePlay is a simulation of a fleet of relays that send messages to one destination, which serves every call
+// except for a random share that it refuses.
 type chancePlay struct {
 	relays  int
 	rate    float64 // messages a second, over all relays
-	refused float64 // share of the calls
+	refused float64 // share of the calls that is refused
 	ordered bool
-	restart bool // each relay once, with what it holds
-	listed  bool // twice the rate of the messages is listed
+	restart bool // each relay restarts once, and restores the messages it holds
+	listed  bool // the destination has a listed rate, twice that of the messages
 	span    time.Duration
 	seed    uint64
 }
 
-// callInFlight is a call whose outcome is due.
+// callInFlight is a call with its future result.
 type callInFlight struct {
 	at     time.Duration
 	result Result
 }
 
-// chanceRelay is one relay of a play.
+// chanceRelay is one relay of the simulation.
 type chanceRelay struct {
 	chooser  *Chooser
 	random   *rand.Rand
@@ -39,17 +39,17 @@
 	restart  time.Duration
 }
 
-// heldMessage is a message that is not answered yet.
+// heldMessage is a message without a final answer.
 type heldMessage struct {
 	Arrival
 	due  time.Duration
-	sent time.Duration // first; below 0 if it was not
+	sent time.Duration // first attempt that ran; negative if none
 }
 
 const (
-	// chanceTick is the time between two looks of a play.
+	// chanceTick is the time step of the simulation.
 	chanceTick = 5 * ms
-	// chanceKeys is how many keys share the rate of a play with an order, for each message a second.
+	// chanceKeys is the number of ordering keys for each message per second.
 	chanceKeys = 2
 )
 
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.chooser, r.calls, r.wake = chooser, nil, now // what is out is not heard of again
+	r.chooser, r.calls, r.wake = chooser, nil, now // the calls in flight get no result
 	host := Host{Addr: "a", Dest: 1, State: Ready, Rate: 2 * p.rate}
 	events := []Event{Listing{Whole: true, Hosts: []Host{host}}}
 	for _, id := range slices.Sorted(maps.Keys(r.held)) {
@@ -83,7 +83,7 @@
 	r.carryOut(chooser.Step(now, events), now, p)
 }
 
-// carryOut does what a relay decided.
+// carryOut carries out the actions of a relay.
 func (r *chanceRelay) carryOut(actions []Action, now time.Duration, p chancePlay) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -114,7 +114,7 @@
 	r.calls = append(r.calls, callInFlight{now + took, result})
 }
 
-// outcomes are the results that are due, and the messages that were delivered in time.
+// outcomes returns the results that are due, and the number of messages delivered before their deadline.
 func (r *chanceRelay) outcomes(now time.Duration) (events []Event, delivered int) {
 	var open []callInFlight
 	for _, call := range r.calls {
@@ -134,7 +134,7 @@
 	return events, delivered
 }
 
-// run plays it and tells how many messages were handed in and delivered in time.
+// run runs the simulation and returns how many messages were handed in and how many delivered before their deadline.
 func (p chancePlay) run(t *testing.T) (offered, delivered int) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(p.seed, 7))
@@ -184,10 +184,10 @@
 	return offered, delivered
 }
 
-// chanceTargets are the least shares delivered in time, by the share of the calls that is refused by chance.
+// chanceTargets holds the least share of messages delivered in time, by the share of calls refused at random.
 var chanceTargets = []struct{ refused, delivered float64 }{{0.01, 0.99}, {0.05, 0.97}, {0.1, 0.95}, {0.2, 0.9}}
 
-// playChances plays every case of one seed, and holds what was delivered against its target.
+// playChances runs all cases with one seed and compares the share delivered with its target.
 func playChances(t *testing.T, seed uint64, listed bool) {
 	t.Helper()
 	for _, target := range chanceTargets {
@@ -203,7 +203,7 @@
 							offered, delivered := p.run(t)
 							t.Logf("%d of %d delivered", delivered, offered)
 							if float64(delivered) < target.delivered*float64(offered) {
-								t.Errorf("%d of %d delivered in time, want %v", delivered, offered, target.delivered)
+								t.Errorf("%d of %d delivered in time, want %v of them", delivered, offered, target.delivered)
 							}
 						})
 					}
@@ -213,10 +213,11 @@
 	}
 }
 
-// Guards against starving a destination that is well: it serves all that comes, and refuses a few calls by chance.
+// TestRefusalsByChanceStarveNoDestination guards against cutting the rate of a destination that has capacity and
+// refuses a few calls at random.
 func TestRefusalsByChanceStarveNoDestination(t *testing.T) { playChances(t, 1, false) }
 
-// The same with more seeds, and where a rate is listed.
+// TestRefusalsByChanceWithFurtherSeeds runs the same cases with more seeds, with and without a listed rate.
 func TestRefusalsByChanceWithFurtherSeeds(t *testing.T) {
 	const seeds = 5
 	for seed := uint64(1); seed <= seeds; seed++ {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// rig drives one Chooser and keeps what it did.
+// rig drives one Chooser with a clock of its own, and counts the attempts of each message.
 type rig struct {
 	t   *testing.T
 	c   *Chooser
@@ -58,7 +58,7 @@
 	return acts
 }
 
-// after lets time pass in ticks, waking the Chooser, and returns all actions.
+// after advances the clock in steps of 5 ms with a Woken event each, and returns all actions.
 func (r *rig) after(d time.Duration) []Action {
 	var acts []Action
 	for end := r.now + d; r.now < end; {
@@ -116,7 +116,7 @@
 	}
 	tab.look()
 	if tab.edge != 20*ms {
-		t.Errorf("edge %v with a tenth of the answers 60 times slower, want the bucket of the fast ones, 20ms", tab.edge)
+		t.Errorf("edge %v with one in ten answers 60 times slower, want 20ms, the bucket of the others", tab.edge)
 	}
 	same := table{width: 10 * ms, weight: 1}
 	for i := range 100 {
@@ -124,7 +124,7 @@
 	}
 	same.look()
 	if same.edge != 110*ms {
-		t.Errorf("edge %v for like answers, want 110ms, the end of their bucket", same.edge)
+		t.Errorf("edge %v for answers of equal latency, want 110ms, the end of their bucket", same.edge)
 	}
 	few := table{width: 10 * ms, weight: 1}
 	for range minSamples - 1 {
@@ -134,9 +134,9 @@
 	if few.edge != 0 {
 		t.Errorf("edge %v from %d samples, want none", few.edge, minSamples-1)
 	}
-	few.add(5 * time.Second) // beyond the bound
+	few.add(5 * time.Second) // above the last bucket
 	if few.beyond < 1 || few.total != minSamples {
-		t.Errorf("beyond %v, total %v after a sample over the bound", few.beyond, few.total)
+		t.Errorf("beyond %v, total %v after a sample above the last bucket", few.beyond, few.total)
 	}
 }
 
@@ -150,7 +150,7 @@
 	}
 	tab.look()
 	if tab.edge < 510*ms {
-		t.Errorf("edge %v after the destination slowed, want it relearned to 510ms", tab.edge)
+		t.Errorf("edge %v after the destination slowed down, want 510ms", tab.edge)
 	}
 	for range 10000 {
 		tab.add(505 * ms)
@@ -160,12 +160,12 @@
 	}
 }
 
-// TestAnswers has one row for each outcome and effect: what becomes of the message.
+// TestAnswers checks for each outcome and effect whether the message fails or is sent again.
 func TestAnswers(t *testing.T) {
 	for _, tc := range []struct {
 		class   int
 		outcome Outcome
-		want    string // immediate answer; "again" for one more send
+		want    string // final answers in the step of the result; "again" for one more send instead
 	}{
 		{0, Error, "again"}, {0, Timeout, "again"}, {0, Reset, "again"}, {0, NoConnection, "again"},
 		{1, Error, "again"}, {1, Timeout, "again"}, {1, NotSent, "again"},
@@ -183,26 +183,26 @@
 			if tc.want == "again" {
 				acts = append(acts, r.after(3*time.Second)...)
 				if got = answers(acts); got != "" || len(sends(acts)) != 1 {
-					t.Errorf("answers %q, %d sends, want one more send", got, len(sends(acts)))
+					t.Errorf("final answers %q, %d sends, want one more send", got, len(sends(acts)))
 				}
 			} else if got != tc.want || len(sends(acts)) != 0 {
-				t.Errorf("answers %q, want %q", got, tc.want)
+				t.Errorf("final answers %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
 func TestHeldIsAnsweredInTime(t *testing.T) {
-	r := newRig(t, settings()) // no host at all
+	r := newRig(t, settings()) // without any host
 	r.step(arrival("m", 2))
 	if got := answers(r.after(9900 * ms)); got != "" {
-		t.Fatalf("answered early: %q", got)
+		t.Fatalf("answered before the deadline: %q", got)
 	}
 	if got := answers(r.after(100 * ms)); got != "refuse m;" {
-		t.Errorf("at the deadline %q, want a refusal", got)
+		t.Errorf("final answers %q at the deadline, want a refusal", got)
 	}
 	if len(r.c.msgs) != 0 || r.c.held != 0 {
-		t.Errorf("%d messages kept, %d held after the answer", len(r.c.msgs), r.c.held)
+		t.Errorf("%d messages in the table, %d held after the answer, want none", len(r.c.msgs), r.c.held)
 	}
 }
 
@@ -223,7 +223,7 @@
 	r.now += 100 * ms
 	acts = r.step(r.end("m", first, Error))
 	if got := answers(append(acts, r.after(time.Second)...)); got != "fail m;" {
-		t.Errorf("after its window %q, want it failed", got)
+		t.Errorf("final answers %q after the window, want a failure", got)
 	}
 }
 
@@ -232,10 +232,10 @@
 	h := ready("a", 1, 0, 0)
 	h.State = Draining
 	if n := len(sends(r.step(Listing{Hosts: []Host{h}}, arrival("m", 0)))); n != 0 {
-		t.Errorf("%d sends to a draining host", n)
+		t.Errorf("%d sends to a draining host, want none", n)
 	}
 	if n := len(sends(r.step(Listing{Whole: true}))); n != 0 {
-		t.Errorf("%d sends to a host that is gone", n)
+		t.Errorf("%d sends to a host that is gone, want none", n)
 	}
 }
 
@@ -245,10 +245,10 @@
 	r.now += 50 * ms
 	acts := r.step(r.end("m", "a", Refused, func(e *Result) { e.Wait = 700 * ms }), arrival("n", 2))
 	if acts = append(acts, r.after(695*ms)...); len(sends(acts)) != 0 {
-		t.Errorf("%d sends within the wait", len(sends(acts)))
+		t.Errorf("%d sends within the wait the host asked for, want none", len(sends(acts)))
 	}
 	if len(sends(r.after(2*time.Second))) == 0 {
-		t.Errorf("nothing sent after the wait")
+		t.Errorf("no send after the wait")
 	}
 }
 
@@ -262,15 +262,15 @@
 	r.now += 50 * ms
 	acts := r.step(r.end("m", "a", Reset))
 	if acts = append(acts, r.after(95*ms)...); len(sends(acts)) != 0 {
-		t.Errorf("sent %v while the key rests", sends(acts))
+		t.Errorf("sent %v while the key is blocked after an unknown outcome, want none", sends(acts))
 	}
 	if got := sends(r.after(3 * time.Second)); len(got) != 1 || got[0].ID != "n" {
-		t.Errorf("sent %v after the rest, want n", got)
+		t.Errorf("sent %v once the key is free, want n", got)
 	}
 	r.step(r.end("n", "a", Served))
 	r.after(200 * ms)
 	if len(r.c.lines) != 0 {
-		t.Errorf("%d keys kept", len(r.c.lines))
+		t.Errorf("%d key queues left after all messages ended, want none", len(r.c.lines))
 	}
 }
 
@@ -285,16 +285,16 @@
 	got := sends(r.step(arrival("m", 0)))
 	last := got[0].Timeout
 	if last >= 2*time.Second {
-		t.Fatalf("first time-out %v, want the oracle's edge", last)
+		t.Fatalf("first timeout %v, want the edge of the latency table", last)
 	}
 	for range 2 {
 		r.now += last
 		acts := r.step(r.end("m", "a", Timeout))
 		if got = append(sends(acts), sends(r.after(3*time.Second))...); len(got) != 1 {
-			t.Fatalf("%d sends after a time-out", len(got))
+			t.Fatalf("%d sends after a timeout, want 1", len(got))
 		}
 		if got[0].Timeout < last+r.c.bound/buckets {
-			t.Errorf("time-out %v after %v, want a bucket more", got[0].Timeout, last)
+			t.Errorf("timeout %v after %v, want at least a bucket more", got[0].Timeout, last)
 		}
 		last = got[0].Timeout
 	}
@@ -310,7 +310,7 @@
 			events = append(events, arrival(fmt.Sprint(i), 0))
 		}
 		if n := len(sends(r.step(events...))); n != tc.want {
-			t.Errorf("%d calls out to one destination with %d slots, want %d", n, tc.workers, tc.want)
+			t.Errorf("%d calls in flight to one destination with %d slots, want %d", n, tc.workers, tc.want)
 		}
 	}
 }
@@ -322,8 +322,8 @@
 	}
 }
 
-// TestColdReturn: two failures make a unit suspect; after it answers again, the relay stays within
-// its share of the rule's budget.
+// TestColdReturn guards against overloading a destination that returns from an outage: two failures make its unit
+// suspect, and once it answers again the relay stays within its share of the rules' budget.
 func TestColdReturn(t *testing.T) {
 	s := settings()
 	s.Workers = 100
@@ -341,7 +341,7 @@
 	}
 	trial := append(sends(r.step(events...)), sends(r.after(time.Second))...)
 	if len(trial) != 1 {
-		t.Fatalf("%d calls to a suspect unit, want a single trial", len(trial))
+		t.Fatalf("%d calls to a suspect unit, want a single probe", len(trial))
 	}
 	acts := r.step(r.end(trial[0].ID, "a", Served))
 	acts = append(acts, r.after(s.Rules.Fall)...)
@@ -352,7 +352,7 @@
 	}
 }
 
-// TestStuckCallsAreCalledOff guards the slots: calls nobody answers may not hold them all.
+// TestStuckCallsAreCalledOff guards against unanswered calls that hold all call slots.
 func TestStuckCallsAreCalledOff(t *testing.T) {
 	s := settings()
 	s.Workers = 2
@@ -367,10 +367,10 @@
 			return
 		}
 	}
-	t.Errorf("no call was called off while another destination waited for a slot")
+	t.Errorf("no call was cancelled while another destination waited for a slot")
 }
 
-// TestOneHostDownLeavesItsDestinationWell: the loss of one machine is not that of the destination.
+// TestOneHostDownLeavesItsDestinationWell guards against suspecting a whole destination when one of its hosts fails.
 func TestOneHostDownLeavesItsDestinationWell(t *testing.T) {
 	r := newRig(t, settings(), ready("a", 1, 0, 0), ready("b", 1, 0, 0))
 	for i := range 6 {
@@ -380,7 +380,7 @@
 			for s.Host == "a" {
 				again := sends(r.step(r.end(id, "a", NoConnection)))
 				if len(again) != 1 {
-					t.Fatalf("%d sends after a failed connection, want one to the other host", len(again))
+					t.Fatalf("%d sends after a failed connection, want 1 to the other host", len(again))
 				}
 				s = again[0]
 			}
@@ -388,7 +388,7 @@
 		}
 	}
 	if u := r.c.dests[1].units[0]; u.state != healthy {
-		t.Errorf("unit is in state %d", u.state)
+		t.Errorf("unit in health state %d, want healthy", u.state)
 	}
 }
 
@@ -401,13 +401,13 @@
 		s := settings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("invalid %s: no error", name)
 		}
 	}
 }
 
-// TestLargeFleetSpacesItsCalls: where this relay's share of the budget is under one call in the
-// rule's window, it sends less than one call in it.
+// TestLargeFleetSpacesItsCalls guards against too many probes from a large fleet: a relay whose share of the budget is
+// under one call in Rules.Fall sends less than one call in that time.
 func TestLargeFleetSpacesItsCalls(t *testing.T) {
 	s := settings()
 	s.Fleet, s.Workers = 12, 100
@@ -435,15 +435,15 @@
 		r.now += 5 * ms
 		out = sends(r.step(append(ends, Woken{})...))
 	}
-	// Within twice this relay's share of the budget: 2 x 2 x 0.2 x 4 x 2 s / 12 relays, for
-	// four windows, once the first gaps have grown.
+	// Twice this relay's share of the budget is 2 x 2 x 0.2 x 4/s x 2 s / 12 relays, in each of four windows
+	// of Rules.Fall; a few probes more come before the intervals have grown.
 	if trials < 1 || trials > 7 {
-		t.Errorf("%d trials in eight seconds, want one to seven", trials)
+		t.Errorf("%d probes in 8 s, want 1 to 7", trials)
 	}
 }
 
-// TestBacklogHoldsRestartsBack: while a message waits for the destination,
-// a call is given up only when it is very likely lost.
+// TestBacklogHoldsRestartsBack guards against restarts that feed an overload: while other messages wait for the
+// destination, a call is abandoned only if it is very likely lost.
 func TestBacklogHoldsRestartsBack(t *testing.T) {
 	r := newRig(t, settings(), ready("a", 1, 0, 0))
 	for i := range 4 * minSamples {
@@ -452,7 +452,7 @@
 		r.now += 50 * ms
 		r.step(r.end(id, "a", Served, func(e *Result) {
 			if e.Took = 100 * ms; i%8 == 0 {
-				e.Took = 1900 * ms // a tail that restarts would cut
+				e.Took = 1900 * ms // the tail of the latencies, which restarts would cut off
 			}
 		}))
 	}
@@ -463,12 +463,12 @@
 	}
 	busy := sends(r.step(events...))[0].Timeout
 	if quiet >= 1900*ms || busy < 1900*ms {
-		t.Errorf("time-out %v without and %v with a backlog, want it below and above the tail of 1.9s", quiet, busy)
+		t.Errorf("timeout %v without and %v with a backlog, want below and above the tail of 1.9s", quiet, busy)
 	}
 }
 
-// TestLostCallsAreCalledOff: a call that nobody answers is given up for want of a slot even where
-// its destination goes on serving others.
+// TestLostCallsAreCalledOff guards against a lost call that keeps its slot because its destination still serves
+// others.
 func TestLostCallsAreCalledOff(t *testing.T) {
 	s := settings()
 	s.Workers = 3
@@ -496,11 +496,11 @@
 		out = sends(acts)
 		r.now += 50 * ms
 	}
-	t.Errorf("the lost call was never called off")
+	t.Errorf("the lost call was never cancelled")
 }
 
-// TestRefusalsInALargeFleet: relays that meet a destination seldom come back after growing pauses, and
-// not in step, so that together they get under its limit.
+// TestRefusalsInALargeFleet guards against a fleet whose retries keep a destination at its limit: relays that seldom
+// call it return after growing back-offs with jitter.
 func TestRefusalsInALargeFleet(t *testing.T) {
 	s := settings()
 	s.Fleet = 40
@@ -522,15 +522,15 @@
 			}
 		}
 		if tries > 5 {
-			t.Errorf("%d tries in nine seconds of refusals, want at most five", tries)
+			t.Errorf("%d attempts in 9 s of refusals, want at most 5", tries)
 		}
 	}
 	if slices.Sort(first); len(first) < 5 || first[4]-first[0] < 50*ms {
-		t.Errorf("second tries after %v, want them spread", first)
+		t.Errorf("second attempts after %v, want them spread by jitter", first)
 	}
 }
 
-// TestRelaysDoNotAllLikeOneHost: relays of a large fleet spread over the hosts of a destination.
+// TestRelaysDoNotAllLikeOneHost guards against a large fleet whose relays all prefer the same host of a destination.
 func TestRelaysDoNotAllLikeOneHost(t *testing.T) {
 	s := settings()
 	s.Fleet = 40
@@ -546,12 +546,13 @@
 		used[sends(acts)[0].Host]++
 	}
 	if used["a"] < 4 || used["b"] < 4 {
-		t.Errorf("first calls of 20 relays went to %v, want both hosts well used", used)
+		t.Errorf("first calls of 20 relays by host: %v, want at least 4 to each", used)
 	}
 }
 
-// TestPausesLengthenWhereRetriesFail: where calls after a refusal are hardly ever served, as where refused
-// calls use up the limit, the pause goes to the even share of a call at once.
+// TestPausesLengthenWhereRetriesFail guards against retries that keep a destination closed: if calls after a refusal
+// are hardly ever served, as where refused calls use up the limit, the back-off goes at once to the interval of the
+// relay's even share.
 func TestPausesLengthenWhereRetriesFail(t *testing.T) {
 	s := settings()
 	s.Fleet = 40
@@ -566,11 +567,12 @@
 		return r.c.dests[1].units[0].pauseUntil - r.now
 	}
 	if often, never := pause(0.5), pause(0.05); often > 2*time.Second || never < 5*time.Second {
-		t.Errorf("pauses %v where retries are served and %v where not, want under 2s and over 5s", often, never)
+		t.Errorf("back-off %v if retries are served and %v if not, want under 2s and over 5s", often, never)
 	}
 }
 
-// TestSlowCallsAreServedInTheEnd: each further try of a message is called off later than the one before.
+// TestSlowCallsAreServedInTheEnd guards against cancelling a slow call over and over: each further attempt of a
+// message is cancelled later than the one before.
 func TestSlowCallsAreServedInTheEnd(t *testing.T) {
 	s := settings()
 	s.Workers, s.MaxHeld = 2, 1000
@@ -603,12 +605,13 @@
 		r.now += 50 * ms
 	}
 	if len(took) < 2 || took[1] < took[0]*3/2 {
-		t.Errorf("tries were called off after %v, want the second after longer", took)
+		t.Errorf("attempts were cancelled after %v, want the second at least half as late again", took)
 	}
 }
 
-// TestFirstFailureWhereSeldomMet: a relay of a large fleet that has nothing served lately to speak against
-// an outage takes the first failure for one and makes one trial, and long none if it fails; a small fleet's relay goes on.
+// TestFirstFailureWhereSeldomMet checks that a relay of a large fleet, without a recent served call that speaks
+// against an outage, suspects a unit at the first failure, sends one probe and after its failure waits long. A relay
+// of a small fleet goes on.
 func TestFirstFailureWhereSeldomMet(t *testing.T) {
 	for fleet, want := range map[int]health{2: healthy, 40: suspect} {
 		s := settings()
@@ -626,7 +629,7 @@
 			continue
 		}
 		if n := len(sends(r.after(time.Second))); n != 1 {
-			t.Errorf("fleet of %d: %d calls within a second of the first failure, want one trial", fleet, n)
+			t.Errorf("fleet of %d: %d calls within 1s of the first failure, want 1 probe", fleet, n)
 		}
 		r.step(r.end("m", "a", NoConnection))
 		if n := len(sends(r.after(3 * time.Second))); n > 0 {
@@ -635,8 +638,8 @@
 	}
 }
 
-// TestARelayThatStoodStill: outcomes that come all at once after a gap are taken in before anything is
-// judged, so that the relay's own stall is no silence of a destination.
+// TestARelayThatStoodStill guards against taking the relay's own stall for silence of a destination: results that come
+// all at once after a gap are processed before silence is judged.
 func TestARelayThatStoodStill(t *testing.T) {
 	r := newRig(t, settings(), ready("a", 1, 0, 0), ready("b", 2, 0, 0))
 	other := arrival("n", 0)
@@ -646,13 +649,13 @@
 	r.step(Woken{}, r.end("m", "a", Served), r.end("n", "b", Served))
 	for id, d := range r.c.dests {
 		if got := d.units[0].state; got != healthy {
-			t.Errorf("destination %d: health %v after the relay's own stall, want healthy", id, got)
+			t.Errorf("destination %d: health %v after a stall of the relay, want healthy", id, got)
 		}
 	}
 }
 
-// TestALongList: thousands of hosts at once, listed twice, cost no table
-// each and leave the relay able to send; hosts that leave are forgotten.
+// TestALongList guards against the cost of a long host list: thousands of hosts, listed twice, get no latency table
+// before their first answer, the relay can still send, and hosts that leave the list are forgotten.
 func TestALongList(t *testing.T) {
 	var hosts, gone []Host
 	for i := range 5000 {
@@ -670,13 +673,13 @@
 	}
 	for id, d := range r.c.dests {
 		if d.table.count != nil {
-			t.Fatalf("destination %d has a table before its first answer", id)
+			t.Fatalf("destination %d has a latency table before its first answer", id)
 		}
 	}
 	r.step(r.end("m", "h4999", Served))
 	r.step(Listing{Hosts: gone})
 	if len(r.c.dests) != 0 || len(r.c.hosts) != 0 {
-		t.Errorf("%d destinations and %d hosts remembered after all left", len(r.c.dests), len(r.c.hosts))
+		t.Errorf("%d destinations and %d hosts left after all left the list", len(r.c.dests), len(r.c.hosts))
 	}
 }
 
@@ -688,11 +691,11 @@
 	r.step(Arrival{ID: "waits", Class: 0, Dest: 1, Left: 10 * time.Second})
 	acts := r.step(Stop{}, r.end("ran", "a", Cancelled))
 	if !slices.Contains(acts, Action(Refuse{ID: "waits"})) || !slices.Contains(acts, Action(Fail{ID: "ran"})) {
-		t.Fatalf("at the stop: %v", acts)
+		t.Fatalf("actions %v at the stop, want waits refused and ran failed", acts)
 	}
 	acts = r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}}, r.end("out", "a", NotSent))
 	if len(sends(acts)) > 0 || !slices.Contains(acts, Action(Refuse{ID: "out"})) {
-		t.Fatalf("after the stop, with its result: %v", acts)
+		t.Fatalf("actions %v at a result after the stop, want out refused and no send", acts)
 	}
 }
 
@@ -702,10 +705,10 @@
 	r.step(r.end("m1", "a", Error, func(e *Result) { e.Wait = 3 * time.Second }))
 	r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 10 * time.Second})
 	if s := sends(r.after(2900 * ms)); len(s) > 0 {
-		t.Fatalf("sent within the wait: %v", s)
+		t.Fatalf("sent %v within the wait", s)
 	}
 	if s := sends(r.after(3 * time.Second)); len(s) == 0 {
-		t.Fatal("nothing sent after the wait")
+		t.Fatal("no send after the wait")
 	}
 }
 
@@ -717,7 +720,7 @@
 		r.step(arrival("m", class))
 		acts := r.step(r.end("m", "a", Reset))
 		if !slices.Contains(acts, Action(Fail{ID: "m"})) {
-			t.Errorf("class %d may have run: %v", class, acts)
+			t.Errorf("class %d: actions %v for a message that may have run, want a failure", class, acts)
 		}
 	}
 }
@@ -731,12 +734,12 @@
 	r.step(arrival("waits", 0))
 	acts := r.step(Withdrawn{ID: "out", Owed: true}, Withdrawn{ID: "waits", Owed: true})
 	if len(acts) == 0 || acts[0] != Action(Refuse{ID: "waits"}) || slices.Contains(acts, Action(Fail{ID: "out"})) {
-		t.Fatalf("at the withdrawal: %v", acts)
+		t.Fatalf("actions %v at the withdrawal, want only waits refused", acts)
 	}
 	r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}})
 	acts = r.step(r.end("out", "a", Reset))
 	if !slices.Contains(acts, Action(Fail{ID: "out"})) || len(sends(append(acts, r.after(time.Second)...))) > 0 {
-		t.Fatalf("with its result: %v", acts)
+		t.Fatalf("actions %v at the result, want out failed and no send", acts)
 	}
 }
 
@@ -746,41 +749,42 @@
 	}
 	r := newRig(t, settings(), ready("far", 1, 0, 1))
 	r.step(tolls(18, 5, r.now+500*ms))
-	if n := len(sends(r.step(arrival("a", 0), arrival("b", 2)))); n != 1 { // of any class
-		t.Errorf("%d sends with room for one", n)
+	if n := len(sends(r.step(arrival("a", 0), arrival("b", 2)))); n != 1 { // the budget is shared by the classes
+		t.Errorf("%d sends with a budget for one", n)
 	}
 	if n := len(sends(r.after(time.Second))); n != 0 {
-		t.Errorf("%d sends with nothing left", n)
+		t.Errorf("%d sends with the budget used up", n)
 	}
 	if n := len(sends(r.step(tolls(1000, 5, 0)))); n != 1 {
-		t.Errorf("%d sends once it is open", n)
+		t.Errorf("%d sends with a new budget, want 1", n)
 	}
-	// Every endpoint lies across a zone that stays closed: refused at once, with advice.
+	// The budget excludes all hosts past the deadline: refused at once, with a Retry-After.
 	s := settings()
 	s.MaxRetryAfter = 30 * time.Second
 	r = newRig(t, s, ready("far", 1, 0, 1))
 	acts := r.step(tolls(0, 5, r.now+20*time.Second), arrival("c", 0))
 	if !slices.Contains(acts, Action(Refuse{ID: "c", After: 20 * time.Second})) {
-		t.Errorf("barred past its time: %v", acts)
+		t.Errorf("actions %v without a budget until past the deadline, want a refusal with the time until then", acts)
 	}
-	// An urgent message crosses.
+	// An urgent message has a lower floor.
 	r = newRig(t, settings(), ready("far", 1, 0, 1))
 	r.step(tolls(10, 0, r.now+time.Hour), arrival("d", 2))
 	if n := len(sends(r.after(7 * time.Second))); n != 0 {
-		t.Errorf("%d sends before it is urgent", n)
+		t.Errorf("%d sends before the message is urgent", n)
 	}
 	if n := len(sends(r.after(time.Second))); n != 1 {
-		t.Errorf("%d sends of an urgent message", n)
+		t.Errorf("%d sends of an urgent message, want 1", n)
 	}
-	// At home nothing is paid.
+	// Sends within the relay's own zone cost nothing.
 	r = newRig(t, settings(), ready("near", 1, 0, 0))
 	if n := len(sends(r.step(tolls(0, 5, r.now+time.Hour), arrival("e", 0)))); n != 1 {
-		t.Errorf("%d sends at home", n)
+		t.Errorf("%d sends within the own zone, want 1", n)
 	}
 }
 
-// What an earlier run may have sent stays as careful as this run's own: an unsafe
-// message is not sent again, a keyed one within its window only, attempts count.
+// TestRestored guards against repeats that the effect of a message forbids after a restart: an unsafe message that an
+// earlier run may have sent is not sent again, a keyed one only within its zone and window, and attempts are counted
+// on.
 func TestRestored(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -793,28 +797,28 @@
 		{"keyed, in its window", 1, Restored{Attempts: 1, Ran: true, Since: time.Second}, true},
 		{"keyed, in another zone", 1, Restored{Attempts: 1, Ran: true, Since: time.Second, Zone: 1}, false},
 		{"keyed, past its window", 1, Restored{Attempts: 1, Ran: true, Since: 4 * time.Second}, false},
-		{"keyed, for ever ago", 1, Restored{Attempts: 1, Ran: true, Since: math.MaxInt64}, false},
+		{"keyed, at the largest time ago", 1, Restored{Attempts: 1, Ran: true, Since: math.MaxInt64}, false},
 		{"safe, may have run", 0, Restored{Attempts: 1, Ran: true, Since: time.Hour}, true},
 		{"no attempts left", 0, Restored{Attempts: 4, Ran: true}, false},
 	} {
 		r := newRig(t, settings(), Host{Addr: "a", State: Ready})
 		c.m.Arrival = Arrival{ID: "m", Class: c.class, Left: 9 * time.Second}
 		if got := sends(append(r.step(c.m), r.after(time.Second)...)); (len(got) > 0) != c.sent {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: sent %v", c.name, got)
 		}
 	}
 }
 
-// A wait that an earlier run was told is heeded, an endpoint that failed then gets a
-// trial and not a crowd, and a larger fleet leaves each relay less of a limit.
+// TestEarlierRun checks that a wait which a host asked for before a restart is kept, that a host that failed then gets
+// a single probe, and that a relay's share of a limit shrinks in a larger fleet.
 func TestEarlierRun(t *testing.T) {
 	r := newRig(t, settings(), Host{Addr: "a", State: Ready})
 	r.step(Waited{Host: "a", Left: time.Second}, Waited{Host: "gone", Left: time.Hour})
 	if got := sends(append(r.step(Arrival{ID: "m", Left: 9 * time.Second}), r.after(950*ms)...)); len(got) > 0 {
-		t.Errorf("within the wait: %v", got)
+		t.Errorf("sent %v within the wait", got)
 	}
 	if got := sends(r.after(200 * ms)); len(got) != 1 {
-		t.Errorf("after the wait: %v", got)
+		t.Errorf("sent %v after the wait, want one", got)
 	}
 	r = newRig(t, settings(), Host{Addr: "a", State: Ready})
 	r.step(Waited{Host: "a", Failing: true})
@@ -823,14 +827,14 @@
 		all = append(all, Arrival{ID: fmt.Sprint(i), Left: 9 * time.Second})
 	}
 	if got := sends(append(r.step(all...), r.after(time.Second)...)); len(got) != 1 {
-		t.Errorf("to one that failed: %v", got)
+		t.Errorf("sent %v to a host that failed before the restart, want a single probe", got)
 	}
 	r = newRig(t, settings(), Host{Addr: "a", Rate: 40, State: Ready})
 	u := r.c.hosts["a"].unit
 	if r.step(Fleet{Index: 3, Size: 8}); u.limit != 10 || r.c.set.Fleet != 8 {
-		t.Errorf("limit %v in a fleet of %d", u.limit, r.c.set.Fleet)
+		t.Errorf("limit %v for a fleet of %d", u.limit, r.c.set.Fleet)
 	}
 	if r.step(Fleet{Index: 0, Size: 1}, Fleet{}); u.limit > 11 || r.c.set.Fleet != 1 {
-		t.Errorf("limit %v in a fleet of %d", u.limit, r.c.set.Fleet)
+		t.Errorf("limit %v for a fleet of %d", u.limit, r.c.set.Fleet)
 	}
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -7,7 +7,7 @@
 	"basaltcross.example/basaltcross/choice"
 )
 
-// A relay's own loop: hand in what happened, carry out what comes back.
+// Example shows the main loop of a relay: it passes events to Step and carries out the actions.
 func Example() {
 	c, err := choice.New(choice.Settings{
 		Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * time.Millisecond,
@@ -30,8 +30,8 @@
 		inbox = nil
 		for _, a := range actions {
 			switch a := a.(type) {
-			case choice.Send: // a relay would call a.Host here; this one pretends that it answered
-				fmt.Printf("send %s to %s, time-out %v\n", a.ID, a.Host, a.Timeout)
+			case choice.Send: // a relay would call a.Host here; this example reports a served call
+				fmt.Printf("send %s to %s, timeout %v\n", a.ID, a.Host, a.Timeout)
 				inbox = append(inbox, choice.Result{ID: a.ID, Host: a.Host, Outcome: choice.Served,
 					Took: 80 * time.Millisecond, Done: true})
 			case choice.Wake:
@@ -41,6 +41,6 @@
 		now += 80 * time.Millisecond
 	}
 	// Output:
-	// send m1 to 10.0.0.1:80, time-out 10s
+	// send m1 to 10.0.0.1:80, timeout 10s
 	// step again after 10ms
 }
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -9,32 +9,35 @@
 	"time"
 )
 
-// cold is one destination that is out for a while and comes back cold, under the calls of a
-// fleet of relays that share nothing. A call gets its outcome after a while.
+// cold is a simulation of one destination that fails for some time and returns cold, called by a fleet of relays that
+// don't communicate. A call gets its result after some time.
 type cold struct {
 	relays  []*Chooser
 	factor  Rules
-	rate    float64 // calls a second that it takes when warm
-	back    time.Duration
-	how     Outcome // of calls while it is out
-	tells   float64 // share of the refusals that tell how long it stays shut
-	arrived []onset // calls after its return
+	rate    float64       // capacity in calls per second when warm
+	back    time.Duration // end of the outage
+	how     Outcome       // outcome of calls during the outage
+	tells   float64       // share of the refusals that carry the time until the end of the outage
+	arrived []onset       // calls after the outage
 }
 
+// onset is a call after the outage.
 type onset struct {
 	at   time.Duration
-	told bool // by a relay that had seen a call fail, or be refused, during the outage
+	told bool // sent by a relay that had a failed or refused call during the outage
 }
 
+// due is the future result of a call.
 type due struct {
 	at    time.Duration
 	relay int
 	e     Result
 }
 
-// play hands load to the fleet for 30 s, with the outage from 5 s to back, and returns the
-// most calls within a window of the rule after the return, two thirds of them by relays that
-// had seen the outage, over what is put down to chance: N + 2 root of N + 2.
+// play sends messages to the fleet for 30 s, at the given share of the capacity, with an outage from 5 s to back. It
+// looks at the windows of Rules.Fall after the outage in which more than two thirds of the calls came from relays that
+// had noticed it. over is the largest ratio of the calls in such a window to N + 2 sqrt(N) + 2, where N is the number
+// that the rules allow and the rest allows for random variation.
 func (w *cold) play(t *testing.T, fleet int, load float64, seed uint64) (over float64, served int) {
 	t.Helper()
 	const out = 5 * time.Second
@@ -63,7 +66,7 @@
 	n := 0
 	for now := time.Duration(0); now < 30*time.Second; now += 5 * ms {
 		events := make([][]Event, fleet)
-		for r.Float64() < load*w.rate*0.005 { // about that many a step
+		for r.Float64() < load*w.rate*0.005 { // the expected number for each step
 			i := r.IntN(fleet)
 			n++
 			events[i] = append(events[i], Arrival{ID: fmt.Sprint("m", n), Class: r.IntN(2), Dest: 1, Left: 10 * time.Second})
@@ -137,30 +140,30 @@
 		}
 		allowed := k.OverloadFactor * (k.ColdFrom + (1-k.ColdFrom)*since) * w.rate * k.Fall.Seconds()
 		if 3*knew <= 2*in {
-			continue // the fall would not be the doing of those that knew
+			continue // relays that noticed the outage are not the cause of this load
 		}
 		over = max(over, float64(in)/(allowed+2*math.Sqrt(allowed)+2))
 	}
 	return over, served
 }
 
-// A destination that comes back cold is not pushed over by the sum of what a fleet sends,
-// however many relays there are, whatever the outage was like, for fast and slow ones.
+// TestColdReturnUnderAFleet guards against overloading a destination that returns cold with the sum of a fleet's
+// calls, for small and large fleets, for each kind of outage, and for destinations of small and large capacity.
 func TestColdReturnUnderAFleet(t *testing.T) {
 	rules := Rules{AnswerGrace: 20 * ms, DrainGrace: time.Second, OverloadFactor: 2.5, Fall: 3 * time.Second, ColdFrom: 0.13, Cold: 9600 * ms}
-	// Refusals of a shut destination tell its wait in 17 of 100 cases at least, where the users have seen it.
+	// Closed destinations in production ask for a wait in at least 17 of 100 refusals.
 	for how, tells := range map[Outcome]float64{Timeout: 0, Error: 0, Refused: 0.17, NoConnection: 0} {
 		for _, fleet := range []int{3, 25, 300} {
 			for _, rate := range []float64{3, 12, 50} {
 				worst, served := 0.0, 0
-				for seed := range uint64(max(1, 4-fleet/100)) { // a large fleet is slow to play
+				for seed := range uint64(max(1, 4-fleet/100)) { // a large fleet is slow to simulate
 					w := &cold{factor: rules, rate: rate, back: 15 * time.Second, how: how, tells: tells}
 					over, n := w.play(t, fleet, 0.8, seed+1)
 					worst, served = max(worst, over), served+n
 				}
-				t.Logf("%v %d relays, %v a second: %.2f of what may come, %d served", how, fleet, rate, worst, served)
+				t.Logf("%v, %d relays, %v calls/s: %.2f of the limit, %d served", how, fleet, rate, worst, served)
 				if worst > 1 {
-					t.Errorf("%v %d relays, %v a second: %.2f of what may come", how, fleet, rate, worst)
+					t.Errorf("%v, %d relays, %v calls/s: %.2f of the limit, want at most 1", how, fleet, rate, worst)
 				}
 			}
 		}
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// life is what the rules need to know of one message.
+// life is the state of one message, as far as the rules depend on it.
 type life struct {
 	class    int
 	due      time.Duration
@@ -22,8 +22,8 @@
 	unsureAt time.Duration
 }
 
-// lawful plays bytes as lawful events, asserts the rules on every action and returns them all. It
-// models no server: outcomes come as the bytes say.
+// lawful turns the bytes into valid events, checks each action against the rules and returns all actions. It does not
+// model a server: the bytes choose the outcomes.
 func lawful(t *testing.T, data []byte) [][]Action {
 	s := settings()
 	s.Kinds[0].PerCall = 2
@@ -54,25 +54,25 @@
 				class := s.Classes[l.class]
 				switch {
 				case l.over:
-					t.Fatalf("sent %s after its end", a.ID)
+					t.Fatalf("sent %s after its final answer", a.ID)
 				case l.out != "":
-					t.Fatalf("two attempts of %s out at once", a.ID)
+					t.Fatalf("two attempts of %s in flight at once", a.ID)
 				case l.tries >= s.MaxAttempts:
-					t.Fatalf("attempt %d of %s", l.tries+1, a.ID)
+					t.Fatalf("attempt %d of %s exceeds MaxAttempts", l.tries+1, a.ID)
 				case h.State != Ready:
-					t.Fatalf("sent to %s in state %d", a.Host, h.State)
+					t.Fatalf("sent to host %s in state %d, want Ready", a.Host, h.State)
 				case now < wait[unit]:
-					t.Fatalf("sent to %s within a told wait", a.Host)
+					t.Fatalf("sent to %s within the wait it asked for", a.Host)
 				case l.ran && class.Effect == Unsafe:
 					t.Fatalf("repeated unsafe %s", a.ID)
 				case l.ran && class.Effect == Keyed && (now > l.ranAt+class.Window || h.Zone != l.ranZone):
 					t.Fatalf("repeated keyed %s outside its window or zone", a.ID)
 				case a.Timeout <= 0 || now+a.Timeout > l.due:
-					t.Fatalf("time-out %v of %s with %v left", a.Timeout, a.ID, l.due-now)
+					t.Fatalf("timeout %v of %s with %v left until its deadline", a.Timeout, a.ID, l.due-now)
 				}
 				if class.Ordered && l.key != "" {
 					if now < settled[l.key] {
-						t.Fatalf("key %s sent while it rests", l.key)
+						t.Fatalf("sent a message of key %s while it is blocked after an unknown outcome", l.key)
 					}
 					for _, id := range ids {
 						if o := lives[id]; o.key == l.key && o.seq < l.seq && (!o.over || o.out != "") {
@@ -88,24 +88,24 @@
 			case Refuse:
 				l := lives[a.ID]
 				if l.over || l.out != "" || l.ran && s.Classes[l.class].Effect != Safe || now > l.due {
-					t.Fatalf("refused %s unlawfully", a.ID)
+					t.Fatalf("refused %s after its end or its deadline, in flight, or although it may have run", a.ID)
 				}
 				l.over = true
 			case Fail:
 				l := lives[a.ID]
 				if l.over || now > l.due+s.Rules.AnswerGrace {
-					t.Fatalf("failed %s twice or late", a.ID)
+					t.Fatalf("failed %s after its final answer or too late", a.ID)
 				}
 				l.over = true
 			}
 		}
 		for _, id := range ids {
 			if l := lives[id]; !l.over && now > l.due+s.Rules.AnswerGrace {
-				t.Fatalf("%s was lost", id)
+				t.Fatalf("%s has no final answer after its deadline", id)
 			}
 		}
 		if out := c.busy; out > s.Workers {
-			t.Fatalf("%d calls out with %d slots", out, s.Workers)
+			t.Fatalf("%d calls in flight with %d slots", out, s.Workers)
 		}
 	}
 	finish := func(id string, o Outcome, told time.Duration) Event {
@@ -162,7 +162,7 @@
 			h.State = State(arg / 4 % 3)
 			play(Listing{Hosts: []Host{*h}})
 			if h.State == Gone {
-				h.State = Draining // still named by calls out; nothing new may go there
+				h.State = Draining // calls in flight still name it; new ones must not go there
 			}
 		default:
 			for range 1 + arg/8 {
@@ -200,7 +200,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if len(data) > 4000 {
-			t.Skip("longer inputs only take longer")
+			t.Skip("longer inputs only take more time")
 		}
 		lawful(t, data)
 	})
@@ -209,7 +209,7 @@
 func TestSameEventsSameActions(t *testing.T) {
 	for i, s := range seeds() {
 		if a, b := lawful(t, s), lawful(t, s); !reflect.DeepEqual(a, b) {
-			t.Errorf("seed %d: two runs differ", i)
+			t.Errorf("seed %d: two runs with the same events gave different actions", i)
 		}
 	}
 }
--- a/choice/large_test.go
+++ b/choice/large_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Tests of what deployments with large fleets and narrow endpoints have shown.
+// Tests of faults found in deployments with large fleets and hosts of low capacity.
 
+// closes returns the hosts of the CloseIdle actions.
 func closes(acts []Action) (out []string) {
 	for _, a := range acts {
 		if c, ok := a.(CloseIdle); ok {
@@ -16,13 +17,13 @@
 	return out
 }
 
-// deliver sends one message and has it served; the actions of both steps come back.
+// deliver hands in one message, reports it served, and returns the actions of both steps.
 func (r *rig) deliver(m Arrival) []Action {
 	r.t.Helper()
 	acts := r.step(m)
 	s := sends(acts)
 	if len(s) != 1 {
-		r.t.Fatalf("%d sends for %s, want one", len(s), m.ID)
+		r.t.Fatalf("%d sends for %s, want 1", len(s), m.ID)
 	}
 	r.now += 50 * ms
 	return append(acts, r.step(r.end(m.ID, s[0].Host, Served))...)
@@ -33,24 +34,24 @@
 	s.ConnIdle = 5 * time.Second
 	r := newRig(t, s, ready("a", 1, 0, 0))
 	if n := closes(r.deliver(arrival("first", 0))); len(n) != 0 {
-		t.Errorf("closed %v where every call got a connection", n)
+		t.Errorf("closed %v although every call got a connection", n)
 	}
 	var acts []Action
 	for i, id := range []string{"one", "two", "three", "late"} {
 		r.now += 4 * time.Second
 		acts = r.step(arrival(id, 2))
 		if n := closes(acts); i < 3 && len(n) != 0 {
-			t.Errorf("closed %v after %d calls lost on connections that had idled: that may be chance", n, i)
+			t.Errorf("closed %v after %d lost calls on idle connections, want none: that may be random", n, i)
 		} else if i == 3 {
 			break
 		}
 		r.now += time.Second
 		r.step(r.end(id, "a", Reset, func(e *Result) { e.Took = time.Second }))
-		r.after(5 * time.Second) // it may be tried again
+		r.after(5 * time.Second) // until the next probe is due
 		r.deliver(arrival("well after "+id, 0))
 	}
 	if n := closes(acts); len(n) != 1 || len(sends(acts)) != 1 {
-		t.Errorf("closed %v before a call, want the connection closed that idled as long as one that was lost", n)
+		t.Errorf("closed %v before a call, want the connection closed that was idle as long as the lost ones", n)
 	}
 }
 
@@ -64,13 +65,13 @@
 	acts := r.step(arrival("none", 0))
 	acts = r.step(r.end("none", sends(acts)[0].Host, NoConnection))
 	if n := closes(acts); len(n) != 2 || r.c.hosts["b"].kept {
-		t.Errorf("closed %v where a call to this kind got no connection, want both hosts' idle ones closed", n)
+		t.Errorf("closed %v after a call to this kind got no connection, want the idle ones of both hosts closed", n)
 	}
 }
 
 func TestRetriesDoNotOutweighFirstTriesAtAFullQueue(t *testing.T) {
-	// A partner that hangs refuses with its queue full and tells no wait. When it comes back cold, two thirds of
-	// its load must not be retries of relays that were refused there. Here 100 relays take 5 messages a second.
+	// A hanging partner refuses with a full queue and asks for no wait. When it returns cold, at most two thirds of
+	// its load may be retries of relays that were refused there. Here 100 relays accept 5 messages per second.
 	s := settings()
 	s.Fleet, s.Listed = 100, false
 	s.Classes[0].Deadline = 20 * time.Second
@@ -84,7 +85,7 @@
 		relays[i] = &rig{t: t, c: c, now: time.Hour, try: map[string]int{}}
 		relays[i].step(Listing{Whole: true, Hosts: []Host{ready("a", 1, 0, 0)}})
 	}
-	for tick := range 4000 { // twenty seconds
+	for tick := range 4000 { // 20 s
 		for i, r := range relays {
 			r.now += 5 * ms
 			events := []Event{Woken{}}
@@ -106,12 +107,13 @@
 		}
 	}
 	if first != 50 || again > 2*first {
-		t.Errorf("%d retries and %d first tries, want at most two thirds retries", again, first)
+		t.Errorf("%d retries and %d first attempts, want 50 first attempts, at most 100 retries", again, first)
 	}
 }
 
 func TestShutPartnersAreNotMetByAllAtOnce(t *testing.T) {
-	// Sixty relays were told when a partner opens. Cold, it takes 5 calls/s * 0.2 * 2 in the rule's 2 seconds: 4 calls.
+	// Refusals told 60 relays when a partner opens. Cold, it accepts 5 calls/s * 0.2 * 2, which is 4 calls in
+	// the 2 s of Rules.Fall.
 	s := settings()
 	s.Fleet = 200
 	due := 0
@@ -127,21 +129,21 @@
 		opens := r.now + 9*time.Second
 		r.now += time.Duration(i) * 100 * ms
 		if len(sends(r.step(arrival("m", 0)))) != 1 {
-			t.Fatal("no first try")
+			t.Fatal("no first attempt")
 		}
 		r.step(r.end("m", "a", Refused, func(e *Result) { e.Wait = opens - r.now }))
 		for r.now < opens+2*time.Second {
 			r.now += 5 * ms
 			if n := len(sends(r.step(Woken{}))); n > 0 {
 				if due += n; r.now < opens {
-					t.Fatal("a call before the wait was over")
+					t.Fatal("a call was sent before the end of the wait")
 				}
 				break
 			}
 		}
 	}
 	if due > 9 {
-		t.Errorf("%d of 60 relays call within 2s of the opening, want few", due)
+		t.Errorf("%d of 60 relays call within 2s of the opening, want at most 9", due)
 	}
 }
 
@@ -154,18 +156,18 @@
 	r.step(r.end("m", "a", Error))
 	for waited := time.Duration(0); len(sends(r.after(5*ms))) == 0; waited += 5 * ms {
 		if waited > time.Second {
-			t.Fatal("no second try within a second of a single error")
+			t.Fatal("no second attempt within a second of a single error")
 		}
 	}
 	r.now += 50 * ms
 	r.step(r.end("m", "a", Served))
 	if u := r.c.hosts["a"].unit; u.state != healthy {
-		t.Errorf("state %v after a single error and a call served, want healthy", u.state)
+		t.Errorf("health %v after a single error and a served call, want healthy", u.state)
 	}
 }
 
 func TestSeldomMetUnitsRestart(t *testing.T) {
-	// A relay that meets each partner seldom has no table for any, but one for all together.
+	// A relay that seldom calls each partner fills no table of a destination, only the one of all destinations.
 	s := settings()
 	s.Fleet, s.Listed = 100, false
 	r := newRig(t, s)
@@ -179,15 +181,15 @@
 	r.step(Listing{Hosts: []Host{ready("a", 1, 0, 0)}})
 	r.after(time.Second)
 	if got := sends(r.step(arrival("m", 0))); len(got) != 1 || got[0].Timeout > 2*s.Classes[0].Aim {
-		t.Errorf("sends %v, want one with a time-out that leaves time for a restart", got)
+		t.Errorf("sends %v, want one with a timeout that leaves time for a restart", got)
 	}
 	if got := sends(r.step(arrival("u", 2))); len(got) == 1 && got[0].Timeout < 9*time.Second {
-		t.Errorf("an unsafe message was sent with %v, want the time left", got[0].Timeout)
+		t.Errorf("an unsafe message was sent with a timeout of %v, want the time left", got[0].Timeout)
 	}
 }
 
 func TestRetriesRestWhereNoneIsServedAndNoneTold(t *testing.T) {
-	// Three relays' worth of retries that all fail must leave the next pause several times longer than at the start.
+	// After nine refused retries the next back-off must be several times longer than at the start.
 	pause := func(failed int, told bool) time.Duration {
 		s := settings()
 		s.Fleet, s.Listed = 100, false
@@ -209,10 +211,10 @@
 		return sum / 100
 	}
 	if start, then := pause(0, false), pause(9, false); then < 8*start {
-		t.Errorf("pauses of %v after nine retries refused, %v before, want eight times as long", then, start)
+		t.Errorf("back-off %v after nine refused retries, %v before, want eight times as long", then, start)
 	}
 	if told, untold := pause(9, true), pause(9, false); told >= untold {
-		t.Errorf("pauses of %v where waits are told, %v where none is, want shorter ones", told, untold)
+		t.Errorf("back-off %v if refusals carry waits, %v if not, want the first to be shorter", told, untold)
 	}
 }
 
@@ -225,12 +227,12 @@
 	r.now += time.Second
 	second := sends(r.step(r.end("m", first[0].Host, NoConnection, func(e *Result) { e.Took = time.Second })))
 	if len(second) != 1 || second[0].Host == first[0].Host {
-		t.Fatalf("sends %v after a failed host, want one to the other", second)
+		t.Fatalf("sends %v after a failure of one host, want one to the other", second)
 	}
 	r.now += time.Second
 	r.step(r.end("m", second[0].Host, NoConnection, func(e *Result) { e.Took = time.Second }))
 	if n := len(sends(r.after(3 * time.Second))); n > 0 {
-		t.Errorf("%d calls within 3s of the failure of both hosts, want none", n)
+		t.Errorf("%d calls within 3s of the failures of both hosts, want none", n)
 	}
 }
 
@@ -243,12 +245,14 @@
 	r.step(arrival("m", 0))
 	r.step(r.end("m", "a", NoConnection))
 	if u := r.c.hosts["a"].unit; u.state != healthy || u.pauseUntil <= r.now {
-		t.Errorf("state %v, pause until %v at %v after a full table, want healthy and a pause", u.state, u.pauseUntil, r.now)
+		t.Errorf("health %v, back-off until %v at %v after a full connection table, want healthy and a back-off",
+			u.state, u.pauseUntil, r.now)
 	}
 }
 
 func TestTrialsOfAllRelaysStayWithinTheBudget(t *testing.T) {
-	// All of 200 relays know that a large partner is down. Back cold it takes 50 calls/s * 0.2, overloaded at twice that.
+	// All 200 relays know that a large partner is down. On its return it accepts 50 calls/s * 0.2 and is
+	// overloaded at twice that.
 	s := settings()
 	s.Fleet = 200
 	rate := 0.0
@@ -262,7 +266,7 @@
 		rate += 1 / c.gap(u).Seconds()
 	}
 	if rate > 50*0.2*2 {
-		t.Errorf("%.1f trials a second by all relays, want at most 20", rate)
+		t.Errorf("%.1f probes per second by all relays, want at most 20", rate)
 	}
 }
 
@@ -274,11 +278,11 @@
 		r.step(arrival("m", 0))
 		acts := r.step(r.end("m", "a", Refused, func(e *Result) { e.Wait = 5 * time.Second }))
 		if answers(acts) != "refuse m;" {
-			t.Errorf("answers %q when the attempts are used up, want the refusal at once", answers(acts))
+			t.Errorf("final answers %q when the attempts are used up, want a refusal at once", answers(acts))
 		}
 		for _, a := range acts {
 			if a, ok := a.(Refuse); ok && (a.After < want || a.After > longest) {
-				t.Errorf("clients that heed %v are told %v after a wait of 5s, want %v", longest, a.After, want)
+				t.Errorf("MaxRetryAfter %v: Refuse.After %v after a wait of 5s, want %v", longest, a.After, want)
 			}
 		}
 	}
@@ -289,7 +293,7 @@
 	s.Fleet, s.Listed = 100, false
 	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 1, 0, 0), ready("c", 1, 0, 0))
 	for i, h := range []string{"a", "b", "c"} {
-		r.c.hosts[h].liking = float64(i) / 2 // a and b are liked far better than c
+		r.c.hosts[h].liking = float64(i) / 2 // a and b are preferred by far to c
 	}
 	r.c.hosts["a"].fails, r.c.hosts["b"].fails = 2, 2
 	if got := sends(r.step(arrival("m", 0))); len(got) != 1 || got[0].Host != "c" {
--- a/choice/pacing_test.go
+++ b/choice/pacing_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// serveSteadily hands in a message every interval and has each call answered as the function tells; it returns
-// how many were sent.
+// serveSteadily hands in a message every interval for the given span and reports each call with the outcome that the
+// function returns for its number. It returns the number of calls.
 func serveSteadily(r *rig, span, interval time.Duration, outcome func(sent int) Outcome) (sent int) {
 	next := r.now
 	var events []Event
@@ -27,8 +27,8 @@
 	return sent
 }
 
-// Guards against a destination that gets nothing for seconds after its first refusal: what was sent while there was
-// no limit is no debt once there is one.
+// TestFirstRefusalLeavesNoDebt guards against a destination that gets no calls for seconds after its first refusal:
+// calls sent while there was no limit must not leave a debt of tokens.
 func TestFirstRefusalLeavesNoDebt(t *testing.T) {
 	s := settings()
 	s.Listed, s.Fleet = false, 1
@@ -42,11 +42,12 @@
 	})
 	sent := serveSteadily(r, 2*time.Second, 50*ms, func(int) Outcome { return Served })
 	if sent < 30 {
-		t.Errorf("%d calls in the two seconds that follow, want most of 40", sent)
+		t.Errorf("%d calls in the 2s after the refusal, want at least 30 of 40", sent)
 	}
 }
 
-// A destination that is full, and tells neither a rate nor waits, is not overrun: what it refuses shrinks with the pace.
+// TestFullDestinationIsNotOverrun guards against overloading a destination at its capacity that reports neither a rate
+// nor waits: the limit must fall until few calls are refused.
 func TestFullDestinationIsNotOverrun(t *testing.T) {
 	s := settings()
 	s.Listed, s.Fleet, s.Workers = false, 1, 20
@@ -68,14 +69,15 @@
 	sent := serveSteadily(r, 10*time.Second, 25*ms, full)
 	t.Logf("%d of %d calls refused", refused, sent)
 	if served := sent - refused; served < 7*capacity {
-		t.Errorf("%d calls served in ten seconds, want most of %d", served, 10*capacity)
+		t.Errorf("%d calls served in 10s, want at least 0.7 of %d", served, 10*capacity)
 	}
 	if float64(refused) > mostChance*float64(sent) {
-		t.Errorf("%d of %d calls refused, want under %v", refused, sent, mostChance)
+		t.Errorf("%d of %d calls refused, want a share of at most %v", refused, sent, mostChance)
 	}
 }
 
-// A destination that tells waits has a limit: its refusals are no chance, however few they are.
+// TestToldWaitCutsThePace guards against taking the refusals of a destination that asks for waits (Retry-After) for
+// random: they are due to its rate limit, however few they are.
 func TestToldWaitCutsThePace(t *testing.T) {
 	s := settings()
 	s.Listed, s.Fleet = false, 1
@@ -86,11 +88,12 @@
 		r.step(r.end(send.ID, send.Host, Refused, func(e *Result) { e.Wait = 100 * ms }))
 	}
 	if found := u.cutFrom; found == 0 || u.limit > (1-cutShare)*found+0.1 {
-		t.Errorf("limit %v after a told wait at a pace of %v, want a cut by a fifth", u.limit, found)
+		t.Errorf("limit %v after a refusal with a wait at a rate of %v, want a cut by a fifth", u.limit, found)
 	}
 }
 
-// Guards against a destination that gets nothing after hours without a cut: a limit that grows without end is no number.
+// TestLimitStaysFinite guards against a destination that gets no calls after hours without a cut, because its limit
+// has grown to infinity and the tokens are NaN.
 func TestLimitStaysFinite(t *testing.T) {
 	s := settings()
 	s.Listed, s.Fleet = false, 1
@@ -102,13 +105,14 @@
 		r.c.now += time.Second
 		r.c.refill(u)
 	}
-	r.c.refill(u) // at the same time once more
+	r.c.refill(u) // a second time without time passing
 	if !u.hasToken() {
-		t.Errorf("limit %v, tokens %v: nothing may be sent", u.limit, u.tokens)
+		t.Errorf("limit %v, tokens %v: no call is allowed", u.limit, u.tokens)
 	}
 }
 
-// The pace set while a destination served nothing is lifted by the first call that it serves, however often it refused.
+// TestPaceBeforeTheFirstServedIsLifted guards against a limit that stays although it was set before the destination
+// had served anything: the first served call removes it, whatever the number of refusals.
 func TestPaceBeforeTheFirstServedIsLifted(t *testing.T) {
 	s := settings()
 	s.Listed, s.Fleet, s.MaxAttempts = false, 1, 20
@@ -116,10 +120,10 @@
 	serveSteadily(r, 4*time.Second, 500*ms, func(int) Outcome { return Refused })
 	u := r.c.order[0].units[0]
 	if u.limit == 0 || u.bad < 4 {
-		t.Fatalf("limit %v after %d refusals, want one", u.limit, u.bad)
+		t.Fatalf("limit %v after %d refusals, want a limit after at least 4", u.limit, u.bad)
 	}
 	serveSteadily(r, 10*time.Second, 500*ms, func(int) Outcome { return Served })
 	if u.limit != 0 {
-		t.Errorf("limit %v once it serves, want none", u.limit)
+		t.Errorf("limit %v after served calls, want none", u.limit)
 	}
 }
--- a/choice/pause_test.go
+++ b/choice/pause_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Guards against sends that no call can follow, and against endpoints that are blamed for it: while paused nothing is
-// sent and nothing is suspected; then what waited goes out, and what has no time left is refused.
+// TestPause guards against sends that the relay can't carry out, and against blaming hosts for the delay: during a
+// pause nothing is sent and no unit becomes suspect. Afterwards waiting messages are sent; one that expires in the
+// meantime is refused.
 func TestPause(t *testing.T) {
 	set := Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * time.Millisecond, ReportLimit: -1, Kinds: []Kind{{PerCall: 1}},
 		Classes: []Class{{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
@@ -36,9 +37,9 @@
 		sends, refusals, logs = sends+s, refusals+r, logs+l
 	}
 	if sends != 0 || refusals != 1 || logs != 0 {
-		t.Errorf("while paused %d sends, %d refusals, %d lines; want one refusal alone", sends, refusals, logs)
+		t.Errorf("%d sends, %d refusals and %d log lines during the pause, want 0, 1 and 0", sends, refusals, logs)
 	}
 	if sends, _, _ = count(2*time.Second, Pause{}); sends != 1 {
-		t.Errorf("%d sends after the pause, want one", sends)
+		t.Errorf("%d sends after the pause, want 1", sends)
 	}
 }
--- a/choice/platform_test.go
+++ b/choice/platform_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A call that is lost on a connection which had rested for a moment says nothing of
-// paths that drop idle connections: slow hosts cost calls too.
+// TestShortRestsAreNoEvidence guards against distrusting idle connections because of calls lost on ones that had been
+// idle for a moment only: slow hosts lose calls too.
 func TestShortRestsAreNoEvidence(t *testing.T) {
 	s := settings()
 	s.ConnIdle = 5 * time.Second
@@ -18,24 +18,24 @@
 		r.step(arrival(id, 2))
 		r.now += time.Second
 		r.step(r.end(id, "a", Timeout, func(e *Result) { e.Took = time.Second }))
-		r.now += 10 * time.Second // its trials are due
+		r.now += 10 * time.Second // until the next probe is due
 		r.deliver(arrival("ok"+id, 0))
 		if i == 0 {
 			continue
 		}
 		r.now += 100 * ms
 		if n := closes(r.step(arrival("next"+id, 0))); len(n) != 0 {
-			t.Fatalf("closed %v: a connection that rested for 100 ms", n)
+			t.Fatalf("closed %v after an idle time of 100 ms, want none", n)
 		}
 		r.step(r.end("next"+id, "a", Served))
 	}
 }
 
-// Messages of one call share its end, so they have one time-out: the longest among
-// them, within the time of each.
+// TestOneTimeOutForACall checks that the messages of a call have one timeout, since they end together: the longest
+// among them, up to the earliest deadline.
 func TestOneTimeOutForACall(t *testing.T) {
 	r := newRig(t, settings(), ready("a", 1, 1, 0))
-	for i := range 40 { // a table with a short edge
+	for i := range 40 { // fill the latency table with short latencies
 		r.deliver(arrival("warm"+string(rune('a'+i)), 0))
 		r.now += 200 * ms
 	}
@@ -47,13 +47,14 @@
 	}
 	for _, x := range s {
 		if x.Timeout != 4*time.Second {
-			t.Errorf("%s may take %v, want 4s: as long as the unsafe one would wait, and the short one has", x.ID, x.Timeout)
+			t.Errorf("%s has a timeout of %v, want 4s: that of the unsafe message, up to the deadline of the short one",
+				x.ID, x.Timeout)
 		}
 	}
 }
 
-// A message that ended by a notice keeps its place in the order of its key until the
-// notice is answered, across a restart too.
+// TestOrderWaitsForNotices guards against overtaking within a key: a message that ended with a notice blocks its key
+// until the notice is acknowledged, also across a restart.
 func TestOrderWaitsForNotices(t *testing.T) {
 	s := settings()
 	s.Acknowledged = true
@@ -65,27 +66,27 @@
 			r.step(Restored{Arrival: first, Answered: true})
 		} else {
 			r.step(first)
-			r.step(r.end("first", "a", Error)) // failed: it may have run
+			r.step(r.end("first", "a", Error)) // fails, since it may have run
 		}
 		acts := append(r.step(second, other), r.after(time.Second)...)
 		if slices.ContainsFunc(sends(acts), func(x Send) bool { return x.ID == "second" }) {
-			t.Errorf("restart %v: sent before the notice of the one before it was answered", restart)
+			t.Errorf("restart %v: second sent before the notice of first was acknowledged", restart)
 		}
 		if !slices.ContainsFunc(sends(acts), func(x Send) bool { return x.ID == "other" }) {
-			t.Errorf("restart %v: another key waits too", restart)
+			t.Errorf("restart %v: a message of another key was not sent", restart)
 		}
 		r.step(r.end("other", "a", Served))
 		acts = append(r.step(Settled{"first"}), r.after(time.Second)...)
 		if !slices.ContainsFunc(sends(acts), func(x Send) bool { return x.ID == "second" }) {
-			t.Errorf("restart %v: not sent after the notice was answered", restart)
+			t.Errorf("restart %v: second not sent after the notice was acknowledged", restart)
 		}
 		if len(r.c.owing) != 0 {
-			t.Errorf("restart %v: %d messages still owe a place", restart, len(r.c.owing))
+			t.Errorf("restart %v: %d messages still unacknowledged, want none", restart, len(r.c.owing))
 		}
 	}
 }
 
-// What is served too late for who waits is owed its end, and never goes again.
+// TestServedTooLate checks that a message served too late for its client fails once and is not sent again.
 func TestServedTooLate(t *testing.T) {
 	for class := range 3 {
 		r := newRig(t, settings(), ready("a", 1, 0, 0))
@@ -95,18 +96,18 @@
 		for _, a := range acts {
 			switch a.(type) {
 			case Send, Refuse:
-				t.Errorf("class %d: %#v", class, a)
+				t.Errorf("class %d: unexpected action %#v", class, a)
 			case Fail:
 				fails++
 			}
 		}
 		if fails != 1 {
-			t.Errorf("class %d: failed %d times", class, fails)
+			t.Errorf("class %d: failed %d times, want once", class, fails)
 		}
 	}
 }
 
-// A stop that keeps what is held sends and answers nothing; one without answers all.
+// TestStopThatKeeps checks that after a Stop with Keep nothing is sent or answered, since a later run resumes.
 func TestStopThatKeeps(t *testing.T) {
 	r := newRig(t, settings(), ready("a", 1, 0, 0))
 	r.step(Stop{Keep: true})
@@ -114,23 +115,23 @@
 	for _, a := range acts {
 		switch a.(type) {
 		case Send, Refuse, Fail:
-			t.Errorf("%#v while a later run is to go on", a)
+			t.Errorf("unexpected action %#v after a Stop with Keep", a)
 		}
 	}
 }
 
-// What the host counts as spent is given up, however many attempts are counted here.
+// TestSpentIsTheLastAttempt checks that a result with Spent ends a message, whatever the number of counted attempts.
 func TestSpentIsTheLastAttempt(t *testing.T) {
 	r := newRig(t, settings(), ready("a", 1, 0, 0))
 	r.step(arrival("m", 0))
 	acts := r.step(r.end("m", "a", NotSent, func(e *Result) { e.Spent = true }))
 	if len(sends(acts)) != 0 || !slices.ContainsFunc(acts, func(a Action) bool { _, ok := a.(Refuse); return ok }) {
-		t.Errorf("%v after the last attempt was spent, want a refusal", acts)
+		t.Errorf("actions %v after a result with Spent, want a refusal", acts)
 	}
 }
 
-// An error to a call that carries several messages is one failure of its host, as it is
-// to a call that carries one: a host that answered one call badly is not taken for down.
+// TestOneErrorForACall guards against suspecting a host after one failed call that carried several messages: their
+// errors count as one failure.
 func TestOneErrorForACall(t *testing.T) {
 	r := newRig(t, settings(), ready("a", 1, 1, 0))
 	for i := range 6 {
@@ -141,7 +142,7 @@
 		name := string(rune('0' + try))
 		s := sends(r.step(arrival("x"+name, 2), arrival("y"+name, 2), arrival("z"+name, 2)))
 		if len(s) != 3 {
-			t.Fatalf("%d sends, want a call of three", len(s))
+			t.Fatalf("%d sends, want a call with 3 messages", len(s))
 		}
 		var ends []Event
 		for _, x := range s {
@@ -149,42 +150,42 @@
 		}
 		r.step(ends...)
 		if got := r.c.dests[1].units[0].state; got != want {
-			t.Errorf("after %d calls that failed: state %d, want %d", try+1, got, want)
+			t.Errorf("after %d failed calls: health %d, want %d", try+1, got, want)
 		}
 		r.now += 3 * time.Second
 	}
 }
 
-// A repeat that is remembered for a while tells how long it may still leave: a connection
-// may come up after that. A first try has no such time, nor has what may always come again.
+// TestRepeatsSayUntilWhen guards against a keyed repeat that is written after its window because its connection took
+// long to open: its Send carries the rest of the window. First attempts and safe messages carry no such limit.
 func TestRepeatsSayUntilWhen(t *testing.T) {
 	r := newRig(t, settings(), ready("a", 1, 0, 0))
 	if s := sends(r.step(arrival("safe", 0), arrival("keyed", 1))); len(s) != 2 || s[0].Within != 0 || s[1].Within != 0 {
-		t.Fatalf("first tries %+v", s)
+		t.Fatalf("first sends %+v, want two without a limit", s)
 	}
 	r.now += time.Second
 	acts := append(r.step(r.end("safe", "a", Reset), r.end("keyed", "a", Reset)), r.after(1500*ms)...)
 	again := sends(acts)
 	i := slices.IndexFunc(again, func(s Send) bool { return s.ID == "keyed" })
 	if i < 0 || again[i].Within <= 0 || again[i].Within > 2*time.Second {
-		t.Fatalf("tries again %+v, want keyed within what is left of its 3 s", again)
+		t.Fatalf("repeats %+v, want keyed within the rest of its 3 s", again)
 	}
 	for _, s := range again {
 		if s.ID == "safe" && s.Within != 0 {
-			t.Errorf("safe within %v", s.Within)
+			t.Errorf("safe message sent with a limit of %v, want none", s.Within)
 		}
 	}
 }
 
-// Where giving up costs something a crowded relay refuses what has just come rather than
-// what it took before, unless that is worth so much less that it pays; late in its time a
-// message costs nothing more.
+// TestCrowdedRelayRefusesBeforeTaking checks that with a penalty for shedding accepted messages a crowded relay
+// refuses new ones instead, unless the worth differs by more than the penalty. Late in the time of a message there is
+// no penalty.
 func TestCrowdedRelayRefusesBeforeTaking(t *testing.T) {
 	for _, cost := range []float64{0, 0.3} {
 		s := settings()
 		s.MaxHeld = 10
 		s.TakenBack.Cost, s.TakenBack.Before = cost, 0.7
-		r := newRig(t, s) // no host: all wait
+		r := newRig(t, s) // without a host all messages wait
 		refused := func(acts []Action) (ids []string) {
 			for _, a := range acts {
 				if f, ok := a.(Refuse); ok {
@@ -198,31 +199,31 @@
 			old = append(old, arrival("old"+string(rune('0'+i)), 0))
 		}
 		if got := refused(r.step(old...)); len(got) != 0 {
-			t.Fatalf("refused %v with room left", got)
+			t.Fatalf("refused %v below the limit, want none", got)
 		}
-		r.now += 3 * time.Second // they are worth less by now than what is new
+		r.now += 3 * time.Second // by now they are worth less than a new message
 		got := refused(r.step(arrival("new", 0)))
 		if want := map[bool]string{true: "old", false: "new"}[cost == 0]; len(got) != 1 || got[0][:3] != want {
-			t.Errorf("cost %v: refused %v, want an %s one", cost, got, want)
+			t.Errorf("penalty %v: refused %v, want one message named %s", cost, got, want)
 		}
 		other := arrival("other", 0)
-		other.Dest = 2 // nothing waits there
+		other.Dest = 2 // no message waits there
 		if got := refused(r.step(other)); len(got) != 1 || got[0] == "other" {
-			t.Errorf("cost %v: refused %v, want one of those that wait in line", cost, got)
+			t.Errorf("penalty %v: refused %v, want one of the destination with the longer queue", cost, got)
 		}
 		r.now += 5 * time.Second
 		if got := refused(r.step(arrival("last", 0))); len(got) != 1 || got[0] == "last" {
-			t.Errorf("cost %v: refused %v late in the time of the others", cost, got)
+			t.Errorf("penalty %v: refused %v late in the time of the old messages, want one of those", cost, got)
 		}
 	}
 }
 
-// Guards against a notice that promises no effect of a message which its host had answered
-// 200: after a restart nothing tells whether a call that may have run was answered.
+// TestRestoredThatMayHaveRunIsNotRefused guards against a notice that promises no effect for a message which its host
+// had answered with 200: after a restart it is unknown whether a call that may have run was answered.
 func TestRestoredThatMayHaveRunIsNotRefused(t *testing.T) {
 	for class := range 2 { // safe, keyed
 		for _, ran := range []bool{false, true} {
-			s := settings() // not Certain
+			s := settings() // Certain is off
 			r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Draining})
 			m := arrival("m", class)
 			r.step(Restored{Arrival: m, Attempts: 1, Ran: ran, Since: 100 * ms})
--- a/choice/retracted_test.go
+++ b/choice/retracted_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Guards against a message that is sent again, or told as refused, although its refusal was another call's and it may
-// have run: one that may be repeated goes on, in its window; any other fails in that step.
+// TestRetractedRefusal guards against sending a message again, or refusing it, although its refusal belonged to
+// another call and it may have run: a message that may be repeated waits for its next attempt, within its window; any
+// other fails in the same step.
 func TestRetractedRefusal(t *testing.T) {
 	for _, x := range []struct {
 		class Class
@@ -38,7 +39,7 @@
 			}
 		}
 		if failed != x.fails || refused {
-			t.Errorf("%+v: failed %v, refused %v", x.class, failed, refused)
+			t.Errorf("%+v: failed %v, refused %v, want a failure if not repeatable", x.class, failed, refused)
 		}
 	}
 }
