--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts choosers behind the simulator's wire on standard
-// input and output.
+// Command adapter runs the decision module for the simulator: it speaks the
+// simulator's line protocol on standard input and output.
 package main
 
 import (
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -14,7 +14,7 @@
 	"basaltcross.example/basaltcross/internal/platform"
 )
 
-// object has a value of its own in each setting that is read.
+// object is a settings object with a distinct value in each setting that is read.
 const object = `{"bounds":{"cancel":true,"conn-idle":7.5,"dial-timeout":1.25,"max-attempts":3,"max-retry-after":2.5,"most-held":9,"retry-after":true},
 "classes":[{"aim":1,"effect":"at_most_once","give-up":5,"group":"all","keep-order":true,"late-share":0.25,"name":"charge","window":2,"worth":3},
 {"aim":0.5,"effect":"deduplicated","give-up":4,"group":"zone","late-share":0.75,"name":"order","window":1,"worth":2},
@@ -23,8 +23,8 @@
 "load-report":{"columns":["x0","x1"],"how":"inline"},"registry-mode":"automatic","rules":{"cold":6,"cold-from":0.2,"drain-grace":0.5,
 "fall":2,"grace-to-answer":0.01,"order-settle":0.1,"overload-factor":3},"skus":["big","small"],"tick":0.01,"weights":"nominal","zones":["a","b"]}`
 
-// One object through both ways, the simulator's first message and a node's file, makes
-// modules that act alike.
+// TestOneTranslation guards against differences between the two readers of the settings object: a Chooser configured
+// by the simulator's CONFIGURE message and one configured by a node's file give the same actions.
 func TestOneTranslation(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "config.json")
@@ -59,7 +59,7 @@
 		at := time.Duration(step) * 50 * time.Millisecond
 		x, y := sim.Step(at, events), node.Step(at, events)
 		if fmt.Sprintf("%#v", x) != fmt.Sprintf("%#v", y) {
-			t.Fatalf("step %d: the simulator's does\n%#v\nthe node's\n%#v", step, x, y)
+			t.Fatalf("step %d: actions of the simulator's chooser\n%#v\nand of the node's\n%#v", step, x, y)
 		}
 		seen += len(x)
 		return x
@@ -83,6 +83,6 @@
 		}
 	}
 	if seen < 100 {
-		t.Errorf("%d actions: nothing was compared", seen)
+		t.Errorf("only %d actions were compared, want at least 100", seen)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,10 @@
-// Package wire speaks the simulator's line protocol and maps it to package
-// choice. It decides nothing.
+// Package wire implements the simulator's line protocol. It translates the
+// simulator's messages to events of package choice, and the resulting actions
+// back to messages; all decisions are made by package choice.
+//
+// A line holds the name of a message and fields of the form name=value,
+// separated by tabs. The simulator sends batches, each from BATCH to YOUR_TURN;
+// after each batch it reads messages until DONE.
 package wire
 
 import (
@@ -17,21 +22,22 @@
 	"basaltcross.example/basaltcross/internal/platform/settings"
 )
 
+// outcomes maps the values of the field "how" to outcomes.
 var outcomes = map[string]choice.Outcome{
 	"served": choice.Served, "server_error": choice.Error, "turned_away": choice.Refused,
 	"no_answer": choice.Timeout, "no_connection": choice.NoConnection, "connection_lost": choice.Reset,
 	"called_off": choice.Cancelled, "not_sent": choice.NotSent,
 }
 
-// line is one parsed line; the first fault met while reading fields stays.
+// line is a parsed line. Its methods convert fields; the first conversion error is kept in err.
 type line struct {
-	number int
-	name   string
+	number int    // line number in the input, from 1
+	name   string // name of the message
 	fields map[string]string
 	err    error
 }
 
-// parse fills the given map, which is emptied first.
+// parse parses a line. It clears the given map and uses it for the fields.
 func parse(number int, text string, fields map[string]string) (*line, error) {
 	clear(fields)
 	l := &line{number: number, fields: fields}
@@ -43,23 +49,25 @@
 			return nil, fmt.Errorf("line %d: %s: part %q is not name=value", number, l.name, rest)
 		}
 		rest = ""
-		if name != "config" && name != "note-text" { // text runs to the end of the line
+		if name != "config" && name != "note-text" { // these fields extend to the end of the line
 			value, rest, _ = strings.Cut(value, "\t")
 		}
 		if _, twice := l.fields[name]; twice {
-			return nil, fmt.Errorf("line %d: %s: field %s stands twice", number, l.name, name)
+			return nil, fmt.Errorf("line %d: %s: duplicate field %s", number, l.name, name)
 		}
 		l.fields[name] = value
 	}
 	return l, nil
 }
 
+// fail records an error of a field, unless the line has one already.
 func (l *line) fail(field, what string) {
 	if l.err == nil {
 		l.err = fmt.Errorf("line %d: %s: field %s: %s", l.number, l.name, field, what)
 	}
 }
 
+// text returns a field that must not be empty.
 func (l *line) text(field string) string {
 	v := l.fields[field]
 	if v == "" {
@@ -68,6 +76,7 @@
 	return v
 }
 
+// number64 returns a finite number. A field that is absent and not required is 0.
 func (l *line) number64(field string, required bool) float64 {
 	v, ok := l.fields[field]
 	if !ok || v == "" {
@@ -78,12 +87,13 @@
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		l.fail(field, fmt.Sprintf("%q is no number", v))
+		l.fail(field, fmt.Sprintf("%q is not a number", v))
 		return 0
 	}
 	return f
 }
 
+// seconds returns a time span given in seconds.
 func (l *line) seconds(field string, required bool) time.Duration {
 	f := l.number64(field, required)
 	if math.Abs(f) > 1e9 {
@@ -93,6 +103,7 @@
 	return seconds(f)
 }
 
+// whole returns an integer. A field that is absent and not required is 0.
 func (l *line) whole(field string, required bool) int {
 	v, ok := l.fields[field]
 	if !ok && !required {
@@ -103,20 +114,22 @@
 		if v == "" {
 			l.fail(field, "missing")
 		} else {
-			l.fail(field, fmt.Sprintf("%q is no whole number", v))
+			l.fail(field, fmt.Sprintf("%q is not an integer", v))
 		}
 	}
 	return int(n)
 }
 
+// outcome returns the outcome of an attempt.
 func (l *line) outcome(field string) choice.Outcome {
 	o, ok := outcomes[l.text(field)]
 	if !ok {
-		l.fail(field, fmt.Sprintf("%q is no outcome", l.fields[field]))
+		l.fail(field, fmt.Sprintf("%q is not an outcome", l.fields[field]))
 	}
 	return o
 }
 
+// row returns a list of numbers separated by commas. An absent or empty field and "-" are an empty list.
 func (l *line) row(field string) []float64 {
 	v := l.fields[field]
 	if v == "" || v == "-" {
@@ -126,7 +139,7 @@
 	for part := range strings.SplitSeq(v, ",") {
 		f, err := strconv.ParseFloat(part, 64)
 		if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-			l.fail(field, fmt.Sprintf("%q is no row of numbers", v))
+			l.fail(field, fmt.Sprintf("%q is not a list of numbers separated by commas", v))
 			return nil
 		}
 		row = append(row, f)
@@ -134,27 +147,29 @@
 	return row
 }
 
+// seconds converts seconds to a duration, rounded to microseconds.
 func seconds(f float64) time.Duration { return time.Duration(math.Round(f*1e6)) * time.Microsecond }
 
-// instance is one chooser with the events that a batch holds for it.
+// instance is the Chooser of one simulated relay, with its events of the current batch.
 type instance struct {
 	name    string
 	chooser *choice.Chooser
 	events  []choice.Event
-	due     bool // among those with an event in this batch
+	due     bool // in server.turn: the batch has an event for it
 }
 
+// server is the state of one session of the protocol.
 type server struct {
 	in     *bufio.Reader
 	out    *bufio.Writer
-	number int
-	fields map[string]string // of the line read last
-	sheets map[int][]choice.Host
-	insts  map[string]*instance
-	turn   []*instance // instances with an event in this batch, by first event
+	number int                   // number of the last line read
+	fields map[string]string     // fields of the last line read
+	sheets map[int][]choice.Host // host lists by sheet number
+	insts  map[string]*instance  // instances by relay name
+	turn   []*instance           // instances with events in the current batch, in order of their first event
 }
 
-// Serve answers batches until the input ends.
+// Serve reads batches from r and writes the resulting actions to w until the input ends.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16),
 		fields: map[string]string{}, sheets: map[int][]choice.Host{}, insts: map[string]*instance{}}
@@ -167,7 +182,7 @@
 			err = s.batch(l)
 		}
 		if errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: batch ends without YOUR_TURN", s.number)
+			return fmt.Errorf("line %d: input ends within a batch, before YOUR_TURN", s.number)
 		}
 		if err != nil {
 			return err
@@ -175,7 +190,7 @@
 	}
 }
 
-// read returns the next line that is not empty.
+// read returns the next non-empty line.
 func (s *server) read() (*line, error) {
 	for {
 		text, err := s.in.ReadString('\n')
@@ -189,9 +204,10 @@
 	}
 }
 
+// batch reads the rest of a batch and steps each instance that has events in it.
 func (s *server) batch(l *line) error {
 	if l.name != "BATCH" {
-		return fmt.Errorf("line %d: %s where BATCH was due", l.number, l.name)
+		return fmt.Errorf("line %d: got %s, want BATCH", l.number, l.name)
 	}
 	clock := l.seconds("clock", true)
 	if l.err != nil {
@@ -224,7 +240,7 @@
 	return s.out.Flush()
 }
 
-// step runs one chooser and prints what it answers; a panic becomes the fault line.
+// step steps one Chooser and writes its actions. A panic is reported to the simulator as a BUG message.
 func (s *server) step(clock time.Duration, in *instance) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -239,6 +255,7 @@
 	}
 }
 
+// catalog reads the HOST lines of a CATALOG message and stores them under its sheet number.
 func (s *server) catalog(l *line) error {
 	sheet, n := l.whole("sheet", true), l.whole("records", true)
 	if l.err != nil {
@@ -251,7 +268,7 @@
 			return err
 		}
 		if e.name != "HOST" {
-			return fmt.Errorf("line %d: %s where HOST was due", e.number, e.name)
+			return fmt.Errorf("line %d: got %s, want HOST", e.number, e.name)
 		}
 		h := choice.Host{Addr: e.text("host"), Dest: e.whole("cell", true), Kind: e.whole("kind", false),
 			Zone: e.whole("rack-zone", false), Rate: e.number64("size", false)}
@@ -263,7 +280,7 @@
 		case 2:
 			h.State = choice.Draining
 		default:
-			e.fail("condition", fmt.Sprintf("%d is no state", state))
+			e.fail("condition", fmt.Sprintf("%d is not a host state", state))
 		}
 		if e.err != nil {
 			return e.err
@@ -274,6 +291,7 @@
 	return nil
 }
 
+// event handles a message for one instance. Events are collected until the end of the batch.
 func (s *server) event(l *line) error {
 	name := l.text("relay-id")
 	if l.err != nil {
@@ -292,7 +310,7 @@
 		err = l.err
 	}
 	if err == nil && in == nil {
-		err = fmt.Errorf("line %d: %s: field relay-id: %s was never configured", l.number, l.name, name)
+		err = fmt.Errorf("line %d: %s: field relay-id: relay %s is not configured", l.number, l.name, name)
 	}
 	if err != nil {
 		return err
@@ -307,10 +325,11 @@
 	return nil
 }
 
+// configure creates the instance of a CONFIGURE message, in place of an earlier one of the same name.
 func (s *server) configure(l *line, name string) error {
 	seed, err := strconv.ParseUint(l.text("entropy"), 10, 64)
 	if err != nil {
-		l.fail("entropy", "no whole number")
+		l.fail("entropy", "not an unsigned integer")
 	}
 	text := l.text("config")
 	if l.err != nil {
@@ -330,7 +349,8 @@
 	return nil
 }
 
-// translate maps one event line; the event is nil where choice has no use for it.
+// translate translates a message to an event. It returns nil for messages that package choice does not use, whose
+// fields are only checked.
 func (s *server) translate(l *line) (choice.Event, error) {
 	switch l.name {
 	case "ACCEPT":
@@ -343,7 +363,7 @@
 	case "UPDATE":
 		scope := l.whole("scope", false)
 		if scope < 0 || scope > 3 {
-			l.fail("scope", fmt.Sprintf("%d is no scope", scope))
+			l.fail("scope", fmt.Sprintf("%d is not a scope from 0 to 3", scope))
 		}
 		if scope == 3 {
 			return choice.Listing{Failed: true}, nil
@@ -351,7 +371,7 @@
 		sheet := l.whole("sheet", false)
 		hosts, ok := s.sheets[sheet]
 		if !ok {
-			l.fail("sheet", fmt.Sprintf("no CATALOG %d was given", sheet))
+			l.fail("sheet", fmt.Sprintf("no CATALOG with sheet %d", sheet))
 		}
 		return choice.Listing{Whole: scope != 0, Hosts: hosts}, nil
 	case "CLIENT_GONE":
@@ -362,7 +382,7 @@
 	case "PROBE_DONE":
 		l.text("host")
 		l.outcome("how")
-		return nil, nil // no probe is ever sent
+		return nil, nil // package choice sends no probes of its own
 	case "FROM_PEER":
 		if b := l.fields["bytes"]; b != "" && b != "-" {
 			if _, err := base64.StdEncoding.DecodeString(b); err != nil {
@@ -377,6 +397,7 @@
 	return nil, fmt.Errorf("line %d: unknown message %q", l.number, l.name)
 }
 
+// print writes an action as a message.
 func (s *server) print(inst string, a choice.Action) {
 	sec := func(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', -1, 64) }
 	switch a := a.(type) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// sample is a settings object with keys that the adapter does not know; %s is the registry mode.
 const sample = `{"bounds":{"cancel":true,"max-attempts":4,"most-held":50,"probes":false,"unheard-of":1},` +
 	`"classes":[{"aim":2.0,"effect":"idempotent","give-up":10.0,"group":"all","late-share":0.5,"name":"s","window":5,"worth":1},` +
 	`{"aim":2.0,"effect":"at_most_once","give-up":10.0,"group":"all","late-share":0.5,"name":"u","window":5,"worth":1}],` +
@@ -13,12 +14,14 @@
 	`"load-report":{"columns":[],"how":"off"},"registry-mode":"%s","rules":{"cold":10,"cold-from":0.2,"drain-grace":1,` +
 	`"fall":2,"grace-to-answer":0.02,"overload-factor":2},"skus":["k"],"tick":0.005,"weights":"nominal","new-key":{"a":[1]}}`
 
+// start returns the lines that configure a relay with one host.
 func start(id, mode string) string {
 	return "CONFIGURE\trelay-id=" + id + "\tentropy=5\tconfig=" + fmt.Sprintf(sample, mode) + "\n" +
 		"CATALOG\tsheet=0\trecords=1\nHOST\tsize=100\tkind=0\thost=10.0.0.1:80\track-zone=0\tcondition=1\tcell=7\n" +
 		"UPDATE\trelay-id=" + id + "\trev=1\tsheet=0\tscope=2\n"
 }
 
+// batch returns a batch with the given lines.
 func batch(clock string, lines ...string) string {
 	return "BATCH\tclock=" + clock + "\n" + strings.Join(lines, "") + "YOUR_TURN\n"
 }
@@ -42,7 +45,7 @@
 			place + arm + "DONE\nSURRENDER\trelay-id=relay_0\top-id=m\nDONE\n"},
 		"events of ended messages": {batch("1", start("relay_0", "automatic")) + batch("2",
 			"CLIENT_GONE\trelay-id=relay_0\top-id=old\n", "FIRED\trelay-id=relay_0\ttag=9\n"), "DONE\nDONE\n"},
-		"silent without an event": {batch("1", start("relay_0", "automatic"), start("relay_1", "automatic")) +
+		"no step without an event": {batch("1", start("relay_0", "automatic"), start("relay_1", "automatic")) +
 			batch("2", accept), "DONE\n" + place + arm + "DONE\n"},
 		"restart under one name": {batch("1", start("relay_0", "automatic"), accept, "DETACH\trelay-id=relay_0\n",
 			start("relay_0", "automatic")), "DONE\n"},
@@ -66,16 +69,16 @@
 
 func TestMalformedInput(t *testing.T) {
 	for name, tc := range map[string]struct{ in, want string }{
-		"no batch":        {"HELLO\n", "line 1: HELLO where BATCH was due"},
-		"bad clock":       {"BATCH\tclock=x\n", `line 1: BATCH: field clock: "x" is no number`},
+		"no batch":        {"HELLO\n", "line 1: got HELLO, want BATCH"},
+		"bad clock":       {"BATCH\tclock=x\n", `line 1: BATCH: field clock: "x" is not a number`},
 		"unknown message": {batch("1", start("relay_0", "automatic"), "DANCE\trelay-id=relay_0\n"), `line 6: unknown message "DANCE"`},
 		"missing field":   {batch("1", start("relay_0", "automatic"), "ACCEPT\trelay-id=relay_0\top-id=m\tleft=1\n"), "line 6: ACCEPT: field far-end: missing"},
 		"bad number":      {batch("1", start("relay_0", "automatic"), "ACCEPT\trelay-id=relay_0\top-id=m\tleft=1\tfar-end=7.5.1\n"), "field far-end"},
-		"unknown outcome": {batch("1", start("relay_0", "automatic"), "ATTEMPT_END\trelay-id=relay_0\top-id=m\thow=fine\thost=a\n"), `"fine" is no outcome`},
+		"unknown outcome": {batch("1", start("relay_0", "automatic"), "ATTEMPT_END\trelay-id=relay_0\top-id=m\thow=fine\thost=a\n"), `"fine" is not an outcome`},
 		"no name=value":   {"BATCH\tclock\n", "is not name=value"},
-		"truncated":       {"BATCH\tclock=1\n", "batch ends without YOUR_TURN"},
-		"no instance":     {batch("1", accept), "relay_0 was never configured"},
-		"no sheet":        {batch("1", start("relay_0", "automatic"), "UPDATE\trelay-id=relay_0\trev=2\tsheet=3\tscope=1\n"), "no CATALOG 3"},
+		"truncated":       {"BATCH\tclock=1\n", "line 1: input ends within a batch, before YOUR_TURN"},
+		"no instance":     {batch("1", accept), "relay relay_0 is not configured"},
+		"no sheet":        {batch("1", start("relay_0", "automatic"), "UPDATE\trelay-id=relay_0\trev=2\tsheet=3\tscope=1\n"), "no CATALOG with sheet 3"},
 		"bad settings":    {batch("1", "CONFIGURE\trelay-id=relay_0\tentropy=1\tconfig={}\n"), "field config"},
 	} {
 		t.Run(name, func(t *testing.T) {
