--- a/choice/admission.go
+++ b/choice/admission.go
@@ -16,8 +16,8 @@
 	waitShare = 0.9
 	// confidence is the number of standard deviations by which a queue is assumed to be served faster than measured.
 	confidence = 2.0
-	// leastBusy is how long messages must have waited before a service rate is used, in shortest Aims.
-	leastBusy = 1.0 / 32
+	// minBusyAims is how long messages must have waited before a service rate is used, in shortest Aims.
+	minBusyAims = 1.0 / 32
 	// followerShare is the share of the loss of the messages queued behind it that counts for the first one of a key.
 	followerShare = 0.5
 )
@@ -48,49 +48,49 @@
 	q.busy *= keep
 }
 
-// leastWait returns a lower bound of the wait of a message with the given number of messages ahead of it.
-func (q *queueRate) leastWait(ahead int) time.Duration {
+// minWait returns a lower bound of the wait of a message with the given number of messages ahead of it.
+func (q *queueRate) minWait(ahead int) time.Duration {
 	most := q.served + 1 + confidence*math.Sqrt(q.served+1)
 	return time.Duration(float64(ahead+1) * q.busy / most * float64(time.Second))
 }
 
-// measure updates the service rates of the active destinations, before the decisions of a step.
-func (c *Chooser) measure() {
-	for _, d := range c.live {
-		for i := range d.rates {
-			d.rates[i].update(c.now, c.longest)
+// updateQueueRates updates the service rates of the active destinations, before the decisions of a step.
+func (c *Chooser) updateQueueRates() {
+	for _, d := range c.active {
+		for i := range d.queueRates {
+			d.queueRates[i].update(c.now, c.maxDeadline)
 		}
 		if d.hasReady() {
-			d.readyAt = c.now
+			d.lastReadyAt = c.now
 		}
 	}
 }
 
 // noteWaiting records which queues hold waiting messages, after the decisions of a step.
 func (c *Chooser) noteWaiting() {
-	for _, d := range c.live {
-		for i := range d.rates {
-			d.rates[i].waiting = false
+	for _, d := range c.active {
+		for i := range d.queueRates {
+			d.queueRates[i].waiting = false
 		}
 		for _, m := range d.waiting {
-			d.rates[m.Class].waiting = true
+			d.queueRates[m.Class].waiting = true
 		}
 	}
 }
 
 // admit refuses the messages of this step's arrivals that can't be attempted before their deadline.
 func (c *Chooser) admit() {
-	for _, m := range c.arrived {
-		if m.over || m.call != nil {
+	for _, m := range c.arrivals {
+		if m.finished || m.call != nil {
 			continue
 		}
-		allowed := time.Duration(waitShare * float64(m.due-c.now))
+		allowed := time.Duration(waitShare * float64(m.deadline-c.now))
 		if wait := c.expectedWait(m); wait > allowed {
-			m.excess = wait - allowed
-			c.final(m)
+			m.excessWait = wait - allowed
+			c.giveFinalAnswer(m)
 		}
 	}
-	c.arrived = c.arrived[:0]
+	c.arrivals = c.arrivals[:0]
 }
 
 // expectedWait returns a lower bound of the time until the first attempt of a message that has just arrived.
@@ -99,7 +99,7 @@
 	if len(d.hosts) == 0 {
 		return 0 // unknown, since the destination has no host yet
 	}
-	wait := max(c.shutFor(d), c.behindInLine(m))
+	wait := max(c.closedFor(d), c.keyWait(m))
 	ahead := -1 // itself
 	for _, o := range d.waiting {
 		if o.Class == m.Class {
@@ -109,55 +109,55 @@
 	if ahead <= 0 && d.hasReady() {
 		return wait // without messages ahead this one is the next attempt, whatever the measured rate
 	}
-	if q := &d.rates[m.Class]; c.means(q) {
-		wait = max(wait, q.leastWait(ahead))
+	if q := &d.queueRates[m.Class]; c.hasEvidence(q) {
+		wait = max(wait, q.minWait(ahead))
 	}
 	return wait
 }
 
-// behindInLine returns a lower bound of the time for which a message waits for earlier messages of its key.
-func (c *Chooser) behindInLine(m *message) time.Duration {
-	l := c.lines[m.Key]
-	if l == nil || !m.class.Ordered || !c.means(&l.rate) {
+// keyWait returns a lower bound of the time for which a message waits for earlier messages of its key.
+func (c *Chooser) keyWait(m *message) time.Duration {
+	l := c.keyQueues[m.Key]
+	if l == nil || !m.class.Ordered || !c.hasEvidence(&l.rate) {
 		return 0
 	}
-	return l.rate.leastWait(len(l.queue) - 1)
+	return l.rate.minWait(len(l.messages) - 1)
 }
 
-// means reports whether messages have waited long enough for a service rate to be used.
-func (c *Chooser) means(q *queueRate) bool { return q.busy >= leastBusy*c.minAim.Seconds() }
+// hasEvidence reports whether messages have waited long enough for a service rate to be used.
+func (c *Chooser) hasEvidence(q *queueRate) bool { return q.busy >= minBusyAims*c.minAim.Seconds() }
 
 // hasReady reports whether one of the destination's hosts is Ready.
-func (d *dest) hasReady() bool {
+func (d *destination) hasReady() bool {
 	return slices.ContainsFunc(d.hosts, func(h *host) bool { return h.State == Ready })
 }
 
-// shutFor returns the time for which no unit of a destination may be sent to. A period without Ready hosts is
+// closedFor returns the time for which no unit of a destination may be sent to. A period without Ready hosts is
 // expected to last as long again as it has lasted so far.
-func (c *Chooser) shutFor(d *dest) time.Duration {
+func (c *Chooser) closedFor(d *destination) time.Duration {
 	if !d.hasReady() {
-		return c.now - d.readyAt
+		return c.now - d.lastReadyAt
 	}
 	opens := time.Duration(math.MaxInt64)
 	for _, u := range d.units {
-		at := max(u.waitUntil, u.pauseUntil, d.pauseUntil)
+		at := max(u.waitUntil, u.backoffUntil, d.backoffUntil)
 		if u.state == suspect {
-			at = max(at, u.trialAt)
+			at = max(at, u.probeAt)
 		}
 		opens = min(opens, at)
 	}
 	return max(0, opens-c.now)
 }
 
-// loss returns the worth that a message loses by the given wait, plus a share of what the messages queued behind
+// waitLoss returns the worth that a message loses by the given wait, plus a share of what the messages queued behind
 // it under the same key lose.
-func (c *Chooser) loss(m *message, wait time.Duration) float64 {
-	lost := c.worth(m, c.now) - c.worth(m, c.now+wait)
+func (c *Chooser) waitLoss(m *message, wait time.Duration) float64 {
+	lost := c.worthAt(m, c.now) - c.worthAt(m, c.now+wait)
 	if !m.class.Ordered || m.Key == "" {
 		return lost
 	}
-	for _, f := range c.lines[m.Key].queue[1:] {
-		lost += followerShare * (c.worth(f, c.now) - c.worth(f, c.now+wait))
+	for _, f := range c.keyQueues[m.Key].messages[1:] {
+		lost += followerShare * (c.worthAt(f, c.now) - c.worthAt(f, c.now+wait))
 	}
 	return lost
 }
--- a/choice/admission_test.go
+++ b/choice/admission_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// overload hands in a message every interval for the given span, to a destination that serves one at a time, and
+// runOverload hands in a message every interval for the given span, to a destination that serves one at a time, and
 // returns how many were accepted, attempted, and refused without an attempt after they had been accepted.
-func overload(t *testing.T, s Settings, span, every, service time.Duration) (taken, tried, untried int) {
+func runOverload(t *testing.T, s Settings, span, every, service time.Duration) (taken, tried, untried int) {
 	t.Helper()
 	s.Workers, s.MaxHeld, s.TakenBack.Cost, s.TakenBack.Before = 1, 0, 0.3, 0.7
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	held, out := map[string]bool{}, ""
 	begun, next := time.Duration(0), 0
 	take := func(acts []Action, fresh string) {
@@ -54,9 +54,9 @@
 // TestOverloadIsRefusedBeforeTaking guards against accepting messages that have no chance: at twice the rate that a
 // destination serves, messages that can't be attempted before their deadline are refused on arrival.
 func TestOverloadIsRefusedBeforeTaking(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	span := 6 * s.Classes[0].Deadline
-	taken, tried, untried := overload(t, s, span, 50*ms, 100*ms)
+	taken, tried, untried := runOverload(t, s, span, 50*ms, 100*ms)
 	offered := int(span / (50 * ms))
 	t.Logf("of %d offered %d accepted, %d attempted, %d refused later unattempted", offered, taken, tried, untried)
 	if 2*tried < 9*offered/10 {
@@ -69,9 +69,9 @@
 
 // TestWhatCanBeServedIsTaken guards against refusals below the rate that a destination serves.
 func TestWhatCanBeServedIsTaken(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	span := 3 * s.Classes[0].Deadline
-	taken, _, untried := overload(t, s, span, 120*ms, 100*ms)
+	taken, _, untried := runOverload(t, s, span, 120*ms, 100*ms)
 	if offered := int(span/(120*ms)) - 1; taken < offered || untried > 0 {
 		t.Errorf("%d of %d accepted, %d refused later without an attempt, want all and none", taken, offered, untried)
 	}
@@ -80,9 +80,9 @@
 // TestRestoredGoesFirst guards against restored messages that wait until they are refused: one that was never
 // attempted is sent before new ones that lose more by waiting.
 func TestRestoredGoesFirst(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Workers, s.Halving = 1, true
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	old, fresh := arrival("old", 0), arrival("new", 0)
 	old.Left = s.Classes[0].Deadline / 2    // its worth does not fall any further
 	fresh.Left -= s.Classes[0].Aim - 500*ms // its worth is about to fall
@@ -100,8 +100,8 @@
 // TestNothingIsTakenWhileAllHostsDrain guards against accepting messages without end for a destination whose hosts all
 // drain: the longer that lasts, the longer the time that a message must have left.
 func TestNothingIsTakenWhileAllHostsDrain(t *testing.T) {
-	s := settings()
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Draining})
+	s := testSettings()
+	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Draining})
 	r.step(arrival("first", 0))
 	r.now += s.Classes[0].Deadline * 19 / 20
 	for _, a := range r.step(arrival("late", 0)) {
@@ -114,14 +114,14 @@
 
 // TestLeastWaitGrowsWithTheQueue checks that the expected wait grows with the number of messages ahead.
 func TestLeastWaitGrowsWithTheQueue(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	var q queueRate
 	for now := time.Duration(0); now < 4*time.Second; now += 500 * ms {
 		q.update(now, s.Classes[0].Deadline)
 		q.waiting = true
 		q.served++
 	}
-	short, long := q.leastWait(0), q.leastWait(39)
+	short, long := q.minWait(0), q.minWait(39)
 	if short <= 0 || long < 30*short {
 		t.Errorf("wait %v behind no message, %v behind 39, want at least 30 times as long", short, long)
 	}
--- a/choice/chance_test.go
+++ b/choice/chance_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// chancePlay is a simulation of a fleet of relays that send messages to one destination, which serves every call
-// except for a random share that it refuses.
-type chancePlay struct {
+// refusalSimulation is a simulation of a fleet of relays that send messages to one destination, which serves every
+// call except for a random share that it refuses.
+type refusalSimulation struct {
 	relays  int
 	rate    float64 // messages a second, over all relays
 	refused float64 // share of the calls that is refused
@@ -28,8 +28,8 @@
 	result Result
 }
 
-// chanceRelay is one relay of the simulation.
-type chanceRelay struct {
+// simulatedRelay is one relay of the simulation.
+type simulatedRelay struct {
 	chooser  *Chooser
 	random   *rand.Rand
 	wake     time.Duration
@@ -47,14 +47,14 @@
 }
 
 const (
-	// chanceTick is the time step of the simulation.
-	chanceTick = 5 * ms
-	// chanceKeys is the number of ordering keys for each message per second.
-	chanceKeys = 2
+	// simulationTick is the time step of the simulation.
+	simulationTick = 5 * ms
+	// keysPerRate is the number of ordering keys for each message per second.
+	keysPerRate = 2
 )
 
-func (p chancePlay) settings(index int) Settings {
-	s := settings()
+func (p refusalSimulation) settings(index int) Settings {
+	s := testSettings()
 	s.Index, s.Fleet = index, p.relays
 	s.Listed, s.MaxAttempts, s.ReportLimit = p.listed, 6, -1
 	each := p.rate / float64(p.relays)
@@ -65,7 +65,7 @@
 	return s
 }
 
-func (p chancePlay) start(t *testing.T, r *chanceRelay, index int, now time.Duration) {
+func (p refusalSimulation) start(t *testing.T, r *simulatedRelay, index int, now time.Duration) {
 	t.Helper()
 	chooser, err := New(p.settings(index), p.seed+uint64(index))
 	if err != nil {
@@ -84,7 +84,7 @@
 }
 
 // carryOut carries out the actions of a relay.
-func (r *chanceRelay) carryOut(actions []Action, now time.Duration, p chancePlay) {
+func (r *simulatedRelay) carryOut(actions []Action, now time.Duration, p refusalSimulation) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Wake:
@@ -99,9 +99,9 @@
 	}
 }
 
-func (r *chanceRelay) call(a Send, now time.Duration, p chancePlay) {
+func (r *simulatedRelay) call(a Send, now time.Duration, p refusalSimulation) {
 	m := r.held[a.ID]
-	outcome, took := Served, chanceTick+time.Duration(r.random.Int64N(int64(15*ms)))
+	outcome, took := Served, simulationTick+time.Duration(r.random.Int64N(int64(15*ms)))
 	if r.random.Float64() < p.refused {
 		outcome = Refused
 	}
@@ -115,7 +115,7 @@
 }
 
 // outcomes returns the results that are due, and the number of messages delivered before their deadline.
-func (r *chanceRelay) outcomes(now time.Duration) (events []Event, delivered int) {
+func (r *simulatedRelay) outcomes(now time.Duration) (events []Event, delivered int) {
 	var open []callInFlight
 	for _, call := range r.calls {
 		if call.at > now {
@@ -135,12 +135,12 @@
 }
 
 // run runs the simulation and returns how many messages were handed in and how many delivered before their deadline.
-func (p chancePlay) run(t *testing.T) (offered, delivered int) {
+func (p refusalSimulation) run(t *testing.T) (offered, delivered int) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(p.seed, 7))
-	relays := make([]*chanceRelay, p.relays)
+	relays := make([]*simulatedRelay, p.relays)
 	for i := range relays {
-		relays[i] = &chanceRelay{random: rand.New(rand.NewPCG(p.seed, uint64(100+i))), attempts: map[string]int{}, held: map[string]heldMessage{}}
+		relays[i] = &simulatedRelay{random: rand.New(rand.NewPCG(p.seed, uint64(100+i))), attempts: map[string]int{}, held: map[string]heldMessage{}}
 		if p.restart {
 			relays[i].restart = p.span/4 + time.Duration(random.Int64N(int64(p.span/2)))
 		}
@@ -149,9 +149,9 @@
 	s := p.settings(0)
 	next := time.Duration(random.ExpFloat64() / p.rate * float64(time.Second))
 	end := p.span + s.Classes[0].Deadline
-	for now := chanceTick; now < end; now += chanceTick {
+	for now := simulationTick; now < end; now += simulationTick {
 		for i, r := range relays {
-			if p.restart && now-chanceTick < r.restart && r.restart <= now {
+			if p.restart && now-simulationTick < r.restart && r.restart <= now {
 				p.start(t, r, i, now)
 			}
 		}
@@ -161,7 +161,7 @@
 			m := Arrival{ID: fmt.Sprint("m", offered), Dest: 1, Left: s.Classes[0].Deadline}
 			to := random.IntN(p.relays)
 			if p.ordered {
-				key := random.IntN(max(p.relays, int(chanceKeys*p.rate)))
+				key := random.IntN(max(p.relays, int(keysPerRate*p.rate)))
 				m.Class, m.Key, to = 1, fmt.Sprint("k", key), key%p.relays
 			}
 			r := relays[to]
@@ -184,18 +184,18 @@
 	return offered, delivered
 }
 
-// chanceTargets holds the least share of messages delivered in time, by the share of calls refused at random.
-var chanceTargets = []struct{ refused, delivered float64 }{{0.01, 0.99}, {0.05, 0.97}, {0.1, 0.95}, {0.2, 0.9}}
+// deliveryTargets holds the least share of messages delivered in time, by the share of calls refused at random.
+var deliveryTargets = []struct{ refused, delivered float64 }{{0.01, 0.99}, {0.05, 0.97}, {0.1, 0.95}, {0.2, 0.9}}
 
-// playChances runs all cases with one seed and compares the share delivered with its target.
-func playChances(t *testing.T, seed uint64, listed bool) {
+// runRefusalSimulations runs all cases with one seed and compares the share delivered with its target.
+func runRefusalSimulations(t *testing.T, seed uint64, listed bool) {
 	t.Helper()
-	for _, target := range chanceTargets {
+	for _, target := range deliveryTargets {
 		for _, relays := range []int{1, 30} {
 			for _, rate := range []float64{2, 20, 200} {
 				for _, ordered := range []bool{false, true} {
 					for _, restart := range []bool{false, true} {
-						p := chancePlay{relays: relays, rate: rate, refused: target.refused, ordered: ordered, restart: restart, listed: listed,
+						p := refusalSimulation{relays: relays, rate: rate, refused: target.refused, ordered: ordered, restart: restart, listed: listed,
 							span: time.Minute, seed: seed}
 						name := fmt.Sprintf("refused=%v/relays=%d/rate=%v/ordered=%v/restart=%v", p.refused, relays, rate, ordered, restart)
 						t.Run(name, func(t *testing.T) {
@@ -215,14 +215,14 @@
 
 // TestRefusalsByChanceStarveNoDestination guards against cutting the rate of a destination that has capacity and
 // refuses a few calls at random.
-func TestRefusalsByChanceStarveNoDestination(t *testing.T) { playChances(t, 1, false) }
+func TestRefusalsByChanceStarveNoDestination(t *testing.T) { runRefusalSimulations(t, 1, false) }
 
 // TestRefusalsByChanceWithFurtherSeeds runs the same cases with more seeds, with and without a listed rate.
 func TestRefusalsByChanceWithFurtherSeeds(t *testing.T) {
 	const seeds = 5
 	for seed := uint64(1); seed <= seeds; seed++ {
 		for _, listed := range []bool{false, true} {
-			t.Run(fmt.Sprintf("seed=%d/listed=%v", seed, listed), func(t *testing.T) { playChances(t, seed, listed) })
+			t.Run(fmt.Sprintf("seed=%d/listed=%v", seed, listed), func(t *testing.T) { runRefusalSimulations(t, seed, listed) })
 		}
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -11,7 +11,8 @@
 
 const ms = time.Millisecond
 
-func settings() Settings {
+// testSettings returns settings with a class for each effect and an ordered one, and with listed rates.
+func testSettings() Settings {
 	return Settings{
 		Fleet: 2, Workers: 4, MaxHeld: 50, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, Listed: true,
 		Classes: []Class{
@@ -29,37 +30,39 @@
 	}
 }
 
-// rig drives one Chooser with a clock of its own, and counts the attempts of each message.
-type rig struct {
-	t   *testing.T
-	c   *Chooser
-	now time.Duration
-	try map[string]int
+// harness drives one Chooser with a clock of its own, and counts the attempts of each message.
+type harness struct {
+	t        *testing.T
+	c        *Chooser
+	now      time.Duration
+	attempts map[string]int
 }
 
-func newRig(t *testing.T, s Settings, hosts ...Host) *rig {
+// newHarness returns a harness whose Chooser knows the given hosts.
+func newHarness(t *testing.T, s Settings, hosts ...Host) *harness {
 	t.Helper()
 	c, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, c: c, now: time.Hour, try: map[string]int{}}
+	r := &harness{t: t, c: c, now: time.Hour, attempts: map[string]int{}}
 	r.step(Listing{Whole: true, Hosts: hosts})
 	return r
 }
 
-func (r *rig) step(events ...Event) []Action {
+// step passes events to the Chooser and returns its actions.
+func (r *harness) step(events ...Event) []Action {
 	acts := r.c.Step(r.now, events)
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
-			r.try[s.ID]++
+			r.attempts[s.ID]++
 		}
 	}
 	return acts
 }
 
-// after advances the clock in steps of 5 ms with a Woken event each, and returns all actions.
-func (r *rig) after(d time.Duration) []Action {
+// advance advances the clock in steps of 5 ms with a Woken event each, and returns all actions.
+func (r *harness) advance(d time.Duration) []Action {
 	var acts []Action
 	for end := r.now + d; r.now < end; {
 		r.now += 5 * ms
@@ -68,14 +71,16 @@
 	return acts
 }
 
-func (r *rig) end(id, host string, o Outcome, more ...func(*Result)) Result {
-	e := Result{ID: id, Host: host, Attempt: r.try[id] - 1, Outcome: o, Took: 50 * ms, Done: o == Served}
+// result returns the result of the last attempt of a message; more may change it.
+func (r *harness) result(id, host string, o Outcome, more ...func(*Result)) Result {
+	e := Result{ID: id, Host: host, Attempt: r.attempts[id] - 1, Outcome: o, Took: 50 * ms, Done: o == Served}
 	for _, m := range more {
 		m(&e)
 	}
 	return e
 }
 
+// sends returns the Send actions.
 func sends(acts []Action) (out []Send) {
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
@@ -85,7 +90,8 @@
 	return out
 }
 
-func answers(acts []Action) string {
+// finalAnswers returns the Refuse and Fail actions as text.
+func finalAnswers(acts []Action) string {
 	out := ""
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -98,65 +104,67 @@
 	return out
 }
 
-func ready(addr string, dest, kind, zone int) Host {
+// readyHost returns a host that is Ready, with a listed rate of 100 calls per second.
+func readyHost(addr string, dest, kind, zone int) Host {
 	return Host{Addr: addr, Dest: dest, Kind: kind, Zone: zone, Rate: 100, State: Ready}
 }
 
+// arrival returns a message for destination 1, with 10 s left.
 func arrival(id string, class int) Arrival {
 	return Arrival{ID: id, Class: class, Dest: 1, Left: 10 * time.Second}
 }
 
 func TestOracleByHand(t *testing.T) {
-	tab := table{width: 10 * ms, weight: 1}
+	histogram := latencyTable{width: 10 * ms, weight: 1}
 	for range 90 {
-		tab.add(15 * ms)
+		histogram.add(15 * ms)
 	}
 	for range 10 {
-		tab.add(905 * ms)
+		histogram.add(905 * ms)
 	}
-	tab.look()
-	if tab.edge != 20*ms {
-		t.Errorf("edge %v with one in ten answers 60 times slower, want 20ms, the bucket of the others", tab.edge)
+	histogram.refresh()
+	if histogram.bestTimeout != 20*ms {
+		t.Errorf("edge %v with one in ten answers 60 times slower, want 20ms, the bucket of the others", histogram.bestTimeout)
 	}
-	same := table{width: 10 * ms, weight: 1}
+	same := latencyTable{width: 10 * ms, weight: 1}
 	for i := range 100 {
 		same.add(time.Duration(100+i%10) * ms)
 	}
-	same.look()
-	if same.edge != 110*ms {
-		t.Errorf("edge %v for answers of equal latency, want 110ms, the end of their bucket", same.edge)
+	same.refresh()
+	if same.bestTimeout != 110*ms {
+		t.Errorf("edge %v for answers of equal latency, want 110ms, the end of their bucket", same.bestTimeout)
 	}
-	few := table{width: 10 * ms, weight: 1}
+	few := latencyTable{width: 10 * ms, weight: 1}
 	for range minSamples - 1 {
 		few.add(15 * ms)
 	}
-	few.look()
-	if few.edge != 0 {
-		t.Errorf("edge %v from %d samples, want none", few.edge, minSamples-1)
+	few.refresh()
+	if few.bestTimeout != 0 {
+		t.Errorf("edge %v from %d samples, want none", few.bestTimeout, minSamples-1)
 	}
 	few.add(5 * time.Second) // above the last bucket
-	if few.beyond < 1 || few.total != minSamples {
-		t.Errorf("beyond %v, total %v after a sample above the last bucket", few.beyond, few.total)
+	if few.overflow < 1 || few.total != minSamples {
+		t.Errorf("beyond %v, total %v after a sample above the last bucket", few.overflow, few.total)
 	}
 }
 
 func TestTableFades(t *testing.T) {
-	tab := table{width: 10 * ms, weight: 1}
+	histogram := latencyTable{width: 10 * ms, weight: 1}
 	for range 1000 {
-		tab.add(15 * ms)
+		histogram.add(15 * ms)
 	}
-	for range 2 * memory {
-		tab.add(505 * ms)
+	for range 2 * decaySamples {
+		histogram.add(505 * ms)
 	}
-	tab.look()
-	if tab.edge < 510*ms {
-		t.Errorf("edge %v after the destination slowed down, want 510ms", tab.edge)
+	histogram.refresh()
+	if histogram.bestTimeout < 510*ms {
+		t.Errorf("edge %v after the destination slowed down, want 510ms", histogram.bestTimeout)
 	}
 	for range 10000 {
-		tab.add(505 * ms)
+		histogram.add(505 * ms)
 	}
-	if math.IsInf(tab.weight, 0) || tab.weight > 1e7 {
-		t.Errorf("weight %v grows without bound", tab.weight)
+	if math.IsInf(histogram.weight, 0) || histogram.weight > 1e7 {
+		t.Errorf("weight %v grows without bound", histogram.weight)
 	}
 }
 
@@ -173,16 +181,16 @@
 		{2, NoConnection, "again"}, {2, Refused, "again"}, {2, NotSent, "again"},
 	} {
 		t.Run(fmt.Sprintf("class%d-outcome%d", tc.class, tc.outcome), func(t *testing.T) {
-			r := newRig(t, settings(), ready("a", 1, 0, 0))
+			r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 			if n := len(sends(r.step(arrival("m", tc.class)))); n != 1 {
 				t.Fatalf("%d sends for an arrival, want 1", n)
 			}
 			r.now += 50 * ms
-			acts := r.step(r.end("m", "a", tc.outcome))
-			got := answers(acts)
+			acts := r.step(r.result("m", "a", tc.outcome))
+			got := finalAnswers(acts)
 			if tc.want == "again" {
-				acts = append(acts, r.after(3*time.Second)...)
-				if got = answers(acts); got != "" || len(sends(acts)) != 1 {
+				acts = append(acts, r.advance(3*time.Second)...)
+				if got = finalAnswers(acts); got != "" || len(sends(acts)) != 1 {
 					t.Errorf("final answers %q, %d sends, want one more send", got, len(sends(acts)))
 				}
 			} else if got != tc.want || len(sends(acts)) != 0 {
@@ -193,25 +201,25 @@
 }
 
 func TestHeldIsAnsweredInTime(t *testing.T) {
-	r := newRig(t, settings()) // without any host
+	r := newHarness(t, testSettings()) // without any host
 	r.step(arrival("m", 2))
-	if got := answers(r.after(9900 * ms)); got != "" {
+	if got := finalAnswers(r.advance(9900 * ms)); got != "" {
 		t.Fatalf("answered before the deadline: %q", got)
 	}
-	if got := answers(r.after(100 * ms)); got != "refuse m;" {
+	if got := finalAnswers(r.advance(100 * ms)); got != "refuse m;" {
 		t.Errorf("final answers %q at the deadline, want a refusal", got)
 	}
-	if len(r.c.msgs) != 0 || r.c.held != 0 {
-		t.Errorf("%d messages in the table, %d held after the answer, want none", len(r.c.msgs), r.c.held)
+	if len(r.c.messages) != 0 || r.c.held != 0 {
+		t.Errorf("%d messages in the table, %d held after the answer, want none", len(r.c.messages), r.c.held)
 	}
 }
 
 func TestKeyedStaysInZoneAndWindow(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 2, 0), ready("b", 1, 2, 1))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 2, 0), readyHost("b", 1, 2, 1))
 	first := sends(r.step(arrival("m", 1)))[0].Host
 	r.now += 50 * ms
-	acts := r.step(r.end("m", first, Error))
-	acts = append(acts, r.after(2800*ms)...)
+	acts := r.step(r.result("m", first, Error))
+	acts = append(acts, r.advance(2800*ms)...)
 	for _, s := range sends(acts) {
 		if s.Host != first {
 			t.Errorf("resent to %s, outside the zone of %s", s.Host, first)
@@ -221,15 +229,15 @@
 		t.Fatalf("%d sends within the window, want 1", len(sends(acts)))
 	}
 	r.now += 100 * ms
-	acts = r.step(r.end("m", first, Error))
-	if got := answers(append(acts, r.after(time.Second)...)); got != "fail m;" {
+	acts = r.step(r.result("m", first, Error))
+	if got := finalAnswers(append(acts, r.advance(time.Second)...)); got != "fail m;" {
 		t.Errorf("final answers %q after the window, want a failure", got)
 	}
 }
 
 func TestDrainingGetsNothingNew(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
-	h := ready("a", 1, 0, 0)
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
+	h := readyHost("a", 1, 0, 0)
 	h.State = Draining
 	if n := len(sends(r.step(Listing{Hosts: []Host{h}}, arrival("m", 0)))); n != 0 {
 		t.Errorf("%d sends to a draining host, want none", n)
@@ -240,47 +248,47 @@
 }
 
 func TestToldWaitIsKept(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	r.step(arrival("m", 0))
 	r.now += 50 * ms
-	acts := r.step(r.end("m", "a", Refused, func(e *Result) { e.Wait = 700 * ms }), arrival("n", 2))
-	if acts = append(acts, r.after(695*ms)...); len(sends(acts)) != 0 {
+	acts := r.step(r.result("m", "a", Refused, func(e *Result) { e.Wait = 700 * ms }), arrival("n", 2))
+	if acts = append(acts, r.advance(695*ms)...); len(sends(acts)) != 0 {
 		t.Errorf("%d sends within the wait the host asked for, want none", len(sends(acts)))
 	}
-	if len(sends(r.after(2*time.Second))) == 0 {
+	if len(sends(r.advance(2*time.Second))) == 0 {
 		t.Errorf("no send after the wait")
 	}
 }
 
 func TestOrderOfAKey(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	m, n := arrival("m", 3), arrival("n", 3)
 	m.Key, n.Key = "k", "k"
 	if got := sends(r.step(m, n)); len(got) != 1 || got[0].ID != "m" {
 		t.Fatalf("sent %v, want m alone", got)
 	}
 	r.now += 50 * ms
-	acts := r.step(r.end("m", "a", Reset))
-	if acts = append(acts, r.after(95*ms)...); len(sends(acts)) != 0 {
+	acts := r.step(r.result("m", "a", Reset))
+	if acts = append(acts, r.advance(95*ms)...); len(sends(acts)) != 0 {
 		t.Errorf("sent %v while the key is blocked after an unknown outcome, want none", sends(acts))
 	}
-	if got := sends(r.after(3 * time.Second)); len(got) != 1 || got[0].ID != "n" {
+	if got := sends(r.advance(3 * time.Second)); len(got) != 1 || got[0].ID != "n" {
 		t.Errorf("sent %v once the key is free, want n", got)
 	}
-	r.step(r.end("n", "a", Served))
-	r.after(200 * ms)
-	if len(r.c.lines) != 0 {
-		t.Errorf("%d key queues left after all messages ended, want none", len(r.c.lines))
+	r.step(r.result("n", "a", Served))
+	r.advance(200 * ms)
+	if len(r.c.keyQueues) != 0 {
+		t.Errorf("%d key queues left after all messages ended, want none", len(r.c.keyQueues))
 	}
 }
 
 func TestEachFurtherTryWaitsLonger(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	for i := range 2 * minSamples {
 		id := fmt.Sprint("w", i)
 		r.step(arrival(id, 0))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Served))
+		r.step(r.result(id, "a", Served))
 	}
 	got := sends(r.step(arrival("m", 0)))
 	last := got[0].Timeout
@@ -289,11 +297,11 @@
 	}
 	for range 2 {
 		r.now += last
-		acts := r.step(r.end("m", "a", Timeout))
-		if got = append(sends(acts), sends(r.after(3*time.Second))...); len(got) != 1 {
+		acts := r.step(r.result("m", "a", Timeout))
+		if got = append(sends(acts), sends(r.advance(3*time.Second))...); len(got) != 1 {
 			t.Fatalf("%d sends after a timeout, want 1", len(got))
 		}
-		if got[0].Timeout < last+r.c.bound/buckets {
+		if got[0].Timeout < last+r.c.tableBound/buckets {
 			t.Errorf("timeout %v after %v, want at least a bucket more", got[0].Timeout, last)
 		}
 		last = got[0].Timeout
@@ -302,9 +310,9 @@
 
 func TestOneDestinationStaysUnderThreeQuarters(t *testing.T) {
 	for _, tc := range []struct{ workers, want int }{{1, 1}, {3, 2}, {4, 2}, {8, 5}} {
-		s := settings()
+		s := testSettings()
 		s.Workers = tc.workers
-		r := newRig(t, s, ready("a", 1, 0, 0))
+		r := newHarness(t, s, readyHost("a", 1, 0, 0))
 		var events []Event
 		for i := range 20 {
 			events = append(events, arrival(fmt.Sprint(i), 0))
@@ -316,35 +324,35 @@
 }
 
 func TestCallsAreShared(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 1, 0))
-	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.c.busy != 1 {
-		t.Errorf("%d sends in %d calls, want 3 in one", n, r.c.busy)
+	r := newHarness(t, testSettings(), readyHost("a", 1, 1, 0))
+	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.c.inFlight != 1 {
+		t.Errorf("%d sends in %d calls, want 3 in one", n, r.c.inFlight)
 	}
 }
 
 // TestColdReturn guards against overloading a destination that returns from an outage: two failures make its unit
 // suspect, and once it answers again the relay stays within its share of the rules' budget.
 func TestColdReturn(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Workers = 100
-	h := ready("a", 1, 0, 0)
+	h := readyHost("a", 1, 0, 0)
 	h.Rate = 10
-	r := newRig(t, s, h)
+	r := newHarness(t, s, h)
 	for _, id := range []string{"x", "y"} {
 		r.step(arrival(id, 2))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Error))
+		r.step(r.result(id, "a", Error))
 	}
 	var events []Event
 	for i := range 60 {
 		events = append(events, arrival(fmt.Sprint(i), 0))
 	}
-	trial := append(sends(r.step(events...)), sends(r.after(time.Second))...)
+	trial := append(sends(r.step(events...)), sends(r.advance(time.Second))...)
 	if len(trial) != 1 {
 		t.Fatalf("%d calls to a suspect unit, want a single probe", len(trial))
 	}
-	acts := r.step(r.end(trial[0].ID, "a", Served))
-	acts = append(acts, r.after(s.Rules.Fall)...)
+	acts := r.step(r.result(trial[0].ID, "a", Served))
+	acts = append(acts, r.advance(s.Rules.Fall)...)
 	share := s.Rules.ColdFrom + (1-s.Rules.ColdFrom)*s.Rules.Fall.Seconds()/s.Rules.Cold.Seconds()
 	most := s.Rules.OverloadFactor * share * 10 * s.Rules.Fall.Seconds() / 2
 	if n := float64(len(sends(acts))); n < 1 || n > most {
@@ -354,15 +362,15 @@
 
 // TestStuckCallsAreCalledOff guards against unanswered calls that hold all call slots.
 func TestStuckCallsAreCalledOff(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Workers = 2
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
 	for i := 1; i <= 3; i++ {
 		m := arrival(fmt.Sprint(i), 2)
 		m.Dest = i
 		r.step(m)
 	}
-	for _, a := range r.after(4 * time.Second) {
+	for _, a := range r.advance(4 * time.Second) {
 		if _, ok := a.(Cancel); ok {
 			return
 		}
@@ -372,22 +380,22 @@
 
 // TestOneHostDownLeavesItsDestinationWell guards against suspecting a whole destination when one of its hosts fails.
 func TestOneHostDownLeavesItsDestinationWell(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0), ready("b", 1, 0, 0))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0))
 	for i := range 6 {
 		id := fmt.Sprint(i)
 		for _, s := range sends(r.step(arrival(id, 0))) {
 			r.now += 50 * ms
 			for s.Host == "a" {
-				again := sends(r.step(r.end(id, "a", NoConnection)))
+				again := sends(r.step(r.result(id, "a", NoConnection)))
 				if len(again) != 1 {
 					t.Fatalf("%d sends after a failed connection, want 1 to the other host", len(again))
 				}
 				s = again[0]
 			}
-			r.step(r.end(id, s.Host, Served))
+			r.step(r.result(id, s.Host, Served))
 		}
 	}
-	if u := r.c.dests[1].units[0]; u.state != healthy {
+	if u := r.c.destByID[1].units[0]; u.state != healthy {
 		t.Errorf("unit in health state %d, want healthy", u.state)
 	}
 }
@@ -398,7 +406,7 @@
 		"classes": func(s *Settings) { s.Classes = nil }, "aim": func(s *Settings) { s.Classes[0].Aim = 0 },
 		"tick": func(s *Settings) { s.Tick = 0 }, "fall": func(s *Settings) { s.Rules.Fall = 0 },
 	} {
-		s := settings()
+		s := testSettings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil {
 			t.Errorf("invalid %s: no error", name)
@@ -409,16 +417,16 @@
 // TestLargeFleetSpacesItsCalls guards against too many probes from a large fleet: a relay whose share of the budget is
 // under one call in Rules.Fall sends less than one call in that time.
 func TestLargeFleetSpacesItsCalls(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Fleet, s.Workers = 12, 100
-	h := ready("a", 1, 0, 0)
+	h := readyHost("a", 1, 0, 0)
 	h.Rate = 4
-	r := newRig(t, s, h)
+	r := newHarness(t, s, h)
 	for _, id := range []string{"x", "y"} {
-		r.after(time.Second)
+		r.advance(time.Second)
 		r.step(arrival(id, 2))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Error))
+		r.step(r.result(id, "a", Error))
 	}
 	var events []Event
 	for i := range 20 {
@@ -430,7 +438,7 @@
 		var ends []Event
 		for _, o := range out {
 			trials++
-			ends = append(ends, r.end(o.ID, "a", NoConnection))
+			ends = append(ends, r.result(o.ID, "a", NoConnection))
 		}
 		r.now += 5 * ms
 		out = sends(r.step(append(ends, Woken{})...))
@@ -445,12 +453,12 @@
 // TestBacklogHoldsRestartsBack guards against restarts that feed an overload: while other messages wait for the
 // destination, a call is abandoned only if it is very likely lost.
 func TestBacklogHoldsRestartsBack(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	for i := range 4 * minSamples {
 		id := fmt.Sprint("w", i)
 		r.step(arrival(id, 0))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Served, func(e *Result) {
+		r.step(r.result(id, "a", Served, func(e *Result) {
 			if e.Took = 100 * ms; i%8 == 0 {
 				e.Took = 1900 * ms // the tail of the latencies, which restarts would cut off
 			}
@@ -470,15 +478,15 @@
 // TestLostCallsAreCalledOff guards against a lost call that keeps its slot because its destination still serves
 // others.
 func TestLostCallsAreCalledOff(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Workers = 3
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
 	r.step(arrival("lost", 2))
 	var out []Send
 	for i := range 200 {
 		var events []Event
 		for _, x := range out {
-			events = append(events, r.end(x.ID, x.Host, Served))
+			events = append(events, r.result(x.ID, x.Host, Served))
 		}
 		for dest := 1; dest <= 3; dest++ {
 			for k := range 2 {
@@ -502,22 +510,22 @@
 // TestRefusalsInALargeFleet guards against a fleet whose retries keep a destination at its limit: relays that seldom
 // call it return after growing back-offs with jitter.
 func TestRefusalsInALargeFleet(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Fleet = 40
-	h := ready("a", 1, 0, 0)
+	h := readyHost("a", 1, 0, 0)
 	h.Rate = 4
 	var first []time.Duration
 	for seed := range uint64(5) {
-		r := newRig(t, s, h)
+		r := newHarness(t, s, h)
 		r.c.rand = rand.New(rand.NewPCG(seed, 0))
 		r.step(arrival("m", 0))
 		start, tries := r.now, 0
 		for r.now < start+9*time.Second {
-			if r.c.msgs["m"] != nil && r.c.msgs["m"].call != nil {
-				r.step(r.end("m", "a", Refused))
+			if r.c.messages["m"] != nil && r.c.messages["m"].call != nil {
+				r.step(r.result("m", "a", Refused))
 				tries++
 			}
-			if r.after(5 * ms); tries == 1 && r.c.msgs["m"].call != nil {
+			if r.advance(5 * ms); tries == 1 && r.c.messages["m"].call != nil {
 				first = append(first, r.now-start)
 			}
 		}
@@ -532,7 +540,7 @@
 
 // TestRelaysDoNotAllLikeOneHost guards against a large fleet whose relays all prefer the same host of a destination.
 func TestRelaysDoNotAllLikeOneHost(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Fleet = 40
 	used := map[string]int{}
 	for seed := range uint64(20) {
@@ -540,7 +548,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, b := ready("a", 1, 0, 0), ready("b", 1, 0, 0)
+		a, b := readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0)
 		a.Rate, b.Rate = 4, 4
 		acts := c.Step(time.Hour, []Event{Listing{Whole: true, Hosts: []Host{a, b}}, arrival("m", 0)})
 		used[sends(acts)[0].Host]++
@@ -554,17 +562,17 @@
 // are hardly ever served, as where refused calls use up the limit, the back-off goes at once to the interval of the
 // relay's even share.
 func TestPausesLengthenWhereRetriesFail(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Fleet = 40
-	h := ready("a", 1, 0, 0)
+	h := readyHost("a", 1, 0, 0)
 	h.Rate = 4
 	pause := func(luck float64) time.Duration {
-		r := newRig(t, s, h)
-		r.c.habits[0].luck = luck
+		r := newHarness(t, s, h)
+		r.c.statsByKind[0].retrySuccess = luck
 		r.step(arrival("m", 0))
 		r.now += 50 * ms
-		r.step(r.end("m", "a", Refused))
-		return r.c.dests[1].units[0].pauseUntil - r.now
+		r.step(r.result("m", "a", Refused))
+		return r.c.destByID[1].units[0].backoffUntil - r.now
 	}
 	if often, never := pause(0.5), pause(0.05); often > 2*time.Second || never < 5*time.Second {
 		t.Errorf("back-off %v if retries are served and %v if not, want under 2s and over 5s", often, never)
@@ -574,9 +582,9 @@
 // TestSlowCallsAreServedInTheEnd guards against cancelling a slow call over and over: each further attempt of a
 // message is cancelled later than the one before.
 func TestSlowCallsAreServedInTheEnd(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Workers, s.MaxHeld = 2, 1000
-	r := newRig(t, s, ready("slow", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+	r := newHarness(t, s, readyHost("slow", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
 	var took []time.Duration
 	var events []Event
 	events = append(events, arrival("m", 0))
@@ -595,11 +603,11 @@
 				if a.ID == "m" {
 					sent = r.now
 				} else {
-					events = append(events, r.end(a.ID, a.Host, Served))
+					events = append(events, r.result(a.ID, a.Host, Served))
 				}
 			case Cancel:
 				took = append(took, r.now-sent)
-				events = append(events, r.end(a.ID, "slow", Cancelled))
+				events = append(events, r.result(a.ID, "slow", Cancelled))
 			}
 		}
 		r.now += 50 * ms
@@ -614,25 +622,25 @@
 // of a small fleet goes on.
 func TestFirstFailureWhereSeldomMet(t *testing.T) {
 	for fleet, want := range map[int]health{2: healthy, 40: suspect} {
-		s := settings()
+		s := testSettings()
 		s.Fleet = fleet
-		h := ready("a", 1, 0, 0)
+		h := readyHost("a", 1, 0, 0)
 		h.Rate = 4
-		r := newRig(t, s, h)
-		r.after(5 * time.Second)
+		r := newHarness(t, s, h)
+		r.advance(5 * time.Second)
 		r.step(arrival("m", 0))
-		r.step(r.end("m", "a", NoConnection))
-		if got := r.c.dests[1].units[0].state; got != want {
+		r.step(r.result("m", "a", NoConnection))
+		if got := r.c.destByID[1].units[0].state; got != want {
 			t.Errorf("fleet of %d: health %v after the first failure, want %v", fleet, got, want)
 		}
 		if want == healthy {
 			continue
 		}
-		if n := len(sends(r.after(time.Second))); n != 1 {
+		if n := len(sends(r.advance(time.Second))); n != 1 {
 			t.Errorf("fleet of %d: %d calls within 1s of the first failure, want 1 probe", fleet, n)
 		}
-		r.step(r.end("m", "a", NoConnection))
-		if n := len(sends(r.after(3 * time.Second))); n > 0 {
+		r.step(r.result("m", "a", NoConnection))
+		if n := len(sends(r.advance(3 * time.Second))); n > 0 {
 			t.Errorf("fleet of %d: %d calls within 3s of the second failure, want none", fleet, n)
 		}
 	}
@@ -641,13 +649,13 @@
 // TestARelayThatStoodStill guards against taking the relay's own stall for silence of a destination: results that come
 // all at once after a gap are processed before silence is judged.
 func TestARelayThatStoodStill(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0), ready("b", 2, 0, 0))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0))
 	other := arrival("n", 0)
 	other.Dest = 2
 	r.step(arrival("m", 0), other)
 	r.now += 5 * time.Second
-	r.step(Woken{}, r.end("m", "a", Served), r.end("n", "b", Served))
-	for id, d := range r.c.dests {
+	r.step(Woken{}, r.result("m", "a", Served), r.result("n", "b", Served))
+	for id, d := range r.c.destByID {
 		if got := d.units[0].state; got != healthy {
 			t.Errorf("destination %d: health %v after a stall of the relay, want healthy", id, got)
 		}
@@ -659,66 +667,66 @@
 func TestALongList(t *testing.T) {
 	var hosts, gone []Host
 	for i := range 5000 {
-		h := ready(fmt.Sprint("h", i), i, 0, 0)
+		h := readyHost(fmt.Sprint("h", i), i, 0, 0)
 		hosts = append(hosts, h)
 		h.State = Gone
 		gone = append(gone, h)
 	}
-	r := newRig(t, settings(), hosts...)
+	r := newHarness(t, testSettings(), hosts...)
 	r.step(Listing{Whole: true, Hosts: hosts})
 	m := arrival("m", 0)
 	m.Dest = 4999
 	if got := sends(r.step(m)); len(got) != 1 || got[0].Host != "h4999" {
 		t.Fatalf("sends %v, want one to h4999", got)
 	}
-	for id, d := range r.c.dests {
-		if d.table.count != nil {
+	for id, d := range r.c.destByID {
+		if d.latencies.count != nil {
 			t.Fatalf("destination %d has a latency table before its first answer", id)
 		}
 	}
-	r.step(r.end("m", "h4999", Served))
+	r.step(r.result("m", "h4999", Served))
 	r.step(Listing{Hosts: gone})
-	if len(r.c.dests) != 0 || len(r.c.hosts) != 0 {
-		t.Errorf("%d destinations and %d hosts left after all left the list", len(r.c.dests), len(r.c.hosts))
+	if len(r.c.destByID) != 0 || len(r.c.hosts) != 0 {
+		t.Errorf("%d destinations and %d hosts left after all left the list", len(r.c.destByID), len(r.c.hosts))
 	}
 }
 
 func TestStopAnswersWhatWaits(t *testing.T) {
-	r := newRig(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
+	r := newHarness(t, testSettings(), Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "out", Class: 2, Dest: 1, Left: 10 * time.Second})
 	r.step(Arrival{ID: "ran", Class: 2, Dest: 1, Left: 10 * time.Second})
 	r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Draining}}})
 	r.step(Arrival{ID: "waits", Class: 0, Dest: 1, Left: 10 * time.Second})
-	acts := r.step(Stop{}, r.end("ran", "a", Cancelled))
+	acts := r.step(Stop{}, r.result("ran", "a", Cancelled))
 	if !slices.Contains(acts, Action(Refuse{ID: "waits"})) || !slices.Contains(acts, Action(Fail{ID: "ran"})) {
 		t.Fatalf("actions %v at the stop, want waits refused and ran failed", acts)
 	}
-	acts = r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}}, r.end("out", "a", NotSent))
+	acts = r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}}, r.result("out", "a", NotSent))
 	if len(sends(acts)) > 0 || !slices.Contains(acts, Action(Refuse{ID: "out"})) {
 		t.Fatalf("actions %v at a result after the stop, want out refused and no send", acts)
 	}
 }
 
 func TestWaitToldWithAnErrorIsKept(t *testing.T) {
-	r := newRig(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
+	r := newHarness(t, testSettings(), Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 10 * time.Second})
-	r.step(r.end("m1", "a", Error, func(e *Result) { e.Wait = 3 * time.Second }))
+	r.step(r.result("m1", "a", Error, func(e *Result) { e.Wait = 3 * time.Second }))
 	r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 10 * time.Second})
-	if s := sends(r.after(2900 * ms)); len(s) > 0 {
+	if s := sends(r.advance(2900 * ms)); len(s) > 0 {
 		t.Fatalf("sent %v within the wait", s)
 	}
-	if s := sends(r.after(3 * time.Second)); len(s) == 0 {
+	if s := sends(r.advance(3 * time.Second)); len(s) == 0 {
 		t.Fatal("no send after the wait")
 	}
 }
 
 func TestRefusedNeverRan(t *testing.T) {
 	for class := range 2 { // safe, keyed
-		s := settings()
+		s := testSettings()
 		s.Certain, s.MaxAttempts = true, 1
-		r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+		r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 		r.step(arrival("m", class))
-		acts := r.step(r.end("m", "a", Reset))
+		acts := r.step(r.result("m", "a", Reset))
 		if !slices.Contains(acts, Action(Fail{ID: "m"})) {
 			t.Errorf("class %d: actions %v for a message that may have run, want a failure", class, acts)
 		}
@@ -726,9 +734,9 @@
 }
 
 func TestWithdrawnAndOwed(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Certain = true
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(arrival("out", 0))
 	r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Draining}}})
 	r.step(arrival("waits", 0))
@@ -737,8 +745,8 @@
 		t.Fatalf("actions %v at the withdrawal, want only waits refused", acts)
 	}
 	r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}})
-	acts = r.step(r.end("out", "a", Reset))
-	if !slices.Contains(acts, Action(Fail{ID: "out"})) || len(sends(append(acts, r.after(time.Second)...))) > 0 {
+	acts = r.step(r.result("out", "a", Reset))
+	if !slices.Contains(acts, Action(Fail{ID: "out"})) || len(sends(append(acts, r.advance(time.Second)...))) > 0 {
 		t.Fatalf("actions %v at the result, want out failed and no send", acts)
 	}
 }
@@ -747,36 +755,36 @@
 	tolls := func(left, urgent float64, again time.Duration) Tolls {
 		return Tolls{Left: left, Class: slices.Repeat([]Toll{{Cost: 10, Floor: 5, Urgent: urgent, Own: 1000, Again: again}}, 4)}
 	}
-	r := newRig(t, settings(), ready("far", 1, 0, 1))
+	r := newHarness(t, testSettings(), readyHost("far", 1, 0, 1))
 	r.step(tolls(18, 5, r.now+500*ms))
 	if n := len(sends(r.step(arrival("a", 0), arrival("b", 2)))); n != 1 { // the budget is shared by the classes
 		t.Errorf("%d sends with a budget for one", n)
 	}
-	if n := len(sends(r.after(time.Second))); n != 0 {
+	if n := len(sends(r.advance(time.Second))); n != 0 {
 		t.Errorf("%d sends with the budget used up", n)
 	}
 	if n := len(sends(r.step(tolls(1000, 5, 0)))); n != 1 {
 		t.Errorf("%d sends with a new budget, want 1", n)
 	}
 	// The budget excludes all hosts past the deadline: refused at once, with a Retry-After.
-	s := settings()
+	s := testSettings()
 	s.MaxRetryAfter = 30 * time.Second
-	r = newRig(t, s, ready("far", 1, 0, 1))
+	r = newHarness(t, s, readyHost("far", 1, 0, 1))
 	acts := r.step(tolls(0, 5, r.now+20*time.Second), arrival("c", 0))
 	if !slices.Contains(acts, Action(Refuse{ID: "c", After: 20 * time.Second})) {
 		t.Errorf("actions %v without a budget until past the deadline, want a refusal with the time until then", acts)
 	}
 	// An urgent message has a lower floor.
-	r = newRig(t, settings(), ready("far", 1, 0, 1))
+	r = newHarness(t, testSettings(), readyHost("far", 1, 0, 1))
 	r.step(tolls(10, 0, r.now+time.Hour), arrival("d", 2))
-	if n := len(sends(r.after(7 * time.Second))); n != 0 {
+	if n := len(sends(r.advance(7 * time.Second))); n != 0 {
 		t.Errorf("%d sends before the message is urgent", n)
 	}
-	if n := len(sends(r.after(time.Second))); n != 1 {
+	if n := len(sends(r.advance(time.Second))); n != 1 {
 		t.Errorf("%d sends of an urgent message, want 1", n)
 	}
 	// Sends within the relay's own zone cost nothing.
-	r = newRig(t, settings(), ready("near", 1, 0, 0))
+	r = newHarness(t, testSettings(), readyHost("near", 1, 0, 0))
 	if n := len(sends(r.step(tolls(0, 5, r.now+time.Hour), arrival("e", 0)))); n != 1 {
 		t.Errorf("%d sends within the own zone, want 1", n)
 	}
@@ -801,9 +809,9 @@
 		{"safe, may have run", 0, Restored{Attempts: 1, Ran: true, Since: time.Hour}, true},
 		{"no attempts left", 0, Restored{Attempts: 4, Ran: true}, false},
 	} {
-		r := newRig(t, settings(), Host{Addr: "a", State: Ready})
+		r := newHarness(t, testSettings(), Host{Addr: "a", State: Ready})
 		c.m.Arrival = Arrival{ID: "m", Class: c.class, Left: 9 * time.Second}
-		if got := sends(append(r.step(c.m), r.after(time.Second)...)); (len(got) > 0) != c.sent {
+		if got := sends(append(r.step(c.m), r.advance(time.Second)...)); (len(got) > 0) != c.sent {
 			t.Errorf("%s: sent %v", c.name, got)
 		}
 	}
@@ -812,29 +820,29 @@
 // TestEarlierRun checks that a wait which a host asked for before a restart is kept, that a host that failed then gets
 // a single probe, and that a relay's share of a limit shrinks in a larger fleet.
 func TestEarlierRun(t *testing.T) {
-	r := newRig(t, settings(), Host{Addr: "a", State: Ready})
+	r := newHarness(t, testSettings(), Host{Addr: "a", State: Ready})
 	r.step(Waited{Host: "a", Left: time.Second}, Waited{Host: "gone", Left: time.Hour})
-	if got := sends(append(r.step(Arrival{ID: "m", Left: 9 * time.Second}), r.after(950*ms)...)); len(got) > 0 {
+	if got := sends(append(r.step(Arrival{ID: "m", Left: 9 * time.Second}), r.advance(950*ms)...)); len(got) > 0 {
 		t.Errorf("sent %v within the wait", got)
 	}
-	if got := sends(r.after(200 * ms)); len(got) != 1 {
+	if got := sends(r.advance(200 * ms)); len(got) != 1 {
 		t.Errorf("sent %v after the wait, want one", got)
 	}
-	r = newRig(t, settings(), Host{Addr: "a", State: Ready})
+	r = newHarness(t, testSettings(), Host{Addr: "a", State: Ready})
 	r.step(Waited{Host: "a", Failing: true})
 	var all []Event
 	for i := range 4 {
 		all = append(all, Arrival{ID: fmt.Sprint(i), Left: 9 * time.Second})
 	}
-	if got := sends(append(r.step(all...), r.after(time.Second)...)); len(got) != 1 {
+	if got := sends(append(r.step(all...), r.advance(time.Second)...)); len(got) != 1 {
 		t.Errorf("sent %v to a host that failed before the restart, want a single probe", got)
 	}
-	r = newRig(t, settings(), Host{Addr: "a", Rate: 40, State: Ready})
+	r = newHarness(t, testSettings(), Host{Addr: "a", Rate: 40, State: Ready})
 	u := r.c.hosts["a"].unit
-	if r.step(Fleet{Index: 3, Size: 8}); u.limit != 10 || r.c.set.Fleet != 8 {
-		t.Errorf("limit %v for a fleet of %d", u.limit, r.c.set.Fleet)
+	if r.step(Fleet{Index: 3, Size: 8}); u.limit != 10 || r.c.cfg.Fleet != 8 {
+		t.Errorf("limit %v for a fleet of %d", u.limit, r.c.cfg.Fleet)
 	}
-	if r.step(Fleet{Index: 0, Size: 1}, Fleet{}); u.limit > 11 || r.c.set.Fleet != 1 {
-		t.Errorf("limit %v for a fleet of %d", u.limit, r.c.set.Fleet)
+	if r.step(Fleet{Index: 0, Size: 1}, Fleet{}); u.limit > 11 || r.c.cfg.Fleet != 1 {
+		t.Errorf("limit %v for a fleet of %d", u.limit, r.c.cfg.Fleet)
 	}
 }
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -9,43 +9,43 @@
 	"time"
 )
 
-// cold is a simulation of one destination that fails for some time and returns cold, called by a fleet of relays that
-// don't communicate. A call gets its result after some time.
-type cold struct {
-	relays  []*Chooser
-	factor  Rules
-	rate    float64       // capacity in calls per second when warm
-	back    time.Duration // end of the outage
-	how     Outcome       // outcome of calls during the outage
-	tells   float64       // share of the refusals that carry the time until the end of the outage
-	arrived []onset       // calls after the outage
+// outageSimulation is a simulation of one destination that fails for some time and returns cold, called by a fleet of
+// relays that don't communicate. A call gets its result after some time.
+type outageSimulation struct {
+	relays        []*Chooser
+	params        Rules
+	rate          float64           // capacity in calls per second when warm
+	outageEnd     time.Duration     // end of the outage
+	outageOutcome Outcome           // outcome of calls during the outage
+	shareWithWait float64           // share of the refusals that carry the time until the end of the outage
+	callsAfter    []callAfterOutage // calls after the outage
 }
 
-// onset is a call after the outage.
-type onset struct {
-	at   time.Duration
-	told bool // sent by a relay that had a failed or refused call during the outage
+// callAfterOutage is a call after the outage.
+type callAfterOutage struct {
+	at        time.Duration
+	sawOutage bool // sent by a relay that had a failed or refused call during the outage
 }
 
-// due is the future result of a call.
-type due struct {
-	at    time.Duration
-	relay int
-	e     Result
+// pendingResult is the future result of a call.
+type pendingResult struct {
+	at     time.Duration
+	relay  int
+	result Result
 }
 
-// play sends messages to the fleet for 30 s, at the given share of the capacity, with an outage from 5 s to back. It
-// looks at the windows of Rules.Fall after the outage in which more than two thirds of the calls came from relays that
-// had noticed it. over is the largest ratio of the calls in such a window to N + 2 sqrt(N) + 2, where N is the number
-// that the rules allow and the rest allows for random variation.
-func (w *cold) play(t *testing.T, fleet int, load float64, seed uint64) (over float64, served int) {
+// run sends messages to the fleet for 30 s, at the given share of the capacity, with an outage from 5 s to outageEnd.
+// It looks at the windows of Rules.Fall after the outage in which more than two thirds of the calls came from relays
+// that had noticed it. over is the largest ratio of the calls in such a window to N + 2 sqrt(N) + 2, where N is the
+// number that the rules allow and the rest allows for random variation.
+func (w *outageSimulation) run(t *testing.T, fleet int, load float64, seed uint64) (over float64, served int) {
 	t.Helper()
-	const out = 5 * time.Second
+	const outageStart = 5 * time.Second
 	s := Settings{Fleet: fleet, Workers: 6, MaxHeld: 60, MaxAttempts: 6, Tick: 5 * ms, Cancels: true, Listed: true, Certain: true,
 		ReportLimit: -1, ConnIdle: 15 * time.Second, Classes: []Class{
 			{Name: "safe", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Safe},
 			{Name: "unsafe", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Unsafe}},
-		Kinds: []Kind{{PerCall: 1}}, Rules: w.factor}
+		Kinds: []Kind{{PerCall: 1}}, Rules: w.params}
 	for i := range fleet {
 		one := s
 		one.Index = i
@@ -56,20 +56,20 @@
 		c.Step(0, []Event{Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, Rate: w.rate, State: Ready}}}})
 		w.relays = append(w.relays, c)
 	}
-	r := rand.New(rand.NewPCG(seed, 5))
-	pending := make([][]due, fleet)
+	random := rand.New(rand.NewPCG(seed, 5))
+	pending := make([][]pendingResult, fleet)
 	tries := make([]map[string]int, fleet)
 	for i := range tries {
 		tries[i] = map[string]int{}
 	}
-	told, wake := make([]bool, fleet), slices.Repeat([]time.Duration{math.MaxInt64}, fleet)
+	sawOutage, wake := make([]bool, fleet), slices.Repeat([]time.Duration{math.MaxInt64}, fleet)
 	n := 0
 	for now := time.Duration(0); now < 30*time.Second; now += 5 * ms {
 		events := make([][]Event, fleet)
-		for r.Float64() < load*w.rate*0.005 { // the expected number for each step
-			i := r.IntN(fleet)
+		for random.Float64() < load*w.rate*0.005 { // the expected number for each step
+			i := random.IntN(fleet)
 			n++
-			events[i] = append(events[i], Arrival{ID: fmt.Sprint("m", n), Class: r.IntN(2), Dest: 1, Left: 10 * time.Second})
+			events[i] = append(events[i], Arrival{ID: fmt.Sprint("m", n), Class: random.IntN(2), Dest: 1, Left: 10 * time.Second})
 			if load*w.rate*0.005 < 1 {
 				break
 			}
@@ -84,11 +84,11 @@
 			keep := pending[i][:0]
 			for _, d := range pending[i] {
 				if d.at <= now {
-					events[i] = append(events[i], d.e)
-					if d.e.Outcome == Served {
+					events[i] = append(events[i], d.result)
+					if d.result.Outcome == Served {
 						served++
-					} else if now < w.back {
-						told[i] = true
+					} else if now < w.outageEnd {
+						sawOutage[i] = true
 					}
 				} else {
 					keep = append(keep, d)
@@ -101,48 +101,48 @@
 					wake[i] = min(wake[i], now+a.After)
 				case Send:
 					took, o := 100*ms, Served
-					if now >= out && now < w.back {
-						if o = w.how; o == Timeout {
+					if now >= outageStart && now < w.outageEnd {
+						if o = w.outageOutcome; o == Timeout {
 							took = a.Timeout
 						}
-					} else if now >= w.back {
-						w.arrived = append(w.arrived, onset{now, told[i]})
+					} else if now >= w.outageEnd {
+						w.callsAfter = append(w.callsAfter, callAfterOutage{now, sawOutage[i]})
 					}
 					wait := time.Duration(0)
-					if o == Refused && r.Float64() < w.tells {
-						wait = w.back - now
+					if o == Refused && random.Float64() < w.shareWithWait {
+						wait = w.outageEnd - now
 					}
 					k := tries[i][a.ID]
 					tries[i][a.ID]++
-					pending[i] = append(pending[i], due{now + took, i, Result{ID: a.ID, Host: "a", Attempt: k, Outcome: o, Took: took, Wait: wait,
+					pending[i] = append(pending[i], pendingResult{now + took, i, Result{ID: a.ID, Host: "a", Attempt: k, Outcome: o, Took: took, Wait: wait,
 						Done: o == Served}})
 				case Cancel:
 					for j := range pending[i] {
-						if d := &pending[i][j]; d.e.ID == a.ID && d.e.Attempt == a.Attempt {
-							d.at, d.e.Outcome, d.e.Took = now, Cancelled, min(d.e.Took, now)
+						if d := &pending[i][j]; d.result.ID == a.ID && d.result.Attempt == a.Attempt {
+							d.at, d.result.Outcome, d.result.Took = now, Cancelled, min(d.result.Took, now)
 						}
 					}
 				}
 			}
 		}
 	}
-	k := w.factor
-	for i, end := range w.arrived {
-		in, knew := 0, 0
-		for j := i; j >= 0 && end.at-w.arrived[j].at < k.Fall; j-- {
-			if in++; w.arrived[j].told {
-				knew++
+	k := w.params
+	for i, end := range w.callsAfter {
+		calls, fromAware := 0, 0
+		for j := i; j >= 0 && end.at-w.callsAfter[j].at < k.Fall; j-- {
+			if calls++; w.callsAfter[j].sawOutage {
+				fromAware++
 			}
 		}
-		since := (end.at - w.back).Seconds() / k.Cold.Seconds()
+		since := (end.at - w.outageEnd).Seconds() / k.Cold.Seconds()
 		if since >= 1 {
 			break
 		}
 		allowed := k.OverloadFactor * (k.ColdFrom + (1-k.ColdFrom)*since) * w.rate * k.Fall.Seconds()
-		if 3*knew <= 2*in {
+		if 3*fromAware <= 2*calls {
 			continue // relays that noticed the outage are not the cause of this load
 		}
-		over = max(over, float64(in)/(allowed+2*math.Sqrt(allowed)+2))
+		over = max(over, float64(calls)/(allowed+2*math.Sqrt(allowed)+2))
 	}
 	return over, served
 }
@@ -157,8 +157,8 @@
 			for _, rate := range []float64{3, 12, 50} {
 				worst, served := 0.0, 0
 				for seed := range uint64(max(1, 4-fleet/100)) { // a large fleet is slow to simulate
-					w := &cold{factor: rules, rate: rate, back: 15 * time.Second, how: how, tells: tells}
-					over, n := w.play(t, fleet, 0.8, seed+1)
+					w := &outageSimulation{params: rules, rate: rate, outageEnd: 15 * time.Second, outageOutcome: how, shareWithWait: tells}
+					over, n := w.run(t, fleet, 0.8, seed+1)
 					worst, served = max(worst, over), served+n
 				}
 				t.Logf("%v, %d relays, %v calls/s: %.2f of the limit, %d served", how, fleet, rate, worst, served)
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -7,151 +7,151 @@
 	"time"
 )
 
-// life is the state of one message, as far as the rules depend on it.
-type life struct {
-	class    int
-	due      time.Duration
-	key      string
-	seq      int
-	tries    int
-	out      string
-	ran      bool
-	ranAt    time.Duration
-	ranZone  int
-	over     bool
-	unsureAt time.Duration
+// messageState is the state of one message, as far as the rules depend on it.
+type messageState struct {
+	class        int
+	due          time.Duration
+	key          string
+	seq          int
+	attempts     int
+	inFlightTo   string
+	mayHaveRun   bool
+	firstRunAt   time.Duration
+	firstRunZone int
+	finished     bool
+	unsureAt     time.Duration
 }
 
-// lawful turns the bytes into valid events, checks each action against the rules and returns all actions. It does not
-// model a server: the bytes choose the outcomes.
-func lawful(t *testing.T, data []byte) [][]Action {
-	s := settings()
+// checkRules turns the bytes into valid events, checks each action against the rules and returns all actions. It does
+// not model a server: the bytes choose the outcomes.
+func checkRules(t *testing.T, data []byte) [][]Action {
+	s := testSettings()
 	s.Kinds[0].PerCall = 2
 	c, err := New(s, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	hosts := []Host{ready("a", 1, 0, 0), ready("b", 1, 0, 1), ready("c", 2, 2, 0), ready("d", 2, 2, 1)}
-	where := map[string]*Host{}
+	hosts := []Host{readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 1), readyHost("c", 2, 2, 0), readyHost("d", 2, 2, 1)}
+	hostByAddr := map[string]*Host{}
 	for i := range hosts {
-		where[hosts[i].Addr] = &hosts[i]
+		hostByAddr[hosts[i].Addr] = &hosts[i]
 	}
 	now := time.Hour
-	lives, wait, settled := map[string]*life{}, map[string]time.Duration{}, map[string]time.Duration{}
+	states, waitUntil, blockedUntil := map[string]*messageState{}, map[string]time.Duration{}, map[string]time.Duration{}
 	var ids []string
 	var all [][]Action
-	play := func(events ...Event) {
+	step := func(events ...Event) {
 		acts := c.Step(now, events)
 		all = append(all, acts)
 		for _, a := range acts {
 			switch a := a.(type) {
 			case Send:
-				l, h := lives[a.ID], where[a.Host]
+				l, h := states[a.ID], hostByAddr[a.Host]
 				unit := fmt.Sprint(h.Dest)
 				if h.Dest == 2 {
 					unit = a.Host
 				}
 				class := s.Classes[l.class]
 				switch {
-				case l.over:
+				case l.finished:
 					t.Fatalf("sent %s after its final answer", a.ID)
-				case l.out != "":
+				case l.inFlightTo != "":
 					t.Fatalf("two attempts of %s in flight at once", a.ID)
-				case l.tries >= s.MaxAttempts:
-					t.Fatalf("attempt %d of %s exceeds MaxAttempts", l.tries+1, a.ID)
+				case l.attempts >= s.MaxAttempts:
+					t.Fatalf("attempt %d of %s exceeds MaxAttempts", l.attempts+1, a.ID)
 				case h.State != Ready:
 					t.Fatalf("sent to host %s in state %d, want Ready", a.Host, h.State)
-				case now < wait[unit]:
+				case now < waitUntil[unit]:
 					t.Fatalf("sent to %s within the wait it asked for", a.Host)
-				case l.ran && class.Effect == Unsafe:
+				case l.mayHaveRun && class.Effect == Unsafe:
 					t.Fatalf("repeated unsafe %s", a.ID)
-				case l.ran && class.Effect == Keyed && (now > l.ranAt+class.Window || h.Zone != l.ranZone):
+				case l.mayHaveRun && class.Effect == Keyed && (now > l.firstRunAt+class.Window || h.Zone != l.firstRunZone):
 					t.Fatalf("repeated keyed %s outside its window or zone", a.ID)
 				case a.Timeout <= 0 || now+a.Timeout > l.due:
 					t.Fatalf("timeout %v of %s with %v left until its deadline", a.Timeout, a.ID, l.due-now)
 				}
 				if class.Ordered && l.key != "" {
-					if now < settled[l.key] {
+					if now < blockedUntil[l.key] {
 						t.Fatalf("sent a message of key %s while it is blocked after an unknown outcome", l.key)
 					}
 					for _, id := range ids {
-						if o := lives[id]; o.key == l.key && o.seq < l.seq && (!o.over || o.out != "") {
+						if o := states[id]; o.key == l.key && o.seq < l.seq && (!o.finished || o.inFlightTo != "") {
 							t.Fatalf("%s overtook %s", a.ID, id)
 						}
 					}
 				}
-				l.tries++
-				l.out = a.Host
-				if !l.ran {
-					l.ranAt, l.ranZone = now, h.Zone
+				l.attempts++
+				l.inFlightTo = a.Host
+				if !l.mayHaveRun {
+					l.firstRunAt, l.firstRunZone = now, h.Zone
 				}
 			case Refuse:
-				l := lives[a.ID]
-				if l.over || l.out != "" || l.ran && s.Classes[l.class].Effect != Safe || now > l.due {
+				l := states[a.ID]
+				if l.finished || l.inFlightTo != "" || l.mayHaveRun && s.Classes[l.class].Effect != Safe || now > l.due {
 					t.Fatalf("refused %s after its end or its deadline, in flight, or although it may have run", a.ID)
 				}
-				l.over = true
+				l.finished = true
 			case Fail:
-				l := lives[a.ID]
-				if l.over || now > l.due+s.Rules.AnswerGrace {
+				l := states[a.ID]
+				if l.finished || now > l.due+s.Rules.AnswerGrace {
 					t.Fatalf("failed %s after its final answer or too late", a.ID)
 				}
-				l.over = true
+				l.finished = true
 			}
 		}
 		for _, id := range ids {
-			if l := lives[id]; !l.over && now > l.due+s.Rules.AnswerGrace {
+			if l := states[id]; !l.finished && now > l.due+s.Rules.AnswerGrace {
 				t.Fatalf("%s has no final answer after its deadline", id)
 			}
 		}
-		if out := c.busy; out > s.Workers {
+		if out := c.inFlight; out > s.Workers {
 			t.Fatalf("%d calls in flight with %d slots", out, s.Workers)
 		}
 	}
 	finish := func(id string, o Outcome, told time.Duration) Event {
-		l := lives[id]
-		h := where[l.out]
-		e := Result{ID: id, Host: l.out, Attempt: l.tries - 1, Outcome: o, Took: 30 * ms, Done: o == Served || l.over}
+		l := states[id]
+		h := hostByAddr[l.inFlightTo]
+		e := Result{ID: id, Host: l.inFlightTo, Attempt: l.attempts - 1, Outcome: o, Took: 30 * ms, Done: o == Served || l.finished}
 		switch o {
 		case Served:
-			l.over = true
+			l.finished = true
 		case Refused:
 			e.Wait = told
 			unit := fmt.Sprint(h.Dest)
 			if h.Dest == 2 {
-				unit = l.out
+				unit = l.inFlightTo
 			}
-			wait[unit] = max(wait[unit], now+told)
+			waitUntil[unit] = max(waitUntil[unit], now+told)
 		case Timeout, Reset, Cancelled, Error:
-			l.ran = true
+			l.mayHaveRun = true
 			if o != Error && l.key != "" {
 				l.unsureAt = now
 			}
 		}
-		l.out = ""
+		l.inFlightTo = ""
 		return e
 	}
-	play(Listing{Whole: true, Hosts: hosts})
+	step(Listing{Whole: true, Hosts: hosts})
 	for i := 0; i+1 < len(data); i += 2 {
 		op, arg := data[i], int(data[i+1])
 		switch op % 5 {
 		case 0:
 			id := fmt.Sprint("m", len(ids))
-			l := &life{class: arg % 4, due: now + time.Duration(1+arg/32)*time.Second, seq: len(ids)}
+			l := &messageState{class: arg % 4, due: now + time.Duration(1+arg/32)*time.Second, seq: len(ids)}
 			if l.class == 3 {
 				l.key = fmt.Sprint("k", arg/16%3)
 			}
-			lives[id] = l
+			states[id] = l
 			ids = append(ids, id)
-			play(Arrival{ID: id, Class: l.class, Dest: 1 + arg/8%2, Left: l.due - now, Key: l.key})
+			step(Arrival{ID: id, Class: l.class, Dest: 1 + arg/8%2, Left: l.due - now, Key: l.key})
 		case 1:
 			for _, id := range ids {
-				if lives[id].out != "" {
+				if states[id].inFlightTo != "" {
 					o := Outcome(arg % int(NotSent+1))
-					play(finish(id, o, time.Duration(arg/8)*50*ms))
-					if l := lives[id]; l.over || o == Timeout || o == Reset || o == Cancelled {
-						if l.key != "" && l.over && l.unsureAt > 0 {
-							settled[l.key] = max(settled[l.key], l.unsureAt+s.Rules.OrderSettle)
+					step(finish(id, o, time.Duration(arg/8)*50*ms))
+					if l := states[id]; l.finished || o == Timeout || o == Reset || o == Cancelled {
+						if l.key != "" && l.finished && l.unsureAt > 0 {
+							blockedUntil[l.key] = max(blockedUntil[l.key], l.unsureAt+s.Rules.OrderSettle)
 						}
 					}
 					break
@@ -160,7 +160,7 @@
 		case 2:
 			h := &hosts[arg%4]
 			h.State = State(arg / 4 % 3)
-			play(Listing{Hosts: []Host{*h}})
+			step(Listing{Hosts: []Host{*h}})
 			if h.State == Gone {
 				h.State = Draining // calls in flight still name it; new ones must not go there
 			}
@@ -169,18 +169,18 @@
 				now += 5 * ms
 				var due []Event
 				for _, id := range ids {
-					if l := lives[id]; l.out != "" && now >= l.due {
+					if l := states[id]; l.inFlightTo != "" && now >= l.due {
 						due = append(due, finish(id, Timeout, 0))
 					}
 				}
-				play(append(due, Woken{})...)
+				step(append(due, Woken{})...)
 			}
 		}
 	}
 	return all
 }
 
-func seeds() [][]byte {
+func fuzzSeeds() [][]byte {
 	var out [][]byte
 	for k := range 12 {
 		x := uint32(k*2654435761 + 12345)
@@ -195,20 +195,20 @@
 }
 
 func FuzzRules(f *testing.F) {
-	for _, s := range seeds() {
+	for _, s := range fuzzSeeds() {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if len(data) > 4000 {
 			t.Skip("longer inputs only take more time")
 		}
-		lawful(t, data)
+		checkRules(t, data)
 	})
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	for i, s := range seeds() {
-		if a, b := lawful(t, s), lawful(t, s); !reflect.DeepEqual(a, b) {
+	for i, s := range fuzzSeeds() {
+		if a, b := checkRules(t, s), checkRules(t, s); !reflect.DeepEqual(a, b) {
 			t.Errorf("seed %d: two runs with the same events gave different actions", i)
 		}
 	}
--- a/choice/large_test.go
+++ b/choice/large_test.go
@@ -7,8 +7,8 @@
 
 // Tests of faults found in deployments with large fleets and hosts of low capacity.
 
-// closes returns the hosts of the CloseIdle actions.
-func closes(acts []Action) (out []string) {
+// closedHosts returns the hosts of the CloseIdle actions.
+func closedHosts(acts []Action) (out []string) {
 	for _, a := range acts {
 		if c, ok := a.(CloseIdle); ok {
 			out = append(out, c.Host)
@@ -18,7 +18,7 @@
 }
 
 // deliver hands in one message, reports it served, and returns the actions of both steps.
-func (r *rig) deliver(m Arrival) []Action {
+func (r *harness) deliver(m Arrival) []Action {
 	r.t.Helper()
 	acts := r.step(m)
 	s := sends(acts)
@@ -26,45 +26,45 @@
 		r.t.Fatalf("%d sends for %s, want 1", len(s), m.ID)
 	}
 	r.now += 50 * ms
-	return append(acts, r.step(r.end(m.ID, s[0].Host, Served))...)
+	return append(acts, r.step(r.result(m.ID, s[0].Host, Served))...)
 }
 
 func TestIdleConnectionsThatGetLost(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.ConnIdle = 5 * time.Second
-	r := newRig(t, s, ready("a", 1, 0, 0))
-	if n := closes(r.deliver(arrival("first", 0))); len(n) != 0 {
+	r := newHarness(t, s, readyHost("a", 1, 0, 0))
+	if n := closedHosts(r.deliver(arrival("first", 0))); len(n) != 0 {
 		t.Errorf("closed %v although every call got a connection", n)
 	}
 	var acts []Action
 	for i, id := range []string{"one", "two", "three", "late"} {
 		r.now += 4 * time.Second
 		acts = r.step(arrival(id, 2))
-		if n := closes(acts); i < 3 && len(n) != 0 {
+		if n := closedHosts(acts); i < 3 && len(n) != 0 {
 			t.Errorf("closed %v after %d lost calls on idle connections, want none: that may be random", n, i)
 		} else if i == 3 {
 			break
 		}
 		r.now += time.Second
-		r.step(r.end(id, "a", Reset, func(e *Result) { e.Took = time.Second }))
-		r.after(5 * time.Second) // until the next probe is due
+		r.step(r.result(id, "a", Reset, func(e *Result) { e.Took = time.Second }))
+		r.advance(5 * time.Second) // until the next probe is due
 		r.deliver(arrival("well after "+id, 0))
 	}
-	if n := closes(acts); len(n) != 1 || len(sends(acts)) != 1 {
+	if n := closedHosts(acts); len(n) != 1 || len(sends(acts)) != 1 {
 		t.Errorf("closed %v before a call, want the connection closed that was idle as long as the lost ones", n)
 	}
 }
 
 func TestFullTablesGetNoIdleConnections(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.ConnIdle = 5 * time.Second
 	other := arrival("other", 0)
 	other.Dest = 2
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 2, 0, 0))
+	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0))
 	r.deliver(other)
 	acts := r.step(arrival("none", 0))
-	acts = r.step(r.end("none", sends(acts)[0].Host, NoConnection))
-	if n := closes(acts); len(n) != 2 || r.c.hosts["b"].kept {
+	acts = r.step(r.result("none", sends(acts)[0].Host, NoConnection))
+	if n := closedHosts(acts); len(n) != 2 || r.c.hosts["b"].keptOpen {
 		t.Errorf("closed %v after a call to this kind got no connection, want the idle ones of both hosts closed", n)
 	}
 }
@@ -72,18 +72,18 @@
 func TestRetriesDoNotOutweighFirstTriesAtAFullQueue(t *testing.T) {
 	// A hanging partner refuses with a full queue and asks for no wait. When it returns cold, at most two thirds of
 	// its load may be retries of relays that were refused there. Here 100 relays accept 5 messages per second.
-	s := settings()
+	s := testSettings()
 	s.Fleet, s.Listed = 100, false
 	s.Classes[0].Deadline = 20 * time.Second
 	first, again := 0, 0
-	relays := make([]*rig, s.Fleet)
+	relays := make([]*harness, s.Fleet)
 	for i := range relays {
 		c, err := New(s, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		relays[i] = &rig{t: t, c: c, now: time.Hour, try: map[string]int{}}
-		relays[i].step(Listing{Whole: true, Hosts: []Host{ready("a", 1, 0, 0)}})
+		relays[i] = &harness{t: t, c: c, now: time.Hour, attempts: map[string]int{}}
+		relays[i].step(Listing{Whole: true, Hosts: []Host{readyHost("a", 1, 0, 0)}})
 	}
 	for tick := range 4000 { // 20 s
 		for i, r := range relays {
@@ -94,11 +94,11 @@
 				m.Left = 20 * time.Second
 				events = append(events, m)
 			}
-			for acts := r.step(events...); len(sends(acts)) > 0; acts = r.step(r.end("m", "a", Refused)) {
+			for acts := r.step(events...); len(sends(acts)) > 0; acts = r.step(r.result("m", "a", Refused)) {
 				if tick < 2000 {
 					continue
 				}
-				if r.try["m"] == 1 {
+				if r.attempts["m"] == 1 {
 					first++
 				} else {
 					again++
@@ -114,7 +114,7 @@
 func TestShutPartnersAreNotMetByAllAtOnce(t *testing.T) {
 	// Refusals told 60 relays when a partner opens. Cold, it accepts 5 calls/s * 0.2 * 2, which is 4 calls in
 	// the 2 s of Rules.Fall.
-	s := settings()
+	s := testSettings()
 	s.Fleet = 200
 	due := 0
 	for i := range 60 {
@@ -122,8 +122,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{t: t, c: c, now: time.Hour, try: map[string]int{}}
-		h := ready("a", 1, 0, 0)
+		r := &harness{t: t, c: c, now: time.Hour, attempts: map[string]int{}}
+		h := readyHost("a", 1, 0, 0)
 		h.Rate = 5
 		r.step(Listing{Whole: true, Hosts: []Host{h}})
 		opens := r.now + 9*time.Second
@@ -131,7 +131,7 @@
 		if len(sends(r.step(arrival("m", 0)))) != 1 {
 			t.Fatal("no first attempt")
 		}
-		r.step(r.end("m", "a", Refused, func(e *Result) { e.Wait = opens - r.now }))
+		r.step(r.result("m", "a", Refused, func(e *Result) { e.Wait = opens - r.now }))
 		for r.now < opens+2*time.Second {
 			r.now += 5 * ms
 			if n := len(sends(r.step(Woken{}))); n > 0 {
@@ -148,19 +148,19 @@
 }
 
 func TestOneLostCallDoesNotStopASeldomMetPartner(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Fleet, s.Listed = 100, false
-	r := newRig(t, s, ready("a", 1, 0, 0))
-	r.after(5 * time.Second)
+	r := newHarness(t, s, readyHost("a", 1, 0, 0))
+	r.advance(5 * time.Second)
 	r.step(arrival("m", 0))
-	r.step(r.end("m", "a", Error))
-	for waited := time.Duration(0); len(sends(r.after(5*ms))) == 0; waited += 5 * ms {
+	r.step(r.result("m", "a", Error))
+	for waited := time.Duration(0); len(sends(r.advance(5*ms))) == 0; waited += 5 * ms {
 		if waited > time.Second {
 			t.Fatal("no second attempt within a second of a single error")
 		}
 	}
 	r.now += 50 * ms
-	r.step(r.end("m", "a", Served))
+	r.step(r.result("m", "a", Served))
 	if u := r.c.hosts["a"].unit; u.state != healthy {
 		t.Errorf("health %v after a single error and a served call, want healthy", u.state)
 	}
@@ -168,18 +168,18 @@
 
 func TestSeldomMetUnitsRestart(t *testing.T) {
 	// A relay that seldom calls each partner fills no table of a destination, only the one of all destinations.
-	s := settings()
+	s := testSettings()
 	s.Fleet, s.Listed = 100, false
-	r := newRig(t, s)
+	r := newHarness(t, s)
 	for i := range minSamples + 1 {
-		h := ready(string(rune('A'+i)), i+2, 0, 0)
+		h := readyHost(string(rune('A'+i)), i+2, 0, 0)
 		r.step(Listing{Hosts: []Host{h}})
 		m := arrival(h.Addr, 0)
 		m.Dest = h.Dest
 		r.deliver(m)
 	}
-	r.step(Listing{Hosts: []Host{ready("a", 1, 0, 0)}})
-	r.after(time.Second)
+	r.step(Listing{Hosts: []Host{readyHost("a", 1, 0, 0)}})
+	r.advance(time.Second)
 	if got := sends(r.step(arrival("m", 0))); len(got) != 1 || got[0].Timeout > 2*s.Classes[0].Aim {
 		t.Errorf("sends %v, want one with a timeout that leaves time for a restart", got)
 	}
@@ -191,10 +191,10 @@
 func TestRetriesRestWhereNoneIsServedAndNoneTold(t *testing.T) {
 	// After nine refused retries the next back-off must be several times longer than at the start.
 	pause := func(failed int, told bool) time.Duration {
-		s := settings()
+		s := testSettings()
 		s.Fleet, s.Listed = 100, false
-		r := newRig(t, s, ready("a", 1, 0, 0))
-		d := r.c.dests[1]
+		r := newHarness(t, s, readyHost("a", 1, 0, 0))
+		d := r.c.destByID[1]
 		u := d.units[0]
 		sum := time.Duration(0)
 		for range failed {
@@ -202,11 +202,11 @@
 			if told {
 				wait = ms
 			}
-			u.bad = 0
-			r.c.refused(u, d, wait)
+			u.unservedInRow = 0
+			r.c.handleRefusal(u, d, wait)
 		}
 		for range 100 {
-			sum += r.c.spread(u, d, 0)
+			sum += r.c.refusalBackoff(u, d, 0)
 		}
 		return sum / 100
 	}
@@ -219,41 +219,41 @@
 }
 
 func TestASecondHostThatFailedWasTheTrial(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Fleet, s.Listed = 100, false
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 1, 0, 0))
-	r.after(5 * time.Second)
+	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0))
+	r.advance(5 * time.Second)
 	first := sends(r.step(arrival("m", 0)))
 	r.now += time.Second
-	second := sends(r.step(r.end("m", first[0].Host, NoConnection, func(e *Result) { e.Took = time.Second })))
+	second := sends(r.step(r.result("m", first[0].Host, NoConnection, func(e *Result) { e.Took = time.Second })))
 	if len(second) != 1 || second[0].Host == first[0].Host {
 		t.Fatalf("sends %v after a failure of one host, want one to the other", second)
 	}
 	r.now += time.Second
-	r.step(r.end("m", second[0].Host, NoConnection, func(e *Result) { e.Took = time.Second }))
-	if n := len(sends(r.after(3 * time.Second))); n > 0 {
+	r.step(r.result("m", second[0].Host, NoConnection, func(e *Result) { e.Took = time.Second }))
+	if n := len(sends(r.advance(3 * time.Second))); n > 0 {
 		t.Errorf("%d calls within 3s of the failures of both hosts, want none", n)
 	}
 }
 
 func TestAFullTableIsNoOutage(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Fleet, s.Listed = 100, false
-	r := newRig(t, s, ready("a", 1, 0, 0))
-	r.c.habits[0].unconn = 1.0 / history
-	r.after(5 * time.Second)
+	r := newHarness(t, s, readyHost("a", 1, 0, 0))
+	r.c.statsByKind[0].noConnShare = 1.0 / outcomeHistory
+	r.advance(5 * time.Second)
 	r.step(arrival("m", 0))
-	r.step(r.end("m", "a", NoConnection))
-	if u := r.c.hosts["a"].unit; u.state != healthy || u.pauseUntil <= r.now {
+	r.step(r.result("m", "a", NoConnection))
+	if u := r.c.hosts["a"].unit; u.state != healthy || u.backoffUntil <= r.now {
 		t.Errorf("health %v, back-off until %v at %v after a full connection table, want healthy and a back-off",
-			u.state, u.pauseUntil, r.now)
+			u.state, u.backoffUntil, r.now)
 	}
 }
 
 func TestTrialsOfAllRelaysStayWithinTheBudget(t *testing.T) {
 	// All 200 relays know that a large partner is down. On its return it accepts 50 calls/s * 0.2 and is
 	// overloaded at twice that.
-	s := settings()
+	s := testSettings()
 	s.Fleet = 200
 	rate := 0.0
 	for i := range 200 {
@@ -262,8 +262,8 @@
 			t.Fatal(err)
 		}
 		c.now = time.Hour
-		u := &unit{listed: 50, trials: 1, state: suspect}
-		rate += 1 / c.gap(u).Seconds()
+		u := &unit{listedRate: 50, failedProbes: 1, state: suspect}
+		rate += 1 / c.probeInterval(u).Seconds()
 	}
 	if rate > 50*0.2*2 {
 		t.Errorf("%.1f probes per second by all relays, want at most 20", rate)
@@ -272,13 +272,13 @@
 
 func TestRefusalsTellWhenToComeBack(t *testing.T) {
 	for longest, want := range map[time.Duration]time.Duration{0: 0, 2 * time.Second: 2 * time.Second, 9 * time.Second: 5 * time.Second} {
-		s := settings()
+		s := testSettings()
 		s.MaxRetryAfter, s.MaxAttempts = longest, 1
-		r := newRig(t, s, ready("a", 1, 0, 0))
+		r := newHarness(t, s, readyHost("a", 1, 0, 0))
 		r.step(arrival("m", 0))
-		acts := r.step(r.end("m", "a", Refused, func(e *Result) { e.Wait = 5 * time.Second }))
-		if answers(acts) != "refuse m;" {
-			t.Errorf("final answers %q when the attempts are used up, want a refusal at once", answers(acts))
+		acts := r.step(r.result("m", "a", Refused, func(e *Result) { e.Wait = 5 * time.Second }))
+		if finalAnswers(acts) != "refuse m;" {
+			t.Errorf("final answers %q when the attempts are used up, want a refusal at once", finalAnswers(acts))
 		}
 		for _, a := range acts {
 			if a, ok := a.(Refuse); ok && (a.After < want || a.After > longest) {
@@ -289,13 +289,13 @@
 }
 
 func TestHostsThatFailDoNotHideBehindAnUntriedOne(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Fleet, s.Listed = 100, false
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 1, 0, 0), ready("c", 1, 0, 0))
+	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0), readyHost("c", 1, 0, 0))
 	for i, h := range []string{"a", "b", "c"} {
-		r.c.hosts[h].liking = float64(i) / 2 // a and b are preferred by far to c
+		r.c.hosts[h].preference = float64(i) / 2 // a and b are preferred by far to c
 	}
-	r.c.hosts["a"].fails, r.c.hosts["b"].fails = 2, 2
+	r.c.hosts["a"].failuresInRow, r.c.hosts["b"].failuresInRow = 2, 2
 	if got := sends(r.step(arrival("m", 0))); len(got) != 1 || got[0].Host != "c" {
 		t.Errorf("sends %v, want one to the host that never failed", got)
 	}
--- a/choice/pacing_test.go
+++ b/choice/pacing_test.go
@@ -8,7 +8,7 @@
 
 // serveSteadily hands in a message every interval for the given span and reports each call with the outcome that the
 // function returns for its number. It returns the number of calls.
-func serveSteadily(r *rig, span, interval time.Duration, outcome func(sent int) Outcome) (sent int) {
+func serveSteadily(r *harness, span, interval time.Duration, outcome func(sent int) Outcome) (sent int) {
 	next := r.now
 	var events []Event
 	for n, end := 0, r.now+span; r.now < end; r.now += 5 * ms {
@@ -21,7 +21,7 @@
 		events = nil
 		for _, send := range sends(actions) {
 			sent++
-			events = append(events, r.end(send.ID, send.Host, outcome(sent)))
+			events = append(events, r.result(send.ID, send.Host, outcome(sent)))
 		}
 	}
 	return sent
@@ -30,9 +30,9 @@
 // TestFirstRefusalLeavesNoDebt guards against a destination that gets no calls for seconds after its first refusal:
 // calls sent while there was no limit must not leave a debt of tokens.
 func TestFirstRefusalLeavesNoDebt(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Listed, s.Fleet = false, 1
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	const refused = 200
 	serveSteadily(r, 11*time.Second, 50*ms, func(sent int) Outcome {
 		if sent == refused {
@@ -49,9 +49,9 @@
 // TestFullDestinationIsNotOverrun guards against overloading a destination at its capacity that reports neither a rate
 // nor waits: the limit must fall until few calls are refused.
 func TestFullDestinationIsNotOverrun(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Listed, s.Fleet, s.Workers = false, 1, 20
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	const capacity = 10 // calls in each second
 	second, taken, refused := time.Duration(0), 0, 0
 	full := func(int) Outcome {
@@ -71,23 +71,23 @@
 	if served := sent - refused; served < 7*capacity {
 		t.Errorf("%d calls served in 10s, want at least 0.7 of %d", served, 10*capacity)
 	}
-	if float64(refused) > mostChance*float64(sent) {
-		t.Errorf("%d of %d calls refused, want a share of at most %v", refused, sent, mostChance)
+	if float64(refused) > maxRandomShare*float64(sent) {
+		t.Errorf("%d of %d calls refused, want a share of at most %v", refused, sent, maxRandomShare)
 	}
 }
 
 // TestToldWaitCutsThePace guards against taking the refusals of a destination that asks for waits (Retry-After) for
 // random: they are due to its rate limit, however few they are.
 func TestToldWaitCutsThePace(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Listed, s.Fleet = false, 1
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	serveSteadily(r, 3*time.Second, 50*ms, func(int) Outcome { return Served })
-	u := r.c.order[0].units[0]
+	u := r.c.destList[0].units[0]
 	for _, send := range sends(r.step(arrival("told", 0))) {
-		r.step(r.end(send.ID, send.Host, Refused, func(e *Result) { e.Wait = 100 * ms }))
+		r.step(r.result(send.ID, send.Host, Refused, func(e *Result) { e.Wait = 100 * ms }))
 	}
-	if found := u.cutFrom; found == 0 || u.limit > (1-cutShare)*found+0.1 {
+	if found := u.rateBeforeCut; found == 0 || u.limit > (1-maxCut)*found+0.1 {
 		t.Errorf("limit %v after a refusal with a wait at a rate of %v, want a cut by a fifth", u.limit, found)
 	}
 }
@@ -95,10 +95,10 @@
 // TestLimitStaysFinite guards against a destination that gets no calls after hours without a cut, because its limit
 // has grown to infinity and the tokens are NaN.
 func TestLimitStaysFinite(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Listed, s.Fleet = false, 1
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
-	u := r.c.order[0].units[0]
+	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+	u := r.c.destList[0].units[0]
 	u.limit = 1
 	const hours = 3
 	for range hours * 3600 {
@@ -114,13 +114,13 @@
 // TestPaceBeforeTheFirstServedIsLifted guards against a limit that stays although it was set before the destination
 // had served anything: the first served call removes it, whatever the number of refusals.
 func TestPaceBeforeTheFirstServedIsLifted(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Listed, s.Fleet, s.MaxAttempts = false, 1, 20
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	serveSteadily(r, 4*time.Second, 500*ms, func(int) Outcome { return Refused })
-	u := r.c.order[0].units[0]
-	if u.limit == 0 || u.bad < 4 {
-		t.Fatalf("limit %v after %d refusals, want a limit after at least 4", u.limit, u.bad)
+	u := r.c.destList[0].units[0]
+	if u.limit == 0 || u.unservedInRow < 4 {
+		t.Fatalf("limit %v after %d refusals, want a limit after at least 4", u.limit, u.unservedInRow)
 	}
 	serveSteadily(r, 10*time.Second, 500*ms, func(int) Outcome { return Served })
 	if u.limit != 0 {
--- a/choice/platform_test.go
+++ b/choice/platform_test.go
@@ -9,32 +9,32 @@
 // TestShortRestsAreNoEvidence guards against distrusting idle connections because of calls lost on ones that had been
 // idle for a moment only: slow hosts lose calls too.
 func TestShortRestsAreNoEvidence(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.ConnIdle = 5 * time.Second
-	r := newRig(t, s, ready("a", 1, 0, 0))
+	r := newHarness(t, s, readyHost("a", 1, 0, 0))
 	r.deliver(arrival("first", 0))
 	for i, id := range []string{"l1", "l2", "l3", "l4"} {
 		r.now += 100 * ms
 		r.step(arrival(id, 2))
 		r.now += time.Second
-		r.step(r.end(id, "a", Timeout, func(e *Result) { e.Took = time.Second }))
+		r.step(r.result(id, "a", Timeout, func(e *Result) { e.Took = time.Second }))
 		r.now += 10 * time.Second // until the next probe is due
 		r.deliver(arrival("ok"+id, 0))
 		if i == 0 {
 			continue
 		}
 		r.now += 100 * ms
-		if n := closes(r.step(arrival("next"+id, 0))); len(n) != 0 {
+		if n := closedHosts(r.step(arrival("next"+id, 0))); len(n) != 0 {
 			t.Fatalf("closed %v after an idle time of 100 ms, want none", n)
 		}
-		r.step(r.end("next"+id, "a", Served))
+		r.step(r.result("next"+id, "a", Served))
 	}
 }
 
 // TestOneTimeOutForACall checks that the messages of a call have one timeout, since they end together: the longest
 // among them, up to the earliest deadline.
 func TestOneTimeOutForACall(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 1, 0))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 1, 0))
 	for i := range 40 { // fill the latency table with short latencies
 		r.deliver(arrival("warm"+string(rune('a'+i)), 0))
 		r.now += 200 * ms
@@ -56,32 +56,32 @@
 // TestOrderWaitsForNotices guards against overtaking within a key: a message that ended with a notice blocks its key
 // until the notice is acknowledged, also across a restart.
 func TestOrderWaitsForNotices(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Acknowledged = true
 	for _, restart := range []bool{false, true} {
-		r := newRig(t, s, ready("a", 1, 0, 0))
+		r := newHarness(t, s, readyHost("a", 1, 0, 0))
 		first, second, other := arrival("first", 3), arrival("second", 3), arrival("other", 3)
 		first.Key, second.Key, other.Key = "k", "k", "o"
 		if restart {
 			r.step(Restored{Arrival: first, Answered: true})
 		} else {
 			r.step(first)
-			r.step(r.end("first", "a", Error)) // fails, since it may have run
+			r.step(r.result("first", "a", Error)) // fails, since it may have run
 		}
-		acts := append(r.step(second, other), r.after(time.Second)...)
+		acts := append(r.step(second, other), r.advance(time.Second)...)
 		if slices.ContainsFunc(sends(acts), func(x Send) bool { return x.ID == "second" }) {
 			t.Errorf("restart %v: second sent before the notice of first was acknowledged", restart)
 		}
 		if !slices.ContainsFunc(sends(acts), func(x Send) bool { return x.ID == "other" }) {
 			t.Errorf("restart %v: a message of another key was not sent", restart)
 		}
-		r.step(r.end("other", "a", Served))
-		acts = append(r.step(Settled{"first"}), r.after(time.Second)...)
+		r.step(r.result("other", "a", Served))
+		acts = append(r.step(Settled{"first"}), r.advance(time.Second)...)
 		if !slices.ContainsFunc(sends(acts), func(x Send) bool { return x.ID == "second" }) {
 			t.Errorf("restart %v: second not sent after the notice was acknowledged", restart)
 		}
-		if len(r.c.owing) != 0 {
-			t.Errorf("restart %v: %d messages still unacknowledged, want none", restart, len(r.c.owing))
+		if len(r.c.unacknowledged) != 0 {
+			t.Errorf("restart %v: %d messages still unacknowledged, want none", restart, len(r.c.unacknowledged))
 		}
 	}
 }
@@ -89,9 +89,9 @@
 // TestServedTooLate checks that a message served too late for its client fails once and is not sent again.
 func TestServedTooLate(t *testing.T) {
 	for class := range 3 {
-		r := newRig(t, settings(), ready("a", 1, 0, 0))
+		r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 		r.step(arrival("m", class))
-		acts := append(r.step(r.end("m", "a", Served, func(e *Result) { e.Done = false })), r.after(2*time.Second)...)
+		acts := append(r.step(r.result("m", "a", Served, func(e *Result) { e.Done = false })), r.advance(2*time.Second)...)
 		fails := 0
 		for _, a := range acts {
 			switch a.(type) {
@@ -109,9 +109,9 @@
 
 // TestStopThatKeeps checks that after a Stop with Keep nothing is sent or answered, since a later run resumes.
 func TestStopThatKeeps(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	r.step(Stop{Keep: true})
-	acts := append(r.step(arrival("m", 0)), r.after(time.Second)...)
+	acts := append(r.step(arrival("m", 0)), r.advance(time.Second)...)
 	for _, a := range acts {
 		switch a.(type) {
 		case Send, Refuse, Fail:
@@ -122,9 +122,9 @@
 
 // TestSpentIsTheLastAttempt checks that a result with Spent ends a message, whatever the number of counted attempts.
 func TestSpentIsTheLastAttempt(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	r.step(arrival("m", 0))
-	acts := r.step(r.end("m", "a", NotSent, func(e *Result) { e.Spent = true }))
+	acts := r.step(r.result("m", "a", NotSent, func(e *Result) { e.Spent = true }))
 	if len(sends(acts)) != 0 || !slices.ContainsFunc(acts, func(a Action) bool { _, ok := a.(Refuse); return ok }) {
 		t.Errorf("actions %v after a result with Spent, want a refusal", acts)
 	}
@@ -133,7 +133,7 @@
 // TestOneErrorForACall guards against suspecting a host after one failed call that carried several messages: their
 // errors count as one failure.
 func TestOneErrorForACall(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 1, 0))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 1, 0))
 	for i := range 6 {
 		r.deliver(arrival("well"+string(rune('a'+i)), 0))
 		r.now += 200 * ms
@@ -146,10 +146,10 @@
 		}
 		var ends []Event
 		for _, x := range s {
-			ends = append(ends, r.end(x.ID, "a", Error))
+			ends = append(ends, r.result(x.ID, "a", Error))
 		}
 		r.step(ends...)
-		if got := r.c.dests[1].units[0].state; got != want {
+		if got := r.c.destByID[1].units[0].state; got != want {
 			t.Errorf("after %d failed calls: health %d, want %d", try+1, got, want)
 		}
 		r.now += 3 * time.Second
@@ -159,12 +159,12 @@
 // TestRepeatsSayUntilWhen guards against a keyed repeat that is written after its window because its connection took
 // long to open: its Send carries the rest of the window. First attempts and safe messages carry no such limit.
 func TestRepeatsSayUntilWhen(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	if s := sends(r.step(arrival("safe", 0), arrival("keyed", 1))); len(s) != 2 || s[0].Within != 0 || s[1].Within != 0 {
 		t.Fatalf("first sends %+v, want two without a limit", s)
 	}
 	r.now += time.Second
-	acts := append(r.step(r.end("safe", "a", Reset), r.end("keyed", "a", Reset)), r.after(1500*ms)...)
+	acts := append(r.step(r.result("safe", "a", Reset), r.result("keyed", "a", Reset)), r.advance(1500*ms)...)
 	again := sends(acts)
 	i := slices.IndexFunc(again, func(s Send) bool { return s.ID == "keyed" })
 	if i < 0 || again[i].Within <= 0 || again[i].Within > 2*time.Second {
@@ -182,10 +182,10 @@
 // no penalty.
 func TestCrowdedRelayRefusesBeforeTaking(t *testing.T) {
 	for _, cost := range []float64{0, 0.3} {
-		s := settings()
+		s := testSettings()
 		s.MaxHeld = 10
 		s.TakenBack.Cost, s.TakenBack.Before = cost, 0.7
-		r := newRig(t, s) // without a host all messages wait
+		r := newHarness(t, s) // without a host all messages wait
 		refused := func(acts []Action) (ids []string) {
 			for _, a := range acts {
 				if f, ok := a.(Refuse); ok {
@@ -223,13 +223,13 @@
 func TestRestoredThatMayHaveRunIsNotRefused(t *testing.T) {
 	for class := range 2 { // safe, keyed
 		for _, ran := range []bool{false, true} {
-			s := settings() // Certain is off
-			r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Draining})
+			s := testSettings() // Certain is off
+			r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Draining})
 			m := arrival("m", class)
 			r.step(Restored{Arrival: m, Attempts: 1, Ran: ran, Since: 100 * ms})
 			var acts []Action
 			for range 200 {
-				acts = append(acts, r.after(100*ms)...)
+				acts = append(acts, r.advance(100*ms)...)
 			}
 			refused := slices.ContainsFunc(acts, func(a Action) bool { _, is := a.(Refuse); return is })
 			failed := slices.Contains(acts, Action(Fail{ID: "m"}))
--- a/choice/retracted.go
+++ b/choice/retracted.go
@@ -14,12 +14,12 @@
 // retract records that a message may have run. If it may not be repeated, its final answer follows in this step,
 // or with its result if it is in flight again.
 func (c *Chooser) retract(e Retracted) {
-	m := c.msgs[e.ID]
-	if m == nil || m.ran {
+	m := c.messages[e.ID]
+	if m == nil || m.mayHaveRun {
 		return
 	}
-	m.ran, m.ranAt, m.unsure = true, c.now-e.Since, c.now
-	if m.last != nil {
-		m.ranZone = m.last.Zone
+	m.mayHaveRun, m.firstRunAt, m.unsureAt = true, c.now-e.Since, c.now
+	if m.lastHost != nil {
+		m.firstRunZone = m.lastHost.Zone
 	}
 }
