--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -14,8 +14,8 @@
 	"basaltcross.example/basaltcross/internal/platform"
 )
 
-// object is a settings object with a distinct value in each setting that is read.
-const object = `{"bounds":{"cancel":true,"conn-idle":7.5,"dial-timeout":1.25,"max-attempts":3,"max-retry-after":2.5,"most-held":9,"retry-after":true},
+// settingsObject is a settings object with a distinct value in each setting that is read.
+const settingsObject = `{"bounds":{"cancel":true,"conn-idle":7.5,"dial-timeout":1.25,"max-attempts":3,"max-retry-after":2.5,"most-held":9,"retry-after":true},
 "classes":[{"aim":1,"effect":"at_most_once","give-up":5,"group":"all","keep-order":true,"late-share":0.25,"name":"charge","window":2,"worth":3},
 {"aim":0.5,"effect":"deduplicated","give-up":4,"group":"zone","late-share":0.75,"name":"order","window":1,"worth":2},
 {"aim":2,"effect":"idempotent","give-up":8,"group":"all","late-share":0.5,"name":"status","window":1,"worth":1}],
@@ -28,7 +28,7 @@
 func TestOneTranslation(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "config.json")
-	text := `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7","limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"settings":` + object + `}`
+	text := `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7","limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"settings":` + settingsObject + `}`
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -43,46 +43,46 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	s := &server{out: bufio.NewWriter(&out), fields: map[string]string{}, sheets: map[int][]choice.Host{}, insts: map[string]*instance{}}
-	l, err := parse(1, "CONFIGURE\trelay-id=r\tentropy=7\tconfig="+strings.ReplaceAll(object, "\n", " "), map[string]string{})
+	s := &server{out: bufio.NewWriter(&out), fields: map[string]string{}, sheets: map[int][]choice.Host{}, instances: map[string]*instance{}}
+	l, err := parse(1, "CONFIGURE\trelay-id=r\tentropy=7\tconfig="+strings.ReplaceAll(settingsObject, "\n", " "), map[string]string{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := s.configure(l, "r"); err != nil {
 		t.Fatal(err)
 	}
-	sim := s.insts["r"].chooser
+	adapter := s.instances["r"].chooser
 	hosts := []choice.Host{{Addr: "a", Dest: 1, Kind: 0, Zone: 0, Rate: 20, State: choice.Ready}, {Addr: "b", Dest: 2, Kind: 1, Zone: 1, Rate: 3, State: choice.Ready}}
-	step, seen := 0, 0
+	step, compared := 0, 0
 	both := func(events ...choice.Event) []choice.Action {
 		step++
 		at := time.Duration(step) * 50 * time.Millisecond
-		x, y := sim.Step(at, events), node.Step(at, events)
+		x, y := adapter.Step(at, events), node.Step(at, events)
 		if fmt.Sprintf("%#v", x) != fmt.Sprintf("%#v", y) {
 			t.Fatalf("step %d: actions of the simulator's chooser\n%#v\nand of the node's\n%#v", step, x, y)
 		}
-		seen += len(x)
+		compared += len(x)
 		return x
 	}
 	both(choice.Listing{Whole: true, Hosts: hosts})
-	var out2 []choice.Send
+	var inFlight []choice.Send
 	for i := range 60 {
 		var events []choice.Event
-		for j, c := range out2 {
+		for j, c := range inFlight {
 			events = append(events, choice.Result{ID: c.ID, Host: c.Host, Attempt: -1, Outcome: choice.Outcome((i + j) % 6), Took: cfg.Settings.Tick * 3,
 				Done: (i+j)%6 == 0, Report: []float64{0.5, 10}})
 		}
 		for k := range 3 {
 			events = append(events, choice.Arrival{ID: fmt.Sprint(i, "-", k), Class: k, Dest: 1 + i%2, Left: cfg.Settings.Classes[k].Deadline, Key: fmt.Sprint(i % 4)})
 		}
-		out2 = nil
+		inFlight = nil
 		for _, a := range both(events...) {
 			if x, ok := a.(choice.Send); ok {
-				out2 = append(out2, x)
+				inFlight = append(inFlight, x)
 			}
 		}
 	}
-	if seen < 100 {
-		t.Errorf("only %d actions were compared, want at least 100", seen)
+	if compared < 100 {
+		t.Errorf("only %d actions were compared, want at least 100", compared)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -60,8 +60,8 @@
 	return l, nil
 }
 
-// fail records an error of a field, unless the line has one already.
-func (l *line) fail(field, what string) {
+// setError records an error of a field, unless the line has one already.
+func (l *line) setError(field, what string) {
 	if l.err == nil {
 		l.err = fmt.Errorf("line %d: %s: field %s: %s", l.number, l.name, field, what)
 	}
@@ -71,23 +71,23 @@
 func (l *line) text(field string) string {
 	v := l.fields[field]
 	if v == "" {
-		l.fail(field, "missing")
+		l.setError(field, "missing")
 	}
 	return v
 }
 
-// number64 returns a finite number. A field that is absent and not required is 0.
-func (l *line) number64(field string, required bool) float64 {
+// float returns a finite number. A field that is absent and not required is 0.
+func (l *line) float(field string, required bool) float64 {
 	v, ok := l.fields[field]
 	if !ok || v == "" {
 		if required || ok {
-			l.fail(field, "missing")
+			l.setError(field, "missing")
 		}
 		return 0
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		l.fail(field, fmt.Sprintf("%q is not a number", v))
+		l.setError(field, fmt.Sprintf("%q is not a number", v))
 		return 0
 	}
 	return f
@@ -95,16 +95,16 @@
 
 // seconds returns a time span given in seconds.
 func (l *line) seconds(field string, required bool) time.Duration {
-	f := l.number64(field, required)
+	f := l.float(field, required)
 	if math.Abs(f) > 1e9 {
-		l.fail(field, fmt.Sprintf("%g seconds is out of range", f))
+		l.setError(field, fmt.Sprintf("%g seconds is out of range", f))
 		return 0
 	}
 	return seconds(f)
 }
 
-// whole returns an integer. A field that is absent and not required is 0.
-func (l *line) whole(field string, required bool) int {
+// integer returns an integer. A field that is absent and not required is 0.
+func (l *line) integer(field string, required bool) int {
 	v, ok := l.fields[field]
 	if !ok && !required {
 		return 0
@@ -112,9 +112,9 @@
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
 		if v == "" {
-			l.fail(field, "missing")
+			l.setError(field, "missing")
 		} else {
-			l.fail(field, fmt.Sprintf("%q is not an integer", v))
+			l.setError(field, fmt.Sprintf("%q is not an integer", v))
 		}
 	}
 	return int(n)
@@ -124,13 +124,13 @@
 func (l *line) outcome(field string) choice.Outcome {
 	o, ok := outcomes[l.text(field)]
 	if !ok {
-		l.fail(field, fmt.Sprintf("%q is not an outcome", l.fields[field]))
+		l.setError(field, fmt.Sprintf("%q is not an outcome", l.fields[field]))
 	}
 	return o
 }
 
-// row returns a list of numbers separated by commas. An absent or empty field and "-" are an empty list.
-func (l *line) row(field string) []float64 {
+// floats returns a list of numbers separated by commas. An absent or empty field and "-" are an empty list.
+func (l *line) floats(field string) []float64 {
 	v := l.fields[field]
 	if v == "" || v == "-" {
 		return nil
@@ -139,7 +139,7 @@
 	for part := range strings.SplitSeq(v, ",") {
 		f, err := strconv.ParseFloat(part, 64)
 		if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-			l.fail(field, fmt.Sprintf("%q is not a list of numbers separated by commas", v))
+			l.setError(field, fmt.Sprintf("%q is not a list of numbers separated by commas", v))
 			return nil
 		}
 		row = append(row, f)
@@ -155,24 +155,24 @@
 	name    string
 	chooser *choice.Chooser
 	events  []choice.Event
-	due     bool // in server.turn: the batch has an event for it
+	queued  bool // in server.pending: the batch has an event for it
 }
 
 // server is the state of one session of the protocol.
 type server struct {
-	in     *bufio.Reader
-	out    *bufio.Writer
-	number int                   // number of the last line read
-	fields map[string]string     // fields of the last line read
-	sheets map[int][]choice.Host // host lists by sheet number
-	insts  map[string]*instance  // instances by relay name
-	turn   []*instance           // instances with events in the current batch, in order of their first event
+	in        *bufio.Reader
+	out       *bufio.Writer
+	number    int                   // number of the last line read
+	fields    map[string]string     // fields of the last line read
+	sheets    map[int][]choice.Host // host lists by sheet number
+	instances map[string]*instance  // instances by relay name
+	pending   []*instance           // instances with events in the current batch, in order of their first event
 }
 
 // Serve reads batches from r and writes the resulting actions to w until the input ends.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16),
-		fields: map[string]string{}, sheets: map[int][]choice.Host{}, insts: map[string]*instance{}}
+		fields: map[string]string{}, sheets: map[int][]choice.Host{}, instances: map[string]*instance{}}
 	for {
 		l, err := s.read()
 		if errors.Is(err, io.EOF) {
@@ -213,7 +213,7 @@
 	if l.err != nil {
 		return l.err
 	}
-	s.turn = s.turn[:0]
+	s.pending = s.pending[:0]
 	for {
 		l, err := s.read()
 		if err != nil {
@@ -231,8 +231,8 @@
 			return err
 		}
 	}
-	for _, in := range s.turn {
-		if s.insts[in.name] == in {
+	for _, in := range s.pending {
+		if s.instances[in.name] == in {
 			s.step(clock, in)
 		}
 	}
@@ -249,7 +249,7 @@
 		}
 	}()
 	events := in.events
-	in.events, in.due = nil, false
+	in.events, in.queued = nil, false
 	for _, a := range in.chooser.Step(clock, events) {
 		s.print(in.name, a)
 	}
@@ -257,7 +257,7 @@
 
 // catalog reads the HOST lines of a CATALOG message and stores them under its sheet number.
 func (s *server) catalog(l *line) error {
-	sheet, n := l.whole("sheet", true), l.whole("records", true)
+	sheet, n := l.integer("sheet", true), l.integer("records", true)
 	if l.err != nil {
 		return l.err
 	}
@@ -270,9 +270,9 @@
 		if e.name != "HOST" {
 			return fmt.Errorf("line %d: got %s, want HOST", e.number, e.name)
 		}
-		h := choice.Host{Addr: e.text("host"), Dest: e.whole("cell", true), Kind: e.whole("kind", false),
-			Zone: e.whole("rack-zone", false), Rate: e.number64("size", false)}
-		switch state := e.whole("condition", false); state {
+		h := choice.Host{Addr: e.text("host"), Dest: e.integer("cell", true), Kind: e.integer("kind", false),
+			Zone: e.integer("rack-zone", false), Rate: e.float("size", false)}
+		switch state := e.integer("condition", false); state {
 		case 0:
 			h.State = choice.Gone
 		case 1:
@@ -280,7 +280,7 @@
 		case 2:
 			h.State = choice.Draining
 		default:
-			e.fail("condition", fmt.Sprintf("%d is not a host state", state))
+			e.setError("condition", fmt.Sprintf("%d is not a host state", state))
 		}
 		if e.err != nil {
 			return e.err
@@ -297,12 +297,12 @@
 	if l.err != nil {
 		return l.err
 	}
-	in := s.insts[name]
+	in := s.instances[name]
 	switch l.name {
 	case "CONFIGURE":
 		return s.configure(l, name)
 	case "DETACH":
-		delete(s.insts, name)
+		delete(s.instances, name)
 		return nil
 	}
 	e, err := s.translate(l)
@@ -315,9 +315,9 @@
 	if err != nil {
 		return err
 	}
-	if !in.due {
-		in.due = true
-		s.turn = append(s.turn, in)
+	if !in.queued {
+		in.queued = true
+		s.pending = append(s.pending, in)
 	}
 	if e != nil {
 		in.events = append(in.events, e)
@@ -329,7 +329,7 @@
 func (s *server) configure(l *line, name string) error {
 	seed, err := strconv.ParseUint(l.text("entropy"), 10, 64)
 	if err != nil {
-		l.fail("entropy", "not an unsigned integer")
+		l.setError("entropy", "not an unsigned integer")
 	}
 	text := l.text("config")
 	if l.err != nil {
@@ -343,9 +343,9 @@
 	if err != nil {
 		return fmt.Errorf("line %d: CONFIGURE: field config: %w", l.number, err)
 	}
-	in := &instance{name: name, chooser: c, due: true}
-	s.insts[name] = in
-	s.turn = append(s.turn, in)
+	in := &instance{name: name, chooser: c, queued: true}
+	s.instances[name] = in
+	s.pending = append(s.pending, in)
 	return nil
 }
 
@@ -354,30 +354,30 @@
 func (s *server) translate(l *line) (choice.Event, error) {
 	switch l.name {
 	case "ACCEPT":
-		return choice.Arrival{ID: l.text("op-id"), Class: l.whole("priority", false), Dest: l.whole("far-end", true),
+		return choice.Arrival{ID: l.text("op-id"), Class: l.integer("priority", false), Dest: l.integer("far-end", true),
 			Left: l.seconds("left", true), Key: l.fields["subject"]}, nil
 	case "ATTEMPT_END":
-		return choice.Result{ID: l.text("op-id"), Host: l.text("host"), Attempt: l.whole("try", false),
-			Outcome: l.outcome("how"), Took: l.seconds("cost-time", false), Done: l.whole("over", false) == 1,
-			Wait: time.Duration(l.whole("remark-ms", false)) * time.Millisecond, Report: l.row("feedback")}, nil
+		return choice.Result{ID: l.text("op-id"), Host: l.text("host"), Attempt: l.integer("try", false),
+			Outcome: l.outcome("how"), Took: l.seconds("cost-time", false), Done: l.integer("over", false) == 1,
+			Wait: time.Duration(l.integer("remark-ms", false)) * time.Millisecond, Report: l.floats("feedback")}, nil
 	case "UPDATE":
-		scope := l.whole("scope", false)
+		scope := l.integer("scope", false)
 		if scope < 0 || scope > 3 {
-			l.fail("scope", fmt.Sprintf("%d is not a scope from 0 to 3", scope))
+			l.setError("scope", fmt.Sprintf("%d is not a scope from 0 to 3", scope))
 		}
 		if scope == 3 {
 			return choice.Listing{Failed: true}, nil
 		}
-		sheet := l.whole("sheet", false)
+		sheet := l.integer("sheet", false)
 		hosts, ok := s.sheets[sheet]
 		if !ok {
-			l.fail("sheet", fmt.Sprintf("no CATALOG with sheet %d", sheet))
+			l.setError("sheet", fmt.Sprintf("no CATALOG with sheet %d", sheet))
 		}
 		return choice.Listing{Whole: scope != 0, Hosts: hosts}, nil
 	case "CLIENT_GONE":
 		return choice.Withdrawn{ID: l.text("op-id")}, nil
 	case "FIRED":
-		l.whole("tag", false)
+		l.integer("tag", false)
 		return choice.Woken{}, nil
 	case "PROBE_DONE":
 		l.text("host")
@@ -386,7 +386,7 @@
 	case "FROM_PEER":
 		if b := l.fields["bytes"]; b != "" && b != "-" {
 			if _, err := base64.StdEncoding.DecodeString(b); err != nil {
-				l.fail("bytes", "not base64")
+				l.setError("bytes", "not base64")
 			}
 		}
 		return nil, nil
