--- a/choice/admission_test.go
+++ b/choice/admission_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestWhatCanBeServedIsTaken guards against refusals below the rate that a destination serves.
-func TestWhatCanBeServedIsTaken(t *testing.T) {
+// TestNoRefusalBelowCapacity guards against refusals below the rate that a destination serves.
+func TestNoRefusalBelowCapacity(t *testing.T) {
 	s := testSettings()
 	span := 3 * s.Classes[0].Deadline
 	taken, _, untried := runOverload(t, s, span, 120*ms, 100*ms)
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestRestoredGoesFirst guards against restored messages that wait until they are refused: one that was never
+// TestRestoredMessageIsSentFirst guards against restored messages that wait until they are refused: one that was never
 // attempted is sent before new ones that lose more by waiting.
-func TestRestoredGoesFirst(t *testing.T) {
+func TestRestoredMessageIsSentFirst(t *testing.T) {
 	s := testSettings()
 	s.Workers, s.Halving = 1, true
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestNothingIsTakenWhileAllHostsDrain guards against accepting messages without end for a destination whose hosts all
+// TestNoAdmissionWhileAllHostsDrain guards against accepting messages without end for a destination whose hosts all
 // drain: the longer that lasts, the longer the time that a message must have left.
-func TestNothingIsTakenWhileAllHostsDrain(t *testing.T) {
+func TestNoAdmissionWhileAllHostsDrain(t *testing.T) {
 	s := testSettings()
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Draining})
 	r.step(arrival("first", 0))
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -114,7 +114,7 @@
 	return Arrival{ID: id, Class: class, Dest: 1, Left: 10 * time.Second}
 }
 
-func TestOracleByHand(t *testing.T) {
+func TestLatencyTableBestTimeout(t *testing.T) {
 	histogram := latencyTable{width: 10 * ms, weight: 1}
 	for range 90 {
 		histogram.add(15 * ms)
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestTableFades(t *testing.T) {
+func TestLatencyTableDecays(t *testing.T) {
 	histogram := latencyTable{width: 10 * ms, weight: 1}
 	for range 1000 {
 		histogram.add(15 * ms)
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestAnswers checks for each outcome and effect whether the message fails or is sent again.
-func TestAnswers(t *testing.T) {
+// TestAnswerByOutcomeAndEffect checks for each outcome and effect whether the message fails or is sent again.
+func TestAnswerByOutcomeAndEffect(t *testing.T) {
 	for _, tc := range []struct {
 		class   int
 		outcome Outcome
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestHeldIsAnsweredInTime(t *testing.T) {
+func TestHeldMessageIsRefusedAtDeadline(t *testing.T) {
 	r := newHarness(t, testSettings()) // without any host
 	r.step(arrival("m", 2))
 	if got := finalAnswers(r.advance(9900 * ms)); got != "" {
@@ -214,7 +214,7 @@
 	}
 }
 
-func TestKeyedStaysInZoneAndWindow(t *testing.T) {
+func TestKeyedRepeatsStayInZoneAndWindow(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 2, 0), readyHost("b", 1, 2, 1))
 	first := sends(r.step(arrival("m", 1)))[0].Host
 	r.now += 50 * ms
@@ -235,7 +235,7 @@
 	}
 }
 
-func TestDrainingGetsNothingNew(t *testing.T) {
+func TestNoSendToDrainingOrGoneHost(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	h := readyHost("a", 1, 0, 0)
 	h.State = Draining
@@ -247,7 +247,7 @@
 	}
 }
 
-func TestToldWaitIsKept(t *testing.T) {
+func TestRetryAfterIsKept(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	r.step(arrival("m", 0))
 	r.now += 50 * ms
@@ -260,7 +260,7 @@
 	}
 }
 
-func TestOrderOfAKey(t *testing.T) {
+func TestKeyOrder(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	m, n := arrival("m", 3), arrival("n", 3)
 	m.Key, n.Key = "k", "k"
@@ -282,7 +282,7 @@
 	}
 }
 
-func TestEachFurtherTryWaitsLonger(t *testing.T) {
+func TestTimeoutGrowsWithEachAttempt(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	for i := range 2 * minSamples {
 		id := fmt.Sprint("w", i)
@@ -308,7 +308,7 @@
 	}
 }
 
-func TestOneDestinationStaysUnderThreeQuarters(t *testing.T) {
+func TestOneDestinationLeavesCallSlotsFree(t *testing.T) {
 	for _, tc := range []struct{ workers, want int }{{1, 1}, {3, 2}, {4, 2}, {8, 5}} {
 		s := testSettings()
 		s.Workers = tc.workers
@@ -323,16 +323,16 @@
 	}
 }
 
-func TestCallsAreShared(t *testing.T) {
+func TestMessagesShareACall(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 1, 0))
 	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.c.inFlight != 1 {
 		t.Errorf("%d sends in %d calls, want 3 in one", n, r.c.inFlight)
 	}
 }
 
-// TestColdReturn guards against overloading a destination that returns from an outage: two failures make its unit
-// suspect, and once it answers again the relay stays within its share of the rules' budget.
-func TestColdReturn(t *testing.T) {
+// TestRecoveringUnitStaysWithinBudget guards against overloading a destination that returns from an outage: two
+// failures make its unit suspect, and once it answers again the relay stays within its share of the rules' budget.
+func TestRecoveringUnitStaysWithinBudget(t *testing.T) {
 	s := testSettings()
 	s.Workers = 100
 	h := readyHost("a", 1, 0, 0)
@@ -360,8 +360,8 @@
 	}
 }
 
-// TestStuckCallsAreCalledOff guards against unanswered calls that hold all call slots.
-func TestStuckCallsAreCalledOff(t *testing.T) {
+// TestStuckCallIsCancelled guards against unanswered calls that hold all call slots.
+func TestStuckCallIsCancelled(t *testing.T) {
 	s := testSettings()
 	s.Workers = 2
 	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
@@ -378,8 +378,8 @@
 	t.Errorf("no call was cancelled while another destination waited for a slot")
 }
 
-// TestOneHostDownLeavesItsDestinationWell guards against suspecting a whole destination when one of its hosts fails.
-func TestOneHostDownLeavesItsDestinationWell(t *testing.T) {
+// TestOneFailedHostLeavesUnitHealthy guards against suspecting a whole destination when one of its hosts fails.
+func TestOneFailedHostLeavesUnitHealthy(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0))
 	for i := range 6 {
 		id := fmt.Sprint(i)
@@ -400,7 +400,7 @@
 	}
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"workers": func(s *Settings) { s.Workers = 0 }, "fleet": func(s *Settings) { s.Fleet = 0 },
 		"classes": func(s *Settings) { s.Classes = nil }, "aim": func(s *Settings) { s.Classes[0].Aim = 0 },
@@ -414,9 +414,9 @@
 	}
 }
 
-// TestLargeFleetSpacesItsCalls guards against too many probes from a large fleet: a relay whose share of the budget is
+// TestLargeFleetSpacesProbes guards against too many probes from a large fleet: a relay whose share of the budget is
 // under one call in Rules.Fall sends less than one call in that time.
-func TestLargeFleetSpacesItsCalls(t *testing.T) {
+func TestLargeFleetSpacesProbes(t *testing.T) {
 	s := testSettings()
 	s.Fleet, s.Workers = 12, 100
 	h := readyHost("a", 1, 0, 0)
@@ -450,9 +450,9 @@
 	}
 }
 
-// TestBacklogHoldsRestartsBack guards against restarts that feed an overload: while other messages wait for the
+// TestBacklogRaisesTimeout guards against restarts that feed an overload: while other messages wait for the
 // destination, a call is abandoned only if it is very likely lost.
-func TestBacklogHoldsRestartsBack(t *testing.T) {
+func TestBacklogRaisesTimeout(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	for i := range 4 * minSamples {
 		id := fmt.Sprint("w", i)
@@ -475,9 +475,9 @@
 	}
 }
 
-// TestLostCallsAreCalledOff guards against a lost call that keeps its slot because its destination still serves
+// TestLostCallIsCancelled guards against a lost call that keeps its slot because its destination still serves
 // others.
-func TestLostCallsAreCalledOff(t *testing.T) {
+func TestLostCallIsCancelled(t *testing.T) {
 	s := testSettings()
 	s.Workers = 3
 	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
@@ -507,9 +507,9 @@
 	t.Errorf("the lost call was never cancelled")
 }
 
-// TestRefusalsInALargeFleet guards against a fleet whose retries keep a destination at its limit: relays that seldom
-// call it return after growing back-offs with jitter.
-func TestRefusalsInALargeFleet(t *testing.T) {
+// TestBackoffAfterRefusalInLargeFleet guards against a fleet whose retries keep a destination at its limit: relays
+// that seldom call it return after growing back-offs with jitter.
+func TestBackoffAfterRefusalInLargeFleet(t *testing.T) {
 	s := testSettings()
 	s.Fleet = 40
 	h := readyHost("a", 1, 0, 0)
@@ -538,8 +538,8 @@
 	}
 }
 
-// TestRelaysDoNotAllLikeOneHost guards against a large fleet whose relays all prefer the same host of a destination.
-func TestRelaysDoNotAllLikeOneHost(t *testing.T) {
+// TestRelaysSpreadOverHosts guards against a large fleet whose relays all prefer the same host of a destination.
+func TestRelaysSpreadOverHosts(t *testing.T) {
 	s := testSettings()
 	s.Fleet = 40
 	used := map[string]int{}
@@ -558,10 +558,10 @@
 	}
 }
 
-// TestPausesLengthenWhereRetriesFail guards against retries that keep a destination closed: if calls after a refusal
+// TestBackoffGrowsWhereRetriesFail guards against retries that keep a destination closed: if calls after a refusal
 // are hardly ever served, as where refused calls use up the limit, the back-off goes at once to the interval of the
 // relay's even share.
-func TestPausesLengthenWhereRetriesFail(t *testing.T) {
+func TestBackoffGrowsWhereRetriesFail(t *testing.T) {
 	s := testSettings()
 	s.Fleet = 40
 	h := readyHost("a", 1, 0, 0)
@@ -579,9 +579,9 @@
 	}
 }
 
-// TestSlowCallsAreServedInTheEnd guards against cancelling a slow call over and over: each further attempt of a
+// TestLaterAttemptsAreCancelledLater guards against cancelling a slow call over and over: each further attempt of a
 // message is cancelled later than the one before.
-func TestSlowCallsAreServedInTheEnd(t *testing.T) {
+func TestLaterAttemptsAreCancelledLater(t *testing.T) {
 	s := testSettings()
 	s.Workers, s.MaxHeld = 2, 1000
 	r := newHarness(t, s, readyHost("slow", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
@@ -617,10 +617,10 @@
 	}
 }
 
-// TestFirstFailureWhereSeldomMet checks that a relay of a large fleet, without a recent served call that speaks
+// TestFirstFailureOfSeldomCalledUnit checks that a relay of a large fleet, without a recent served call that speaks
 // against an outage, suspects a unit at the first failure, sends one probe and after its failure waits long. A relay
 // of a small fleet goes on.
-func TestFirstFailureWhereSeldomMet(t *testing.T) {
+func TestFirstFailureOfSeldomCalledUnit(t *testing.T) {
 	for fleet, want := range map[int]health{2: healthy, 40: suspect} {
 		s := testSettings()
 		s.Fleet = fleet
@@ -646,9 +646,9 @@
 	}
 }
 
-// TestARelayThatStoodStill guards against taking the relay's own stall for silence of a destination: results that come
-// all at once after a gap are processed before silence is judged.
-func TestARelayThatStoodStill(t *testing.T) {
+// TestRelayStallIsNotSilence guards against taking the relay's own stall for silence of a destination: results that
+// come all at once after a gap are processed before silence is judged.
+func TestRelayStallIsNotSilence(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0))
 	other := arrival("n", 0)
 	other.Dest = 2
@@ -662,9 +662,9 @@
 	}
 }
 
-// TestALongList guards against the cost of a long host list: thousands of hosts, listed twice, get no latency table
+// TestLongHostList guards against the cost of a long host list: thousands of hosts, listed twice, get no latency table
 // before their first answer, the relay can still send, and hosts that leave the list are forgotten.
-func TestALongList(t *testing.T) {
+func TestLongHostList(t *testing.T) {
 	var hosts, gone []Host
 	for i := range 5000 {
 		h := readyHost(fmt.Sprint("h", i), i, 0, 0)
@@ -691,7 +691,7 @@
 	}
 }
 
-func TestStopAnswersWhatWaits(t *testing.T) {
+func TestStopAnswersWaitingMessages(t *testing.T) {
 	r := newHarness(t, testSettings(), Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "out", Class: 2, Dest: 1, Left: 10 * time.Second})
 	r.step(Arrival{ID: "ran", Class: 2, Dest: 1, Left: 10 * time.Second})
@@ -707,7 +707,7 @@
 	}
 }
 
-func TestWaitToldWithAnErrorIsKept(t *testing.T) {
+func TestRetryAfterWithErrorIsKept(t *testing.T) {
 	r := newHarness(t, testSettings(), Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 10 * time.Second})
 	r.step(r.result("m1", "a", Error, func(e *Result) { e.Wait = 3 * time.Second }))
@@ -720,7 +720,7 @@
 	}
 }
 
-func TestRefusedNeverRan(t *testing.T) {
+func TestMessageThatMayHaveRunIsNotRefused(t *testing.T) {
 	for class := range 2 { // safe, keyed
 		s := testSettings()
 		s.Certain, s.MaxAttempts = true, 1
@@ -733,7 +733,7 @@
 	}
 }
 
-func TestWithdrawnAndOwed(t *testing.T) {
+func TestWithdrawnMessageStillGetsAnswer(t *testing.T) {
 	s := testSettings()
 	s.Certain = true
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
@@ -751,7 +751,7 @@
 	}
 }
 
-func TestTollsBetweenZones(t *testing.T) {
+func TestZoneBudget(t *testing.T) {
 	tolls := func(left, urgent float64, again time.Duration) Tolls {
 		return Tolls{Left: left, Class: slices.Repeat([]Toll{{Cost: 10, Floor: 5, Urgent: urgent, Own: 1000, Again: again}}, 4)}
 	}
@@ -790,10 +790,10 @@
 	}
 }
 
-// TestRestored guards against repeats that the effect of a message forbids after a restart: an unsafe message that an
-// earlier run may have sent is not sent again, a keyed one only within its zone and window, and attempts are counted
-// on.
-func TestRestored(t *testing.T) {
+// TestRestoredMessage guards against repeats that the effect of a message forbids after a restart: an unsafe message
+// that an earlier run may have sent is not sent again, a keyed one only within its zone and window, and attempts are
+// counted on.
+func TestRestoredMessage(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
@@ -817,9 +817,9 @@
 	}
 }
 
-// TestEarlierRun checks that a wait which a host asked for before a restart is kept, that a host that failed then gets
-// a single probe, and that a relay's share of a limit shrinks in a larger fleet.
-func TestEarlierRun(t *testing.T) {
+// TestRestoredHost checks that a wait which a host asked for before a restart is kept, that a host that failed then
+// gets a single probe, and that a relay's share of a limit shrinks in a larger fleet.
+func TestRestoredHost(t *testing.T) {
 	r := newHarness(t, testSettings(), Host{Addr: "a", State: Ready})
 	r.step(Waited{Host: "a", Left: time.Second}, Waited{Host: "gone", Left: time.Hour})
 	if got := sends(append(r.step(Arrival{ID: "m", Left: 9 * time.Second}), r.advance(950*ms)...)); len(got) > 0 {
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -147,9 +147,9 @@
 	return over, served
 }
 
-// TestColdReturnUnderAFleet guards against overloading a destination that returns cold with the sum of a fleet's
+// TestFleetStaysWithinColdBudget guards against overloading a destination that returns cold with the sum of a fleet's
 // calls, for small and large fleets, for each kind of outage, and for destinations of small and large capacity.
-func TestColdReturnUnderAFleet(t *testing.T) {
+func TestFleetStaysWithinColdBudget(t *testing.T) {
 	rules := Rules{AnswerGrace: 20 * ms, DrainGrace: time.Second, OverloadFactor: 2.5, Fall: 3 * time.Second, ColdFrom: 0.13, Cold: 9600 * ms}
 	// Closed destinations in production ask for a wait in at least 17 of 100 refusals.
 	for how, tells := range map[Outcome]float64{Timeout: 0, Error: 0, Refused: 0.17, NoConnection: 0} {
--- a/choice/large_test.go
+++ b/choice/large_test.go
@@ -29,7 +29,7 @@
 	return append(acts, r.step(r.result(m.ID, s[0].Host, Served))...)
 }
 
-func TestIdleConnectionsThatGetLost(t *testing.T) {
+func TestLostIdleConnectionsAreClosed(t *testing.T) {
 	s := testSettings()
 	s.ConnIdle = 5 * time.Second
 	r := newHarness(t, s, readyHost("a", 1, 0, 0))
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestFullTablesGetNoIdleConnections(t *testing.T) {
+func TestFullConnectionTableClosesIdleConnections(t *testing.T) {
 	s := testSettings()
 	s.ConnIdle = 5 * time.Second
 	other := arrival("other", 0)
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestRetriesDoNotOutweighFirstTriesAtAFullQueue(t *testing.T) {
+func TestRetriesDoNotDominateAtFullQueue(t *testing.T) {
 	// A hanging partner refuses with a full queue and asks for no wait. When it returns cold, at most two thirds of
 	// its load may be retries of relays that were refused there. Here 100 relays accept 5 messages per second.
 	s := testSettings()
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestShutPartnersAreNotMetByAllAtOnce(t *testing.T) {
+func TestClosedPartnerIsNotCalledByAllAtOnce(t *testing.T) {
 	// Refusals told 60 relays when a partner opens. Cold, it accepts 5 calls/s * 0.2 * 2, which is 4 calls in
 	// the 2 s of Rules.Fall.
 	s := testSettings()
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestOneLostCallDoesNotStopASeldomMetPartner(t *testing.T) {
+func TestSingleErrorDoesNotStopSeldomCalledPartner(t *testing.T) {
 	s := testSettings()
 	s.Fleet, s.Listed = 100, false
 	r := newHarness(t, s, readyHost("a", 1, 0, 0))
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestSeldomMetUnitsRestart(t *testing.T) {
+func TestSeldomCalledUnitUsesAllLatencies(t *testing.T) {
 	// A relay that seldom calls each partner fills no table of a destination, only the one of all destinations.
 	s := testSettings()
 	s.Fleet, s.Listed = 100, false
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestRetriesRestWhereNoneIsServedAndNoneTold(t *testing.T) {
+func TestBackoffGrowsWithRefusedRetries(t *testing.T) {
 	// After nine refused retries the next back-off must be several times longer than at the start.
 	pause := func(failed int, told bool) time.Duration {
 		s := testSettings()
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestASecondHostThatFailedWasTheTrial(t *testing.T) {
+func TestSecondFailedHostCountsAsProbe(t *testing.T) {
 	s := testSettings()
 	s.Fleet, s.Listed = 100, false
 	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0))
@@ -236,7 +236,7 @@
 	}
 }
 
-func TestAFullTableIsNoOutage(t *testing.T) {
+func TestFullConnectionTableIsNoOutage(t *testing.T) {
 	s := testSettings()
 	s.Fleet, s.Listed = 100, false
 	r := newHarness(t, s, readyHost("a", 1, 0, 0))
@@ -250,7 +250,7 @@
 	}
 }
 
-func TestTrialsOfAllRelaysStayWithinTheBudget(t *testing.T) {
+func TestProbesOfFleetStayWithinBudget(t *testing.T) {
 	// All 200 relays know that a large partner is down. On its return it accepts 50 calls/s * 0.2 and is
 	// overloaded at twice that.
 	s := testSettings()
@@ -270,7 +270,7 @@
 	}
 }
 
-func TestRefusalsTellWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	for longest, want := range map[time.Duration]time.Duration{0: 0, 2 * time.Second: 2 * time.Second, 9 * time.Second: 5 * time.Second} {
 		s := testSettings()
 		s.MaxRetryAfter, s.MaxAttempts = longest, 1
@@ -288,7 +288,7 @@
 	}
 }
 
-func TestHostsThatFailDoNotHideBehindAnUntriedOne(t *testing.T) {
+func TestUntriedHostIsPreferredToFailedOnes(t *testing.T) {
 	s := testSettings()
 	s.Fleet, s.Listed = 100, false
 	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0), readyHost("c", 1, 0, 0))
--- a/choice/pacing_test.go
+++ b/choice/pacing_test.go
@@ -27,9 +27,9 @@
 	return sent
 }
 
-// TestFirstRefusalLeavesNoDebt guards against a destination that gets no calls for seconds after its first refusal:
-// calls sent while there was no limit must not leave a debt of tokens.
-func TestFirstRefusalLeavesNoDebt(t *testing.T) {
+// TestFirstRefusalLeavesNoTokenDebt guards against a destination that gets no calls for seconds after its first
+// refusal: calls sent while there was no limit must not leave a debt of tokens.
+func TestFirstRefusalLeavesNoTokenDebt(t *testing.T) {
 	s := testSettings()
 	s.Listed, s.Fleet = false, 1
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestFullDestinationIsNotOverrun guards against overloading a destination at its capacity that reports neither a rate
-// nor waits: the limit must fall until few calls are refused.
-func TestFullDestinationIsNotOverrun(t *testing.T) {
+// TestFullDestinationIsNotOverloaded guards against overloading a destination at its capacity that reports neither a
+// rate nor waits: the limit must fall until few calls are refused.
+func TestFullDestinationIsNotOverloaded(t *testing.T) {
 	s := testSettings()
 	s.Listed, s.Fleet, s.Workers = false, 1, 20
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestToldWaitCutsThePace guards against taking the refusals of a destination that asks for waits (Retry-After) for
+// TestRetryAfterCutsLimit guards against taking the refusals of a destination that asks for waits (Retry-After) for
 // random: they are due to its rate limit, however few they are.
-func TestToldWaitCutsThePace(t *testing.T) {
+func TestRetryAfterCutsLimit(t *testing.T) {
 	s := testSettings()
 	s.Listed, s.Fleet = false, 1
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestPaceBeforeTheFirstServedIsLifted guards against a limit that stays although it was set before the destination
+// TestLimitBeforeFirstServedCallIsLifted guards against a limit that stays although it was set before the destination
 // had served anything: the first served call removes it, whatever the number of refusals.
-func TestPaceBeforeTheFirstServedIsLifted(t *testing.T) {
+func TestLimitBeforeFirstServedCallIsLifted(t *testing.T) {
 	s := testSettings()
 	s.Listed, s.Fleet, s.MaxAttempts = false, 1, 20
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
--- a/choice/platform_test.go
+++ b/choice/platform_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestShortRestsAreNoEvidence guards against distrusting idle connections because of calls lost on ones that had been
-// idle for a moment only: slow hosts lose calls too.
-func TestShortRestsAreNoEvidence(t *testing.T) {
+// TestShortIdleTimesAreNoEvidence guards against distrusting idle connections because of calls lost on ones that had
+// been idle for a moment only: slow hosts lose calls too.
+func TestShortIdleTimesAreNoEvidence(t *testing.T) {
 	s := testSettings()
 	s.ConnIdle = 5 * time.Second
 	r := newHarness(t, s, readyHost("a", 1, 0, 0))
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestOneTimeOutForACall checks that the messages of a call have one timeout, since they end together: the longest
-// among them, up to the earliest deadline.
-func TestOneTimeOutForACall(t *testing.T) {
+// TestMessagesOfACallShareTimeout checks that the messages of a call have one timeout, since they end together: the
+// longest among them, up to the earliest deadline.
+func TestMessagesOfACallShareTimeout(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 1, 0))
 	for i := range 40 { // fill the latency table with short latencies
 		r.deliver(arrival("warm"+string(rune('a'+i)), 0))
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestOrderWaitsForNotices guards against overtaking within a key: a message that ended with a notice blocks its key
-// until the notice is acknowledged, also across a restart.
-func TestOrderWaitsForNotices(t *testing.T) {
+// TestKeyWaitsForAcknowledgement guards against overtaking within a key: a message that ended with a notice blocks its
+// key until the notice is acknowledged, also across a restart.
+func TestKeyWaitsForAcknowledgement(t *testing.T) {
 	s := testSettings()
 	s.Acknowledged = true
 	for _, restart := range []bool{false, true} {
@@ -107,8 +107,9 @@
 	}
 }
 
-// TestStopThatKeeps checks that after a Stop with Keep nothing is sent or answered, since a later run resumes.
-func TestStopThatKeeps(t *testing.T) {
+// TestStopWithKeepAnswersNothing checks that after a Stop with Keep nothing is sent or answered, since a later run
+// resumes.
+func TestStopWithKeepAnswersNothing(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	r.step(Stop{Keep: true})
 	acts := append(r.step(arrival("m", 0)), r.advance(time.Second)...)
@@ -120,8 +121,8 @@
 	}
 }
 
-// TestSpentIsTheLastAttempt checks that a result with Spent ends a message, whatever the number of counted attempts.
-func TestSpentIsTheLastAttempt(t *testing.T) {
+// TestSpentEndsMessage checks that a result with Spent ends a message, whatever the number of counted attempts.
+func TestSpentEndsMessage(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	r.step(arrival("m", 0))
 	acts := r.step(r.result("m", "a", NotSent, func(e *Result) { e.Spent = true }))
@@ -130,9 +131,9 @@
 	}
 }
 
-// TestOneErrorForACall guards against suspecting a host after one failed call that carried several messages: their
+// TestFailedCallCountsOnce guards against suspecting a host after one failed call that carried several messages: their
 // errors count as one failure.
-func TestOneErrorForACall(t *testing.T) {
+func TestFailedCallCountsOnce(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 1, 0))
 	for i := range 6 {
 		r.deliver(arrival("well"+string(rune('a'+i)), 0))
@@ -156,9 +157,10 @@
 	}
 }
 
-// TestRepeatsSayUntilWhen guards against a keyed repeat that is written after its window because its connection took
-// long to open: its Send carries the rest of the window. First attempts and safe messages carry no such limit.
-func TestRepeatsSayUntilWhen(t *testing.T) {
+// TestKeyedRepeatCarriesSendLimit guards against a keyed repeat that is written after its window because its
+// connection took long to open: its Send carries the rest of the window. First attempts and safe messages carry no
+// such limit.
+func TestKeyedRepeatCarriesSendLimit(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	if s := sends(r.step(arrival("safe", 0), arrival("keyed", 1))); len(s) != 2 || s[0].Within != 0 || s[1].Within != 0 {
 		t.Fatalf("first sends %+v, want two without a limit", s)
@@ -177,10 +179,10 @@
 	}
 }
 
-// TestCrowdedRelayRefusesBeforeTaking checks that with a penalty for shedding accepted messages a crowded relay
+// TestCrowdedRelayRefusesNewMessages checks that with a penalty for shedding accepted messages a crowded relay
 // refuses new ones instead, unless the worth differs by more than the penalty. Late in the time of a message there is
 // no penalty.
-func TestCrowdedRelayRefusesBeforeTaking(t *testing.T) {
+func TestCrowdedRelayRefusesNewMessages(t *testing.T) {
 	for _, cost := range []float64{0, 0.3} {
 		s := testSettings()
 		s.MaxHeld = 10
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -23,9 +23,9 @@
 "load-report":{"columns":["x0","x1"],"how":"inline"},"registry-mode":"automatic","rules":{"cold":6,"cold-from":0.2,"drain-grace":0.5,
 "fall":2,"grace-to-answer":0.01,"order-settle":0.1,"overload-factor":3},"skus":["big","small"],"tick":0.01,"weights":"nominal","zones":["a","b"]}`
 
-// TestOneTranslation guards against differences between the two readers of the settings object: a Chooser configured
-// by the simulator's CONFIGURE message and one configured by a node's file give the same actions.
-func TestOneTranslation(t *testing.T) {
+// TestAdapterAndNodeDecideAlike guards against differences between the two readers of the settings object: a Chooser
+// configured by the simulator's CONFIGURE message and one configured by a node's file give the same actions.
+func TestAdapterAndNodeDecideAlike(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "config.json")
 	text := `{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7","limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"settings":` + settingsObject + `}`
