--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -114,6 +114,8 @@
 	return Arrival{ID: id, Class: class, Dest: 1, Left: 10 * time.Second}
 }
 
+// TestLatencyTableBestTimeout checks the timeout that follows from known latencies: a rare slow answer is cut off,
+// equal latencies are not, and few samples give no timeout.
 func TestLatencyTableBestTimeout(t *testing.T) {
 	histogram := latencyTable{width: 10 * ms, weight: 1}
 	for range 90 {
@@ -148,6 +150,8 @@
 	}
 }
 
+// TestLatencyTableDecays guards against a timeout that stays at old latencies after the destination has slowed down,
+// and against weights that grow without bound.
 func TestLatencyTableDecays(t *testing.T) {
 	histogram := latencyTable{width: 10 * ms, weight: 1}
 	for range 1000 {
@@ -200,6 +204,8 @@
 	}
 }
 
+// TestHeldMessageIsRefusedAtDeadline guards against messages that never get a final answer because their destination
+// has no host.
 func TestHeldMessageIsRefusedAtDeadline(t *testing.T) {
 	r := newHarness(t, testSettings()) // without any host
 	r.step(arrival("m", 2))
@@ -214,6 +220,8 @@
 	}
 }
 
+// TestKeyedRepeatsStayInZoneAndWindow guards against repeats of a keyed message that no host deduplicates: in another
+// zone, or after its window.
 func TestKeyedRepeatsStayInZoneAndWindow(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 2, 0), readyHost("b", 1, 2, 1))
 	first := sends(r.step(arrival("m", 1)))[0].Host
@@ -235,6 +243,7 @@
 	}
 }
 
+// TestNoSendToDrainingOrGoneHost guards against new calls to hosts that are draining or no longer on the list.
 func TestNoSendToDrainingOrGoneHost(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	h := readyHost("a", 1, 0, 0)
@@ -247,6 +256,7 @@
 	}
 }
 
+// TestRetryAfterIsKept guards against calls within the wait that a refusal asked for.
 func TestRetryAfterIsKept(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	r.step(arrival("m", 0))
@@ -260,6 +270,7 @@
 	}
 }
 
+// TestKeyOrder guards against overtaking within a key: one message at a time, and a pause after an unknown outcome.
 func TestKeyOrder(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	m, n := arrival("m", 3), arrival("n", 3)
@@ -282,6 +293,8 @@
 	}
 }
 
+// TestTimeoutGrowsWithEachAttempt guards against a message whose attempts are all abandoned because they get the same
+// timeout.
 func TestTimeoutGrowsWithEachAttempt(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	for i := range 2 * minSamples {
@@ -308,6 +321,7 @@
 	}
 }
 
+// TestOneDestinationLeavesCallSlotsFree guards against one destination that takes all call slots.
 func TestOneDestinationLeavesCallSlotsFree(t *testing.T) {
 	for _, tc := range []struct{ workers, want int }{{1, 1}, {3, 2}, {4, 2}, {8, 5}} {
 		s := testSettings()
@@ -323,6 +337,7 @@
 	}
 }
 
+// TestMessagesShareACall checks that messages to a host whose kind allows it are sent in one call.
 func TestMessagesShareACall(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 1, 0))
 	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.c.inFlight != 1 {
@@ -400,6 +415,7 @@
 	}
 }
 
+// TestInvalidSettingsAreRejected checks that New returns an error for settings out of range.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"workers": func(s *Settings) { s.Workers = 0 }, "fleet": func(s *Settings) { s.Fleet = 0 },
@@ -691,6 +707,8 @@
 	}
 }
 
+// TestStopAnswersWaitingMessages checks that a Stop gives waiting messages their final answer at once, and those in
+// flight with their result.
 func TestStopAnswersWaitingMessages(t *testing.T) {
 	r := newHarness(t, testSettings(), Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "out", Class: 2, Dest: 1, Left: 10 * time.Second})
@@ -707,6 +725,7 @@
 	}
 }
 
+// TestRetryAfterWithErrorIsKept guards against ignoring the wait that a host asks for if it comes with an error.
 func TestRetryAfterWithErrorIsKept(t *testing.T) {
 	r := newHarness(t, testSettings(), Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 10 * time.Second})
@@ -720,6 +739,8 @@
 	}
 }
 
+// TestMessageThatMayHaveRunIsNotRefused guards against refusing a safe or keyed message that may have run where a
+// refusal promises that it did not.
 func TestMessageThatMayHaveRunIsNotRefused(t *testing.T) {
 	for class := range 2 { // safe, keyed
 		s := testSettings()
@@ -733,6 +754,8 @@
 	}
 }
 
+// TestWithdrawnMessageStillGetsAnswer checks that a withdrawn message that still needs a final answer gets it, at
+// once or with its result, and is not sent again.
 func TestWithdrawnMessageStillGetsAnswer(t *testing.T) {
 	s := testSettings()
 	s.Certain = true
@@ -751,6 +774,7 @@
 	}
 }
 
+// TestZoneBudget checks which messages the budget for sends to other zones allows.
 func TestZoneBudget(t *testing.T) {
 	tolls := func(left, urgent float64, again time.Duration) Tolls {
 		return Tolls{Left: left, Class: slices.Repeat([]Toll{{Cost: 10, Floor: 5, Urgent: urgent, Own: 1000, Again: again}}, 4)}
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -194,6 +194,7 @@
 	return out
 }
 
+// FuzzRules checks the rules on arbitrary sequences of events.
 func FuzzRules(f *testing.F) {
 	for _, s := range fuzzSeeds() {
 		f.Add(s)
@@ -206,6 +207,8 @@
 	})
 }
 
+// TestSameEventsSameActions guards against decisions that depend on the order of map iteration or on other hidden
+// state.
 func TestSameEventsSameActions(t *testing.T) {
 	for i, s := range fuzzSeeds() {
 		if a, b := checkRules(t, s), checkRules(t, s); !reflect.DeepEqual(a, b) {
--- a/choice/large_test.go
+++ b/choice/large_test.go
@@ -29,6 +29,8 @@
 	return append(acts, r.step(r.result(m.ID, s[0].Host, Served))...)
 }
 
+// TestLostIdleConnectionsAreClosed guards against losing calls on idle connections that the network has dropped:
+// after three losses a connection that was idle as long is closed instead.
 func TestLostIdleConnectionsAreClosed(t *testing.T) {
 	s := testSettings()
 	s.ConnIdle = 5 * time.Second
@@ -55,6 +57,8 @@
 	}
 }
 
+// TestFullConnectionTableClosesIdleConnections guards against idle connections that keep other calls from getting a
+// connection.
 func TestFullConnectionTableClosesIdleConnections(t *testing.T) {
 	s := testSettings()
 	s.ConnIdle = 5 * time.Second
@@ -69,6 +73,8 @@
 	}
 }
 
+// TestRetriesDoNotDominateAtFullQueue guards against a fleet whose retries overload a partner that returns from an
+// outage.
 func TestRetriesDoNotDominateAtFullQueue(t *testing.T) {
 	// A hanging partner refuses with a full queue and asks for no wait. When it returns cold, at most two thirds of
 	// its load may be retries of relays that were refused there. Here 100 relays accept 5 messages per second.
@@ -111,6 +117,8 @@
 	}
 }
 
+// TestClosedPartnerIsNotCalledByAllAtOnce guards against a fleet that overloads a partner at the moment when all
+// refused relays may call it again.
 func TestClosedPartnerIsNotCalledByAllAtOnce(t *testing.T) {
 	// Refusals told 60 relays when a partner opens. Cold, it accepts 5 calls/s * 0.2 * 2, which is 4 calls in
 	// the 2 s of Rules.Fall.
@@ -147,6 +155,8 @@
 	}
 }
 
+// TestSingleErrorDoesNotStopSeldomCalledPartner guards against a long outage in the view of a relay that saw a single
+// error.
 func TestSingleErrorDoesNotStopSeldomCalledPartner(t *testing.T) {
 	s := testSettings()
 	s.Fleet, s.Listed = 100, false
@@ -166,6 +176,8 @@
 	}
 }
 
+// TestSeldomCalledUnitUsesAllLatencies guards against attempts without a timeout at destinations that a relay calls
+// too seldom to fill their latency table.
 func TestSeldomCalledUnitUsesAllLatencies(t *testing.T) {
 	// A relay that seldom calls each partner fills no table of a destination, only the one of all destinations.
 	s := testSettings()
@@ -188,6 +200,7 @@
 	}
 }
 
+// TestBackoffGrowsWithRefusedRetries guards against retries that keep a destination at its limit.
 func TestBackoffGrowsWithRefusedRetries(t *testing.T) {
 	// After nine refused retries the next back-off must be several times longer than at the start.
 	pause := func(failed int, told bool) time.Duration {
@@ -218,6 +231,8 @@
 	}
 }
 
+// TestSecondFailedHostCountsAsProbe guards against further probes by each relay of a large fleet after two hosts of a
+// destination failed.
 func TestSecondFailedHostCountsAsProbe(t *testing.T) {
 	s := testSettings()
 	s.Fleet, s.Listed = 100, false
@@ -236,6 +251,7 @@
 	}
 }
 
+// TestFullConnectionTableIsNoOutage guards against suspecting a unit whose host only has no connection left.
 func TestFullConnectionTableIsNoOutage(t *testing.T) {
 	s := testSettings()
 	s.Fleet, s.Listed = 100, false
@@ -250,6 +266,7 @@
 	}
 }
 
+// TestProbesOfFleetStayWithinBudget guards against probes of a large fleet that overload a partner on its return.
 func TestProbesOfFleetStayWithinBudget(t *testing.T) {
 	// All 200 relays know that a large partner is down. On its return it accepts 50 calls/s * 0.2 and is
 	// overloaded at twice that.
@@ -270,6 +287,8 @@
 	}
 }
 
+// TestRefusalCarriesRetryAfter checks the Retry-After of a refusal: the wait of the destination, limited by
+// MaxRetryAfter.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	for longest, want := range map[time.Duration]time.Duration{0: 0, 2 * time.Second: 2 * time.Second, 9 * time.Second: 5 * time.Second} {
 		s := testSettings()
@@ -288,6 +307,8 @@
 	}
 }
 
+// TestUntriedHostIsPreferredToFailedOnes guards against sending again and again to preferred hosts that fail while
+// another host was never tried.
 func TestUntriedHostIsPreferredToFailedOnes(t *testing.T) {
 	s := testSettings()
 	s.Fleet, s.Listed = 100, false
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -28,6 +28,7 @@
 
 const acceptLine = "ACCEPT\trelay-id=relay_0\top-id=m\toptions=0\tpriority=1\tleft=10\tfar-end=7\n"
 
+// TestRoundTrips checks the messages that the adapter writes for each kind of input.
 func TestRoundTrips(t *testing.T) {
 	place := "PLACE\trelay-id=relay_0\top-id=m\thost=10.0.0.1:80\tmax-wait=10\n"
 	arm := "ARM\trelay-id=relay_0\twait=0.01\ttag=0\n"
@@ -67,6 +68,7 @@
 	}
 }
 
+// TestMalformedInput checks that malformed input ends the session with an error of one line that names the fault.
 func TestMalformedInput(t *testing.T) {
 	for name, tc := range map[string]struct{ in, want string }{
 		"no batch":        {"HELLO\n", "line 1: got HELLO, want BATCH"},
