--- a/choice/admission_test.go
+++ b/choice/admission_test.go
@@ -10,7 +10,7 @@
 // returns how many were accepted, attempted, and refused without an attempt after they had been accepted.
 func runOverload(t *testing.T, s Settings, span, every, service time.Duration) (taken, tried, untried int) {
 	t.Helper()
-	s.Workers, s.MaxHeld, s.TakenBack.Cost, s.TakenBack.Before = 1, 0, 0.3, 0.7
+	s.Workers, s.MaxHeld, s.ShedPenalty.Cost, s.ShedPenalty.Before = 1, 0, 0.3, 0.7
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	held, out := map[string]bool{}, ""
 	begun, next := time.Duration(0), 0
@@ -84,8 +84,8 @@
 	s.Workers, s.Halving = 1, true
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	old, fresh := arrival("old", 0), arrival("new", 0)
-	old.Left = s.Classes[0].Deadline / 2    // its worth does not fall any further
-	fresh.Left -= s.Classes[0].Aim - 500*ms // its worth is about to fall
+	old.TimeLeft = s.Classes[0].Deadline / 2    // its worth does not fall any further
+	fresh.TimeLeft -= s.Classes[0].Aim - 500*ms // its worth is about to fall
 	acts := r.step(Restored{Arrival: old}, fresh)
 	for _, a := range acts {
 		if send, is := a.(Send); is && send.ID != "old" {
--- a/choice/answers.go
+++ b/choice/answers.go
@@ -24,7 +24,7 @@
 		for _, d := range c.active {
 			for _, m := range d.waiting {
 				w := c.worthAt(m, c.now) / float64(len(d.waiting))
-				if b := c.cfg.TakenBack; !m.mayHaveRun && c.now > m.arrivedAt &&
+				if b := c.cfg.ShedPenalty; !m.mayHaveRun && c.now > m.arrivedAt &&
 					(c.now-m.arrivedAt).Seconds() < b.Before*(m.deadline-m.arrivedAt).Seconds() {
 					w += b.Cost * m.class.Worth // prefers refusing a new message to shedding an accepted one
 				}
@@ -44,12 +44,12 @@
 // Fail.
 func (c *Chooser) giveFinalAnswer(m *message) {
 	harmless := m.class.Effect == Safe || m.class.Effect == Keyed && !m.class.SameZone
-	if !m.mayHaveRun || harmless && !c.cfg.Certain && !m.noRefusal {
+	if !m.mayHaveRun || harmless && !c.cfg.RefuseOnlyNeverRan && !m.noRefusal {
 		c.emit(Refuse{m.ID, c.retryAfter(m)})
 	} else {
 		c.emit(Fail{m.ID})
 	}
-	if c.cfg.Acknowledged && m.class.Ordered && m.Key != "" {
+	if c.cfg.HoldUntilAcknowledged && m.class.Ordered && m.Key != "" {
 		c.unacknowledged[m.ID] = m
 	}
 	c.forget(m)
--- a/choice/api.go
+++ b/choice/api.go
@@ -40,8 +40,8 @@
 
 // Kind describes one kind of destination.
 type Kind struct {
-	Apart   bool // each host has limits and health of its own, instead of sharing its destination's
-	PerCall int  // maximum number of messages in one call
+	PerHostLimits bool // each host has limits and health of its own, instead of sharing its destination's
+	PerCall       int  // maximum number of messages in one call
 }
 
 // Rules hold the parameters of the platform's operating rules.
@@ -65,25 +65,27 @@
 	MaxHeld     int           // maximum number of messages held, waiting or in flight; 0 for no limit
 	MaxAttempts int           // maximum number of attempts for one message, including those that were never sent
 	Tick        time.Duration // time resolution of the relay; final answers are given some ticks before the deadline
-	// MaxRetryAfter is the longest Refuse.After that clients respect; 0 if refusals may carry none.
-	MaxRetryAfter time.Duration
-	ConnIdle      time.Duration // time after which idle connections close by themselves; 0 if unknown
-	Classes       []Class
-	Kinds         []Kind
-	ZoneFee       []float64 // cost, as a share of Worth, of each message sent to a host with its own limits; by zone
-	Halving       bool      // after Aim, the worth halves with each further Aim; otherwise it falls linearly
-	Listed        bool      // Host.Rate is the rate that a destination accepts from all relays together
-	Cancels       bool      // the relay supports Cancel
-	Subscribe     bool      // updates of the host list arrive only after a Subscribe action
-	Certain       bool      // refuse only messages that certainly never ran; otherwise also those a client may repeat
-	// Acknowledged keeps a refused or failed message at its place in the order of its key until a Settled event.
-	Acknowledged bool
-	// TakenBack is the penalty for refusing a message that has not run in a later step than the one that accepted it:
-	// the share Cost of its worth, while less than the share Before of its time has passed. Zero for no penalty.
-	TakenBack struct{ Cost, Before float64 }
-	// ReportLimit is the index in Result.Report of the host's limit in calls per second; negative if not reported.
-	ReportLimit int
-	Rules       Rules
+	// MaxRetryAfter is the longest Refuse.RetryAfter that clients respect; 0 if refusals may carry none.
+	MaxRetryAfter      time.Duration
+	ConnIdle           time.Duration // time after which idle connections close by themselves; 0 if unknown
+	Classes            []Class
+	Kinds              []Kind
+	ZoneFee            []float64 // cost, as a share of Worth, of each message sent to a host with its own limits; by zone
+	Halving            bool      // after Aim, the worth halves with each further Aim; otherwise it falls linearly
+	ListedRates        bool      // Host.Rate is the rate that a destination accepts from all relays together
+	Cancels            bool      // the relay supports Cancel
+	Subscribe          bool      // updates of the host list arrive only after a Subscribe action
+	RefuseOnlyNeverRan bool      // refuse only what certainly never ran; otherwise also what a client may repeat
+	// HoldUntilAcknowledged keeps a refused or failed message at its place in the order of its key until an
+	// Acknowledged event.
+	HoldUntilAcknowledged bool
+	// ShedPenalty is the penalty for refusing a message that has not run in a later step than the one that accepted
+	// it: the share Cost of its worth, while less than the share Before of its time has passed. Zero for no penalty.
+	ShedPenalty struct{ Cost, Before float64 }
+	// ReportLimitIndex is the index in Result.Report of the host's limit in calls per second; negative if not
+	// reported.
+	ReportLimitIndex int
+	Rules            Rules
 }
 
 // Outcome says how an attempt ended.
@@ -110,32 +112,33 @@
 
 // Arrival reports a new message. The Chooser gives each message exactly one final answer.
 type Arrival struct {
-	ID    string
-	Class int           // index in Settings.Classes
-	Dest  int           // number of its destination
-	Left  time.Duration // time left until its deadline
-	Key   string        // ordering key; empty for none
+	ID       string
+	Class    int           // index in Settings.Classes
+	Dest     int           // number of its destination
+	TimeLeft time.Duration // time left until its deadline
+	Key      string        // ordering key; empty for none
 }
 
 // Restored reports a message that an earlier run of the relay held.
 type Restored struct {
 	Arrival
-	Attempts int           // attempts made by earlier runs
-	Answered bool          // the message was refused or failed, and a Settled event is still due
-	Ran      bool          // an attempt may have run, and may have been answered: the message must not be refused
-	Since    time.Duration // time since the first attempt that may have run
-	Zone     int           // zone of that attempt; negative if unknown
+	Attempts   int           // attempts made by earlier runs
+	Answered   bool          // the message was refused or failed, and an Acknowledged event is still due
+	MayHaveRun bool          // an attempt may have run, and may have been answered: the message must not be refused
+	Since      time.Duration // time since the first attempt that may have run
+	Zone       int           // zone of that attempt; negative if unknown
 }
 
-// Waited restores what an earlier run knew about a host that is on the list.
-type Waited struct {
-	Host    string
-	Left    time.Duration // rest of the wait that the host asked for (Retry-After)
-	Failing bool          // its last calls failed
+// RestoredHost restores what an earlier run knew about a host that is on the list.
+type RestoredHost struct {
+	Host       string
+	RetryAfter time.Duration // rest of the wait that the host asked for (Retry-After)
+	Failing    bool          // its last calls failed
 }
 
-var outcomeNames = [...]string{Served: "served", Error: "error", Refused: "refused", Timeout: "timeout", NoConnection: "no_connection",
-	Reset: "reset", Cancelled: "cancelled", NotSent: "not_sent",
+// outcomeNames holds the names of the outcomes in logs and metrics.
+var outcomeNames = [...]string{Served: "served", Error: "error", Refused: "refused", Timeout: "timeout",
+	NoConnection: "no_connection", Reset: "reset", Cancelled: "cancelled", NotSent: "not_sent",
 	Doubted: "doubted"}
 
 // String returns the name of the outcome in logs and metrics.
@@ -148,24 +151,24 @@
 
 // Result reports the end of one attempt.
 type Result struct {
-	ID      string
-	Host    string
-	Attempt int // number of the attempt, from 0
-	Outcome Outcome
-	Took    time.Duration // time since the attempt was sent
-	Wait    time.Duration // time for which the host asks for no further calls (Retry-After); 0 if it does not
+	ID         string
+	Host       string
+	Attempt    int // number of the attempt, from 0
+	Outcome    Outcome
+	Took       time.Duration // time since the attempt was sent
+	RetryAfter time.Duration // time for which the host asks for no further calls (Retry-After); 0 if it does not
 	// Done says that the message needs no final answer any more.
 	// Served without Done means that the answer came too late for the client.
-	Done   bool
-	Spent  bool      // with NotSent: the message may not be attempted again
-	Report []float64 // load report of the host, if any
+	Done           bool
+	NoMoreAttempts bool      // with NotSent: the message may not be attempted again
+	Report         []float64 // load report of the host, if any
 }
 
-// Withdrawn reports that the client no longer wants a message: no further attempt is made. If Owed is set the
+// Withdrawn reports that the client no longer wants a message: no further attempt is made. If AnswerOwed is set the
 // message still gets its final answer: in this step, or with its result if it is in flight.
 type Withdrawn struct {
-	ID   string
-	Owed bool
+	ID         string
+	AnswerOwed bool
 }
 
 // State is the state of a host on the host list.
@@ -184,57 +187,59 @@
 	Dest  int     // number of its destination
 	Kind  int     // index in Settings.Kinds
 	Zone  int     // number of its zone
-	Rate  float64 // listed rate in calls per second, see Settings.Listed
+	Rate  float64 // listed rate in calls per second, see Settings.ListedRates
 	State State
 }
 
-// Listing is an update of the host list.
-type Listing struct {
-	Whole  bool // Hosts replaces the whole list; otherwise it holds only the changed entries
+// HostUpdate is an update of the host list.
+type HostUpdate struct {
+	Full   bool // Hosts replaces the whole list; otherwise it holds only the changed entries
 	Failed bool // the list could not be read; the previous one stays in force
 	Hosts  []Host
 }
 
-// Tolls hold the budget for sends to other zones, until the next Tolls event. A message may be sent to a zone other
-// than Home if its cost leaves the shared rest, Left, at its class's floor or above. Each such send deducts its cost.
-type Tolls struct {
-	Home  int     // zone of this relay
-	Left  float64 // rest of the budget that all classes share
-	Class []Toll  // by class
+// ZoneBudget is the budget for sends to other zones, until the next ZoneBudget event. A message may be sent to a zone
+// other than Home if its cost leaves the shared rest, Remaining, at its class's floor or above. Each such send deducts
+// its cost.
+type ZoneBudget struct {
+	Home      int           // zone of this relay
+	Remaining float64       // rest of the budget that all classes share
+	Classes   []ClassBudget // by class
 }
 
-// Toll is the part of the budget for sends to other zones that concerns one class.
-type Toll struct {
+// ClassBudget is the part of the budget for sends to other zones that concerns one class.
+type ClassBudget struct {
 	Cost, Floor float64       // cost of one send, and the shared rest below which the class may not go
 	Urgent      float64       // floor for a message with less than a quarter of its time left
 	Own         float64       // rest of the class's own budget
 	Again       time.Duration // while the budget does not suffice: earliest time, on the clock of Step, when it may
 }
 
-// Fleet reports a change of the fleet: the number of this relay, from 0, and the number of relays.
-type Fleet struct{ Index, Size int }
+// FleetChange reports a change of the fleet: the number of this relay, from 0, and the number of relays.
+type FleetChange struct{ Index, Size int }
 
 // Woken is the wake-up that a Wake action asked for.
 type Woken struct{}
 
-// Settled reports that the client has acknowledged the final answer of a message; see Settings.Acknowledged.
-type Settled struct{ ID string }
+// Acknowledged reports that the client has acknowledged the final answer of a message; see
+// Settings.HoldUntilAcknowledged.
+type Acknowledged struct{ ID string }
 
 // Stop reports that the relay shuts down. Without Keep, waiting messages get their final answer in this step and
 // those in flight with their result. With Keep, nothing more is sent and a later run resumes what is unfinished.
 type Stop struct{ Keep bool }
 
-func (Arrival) event()   {}
-func (Result) event()    {}
-func (Withdrawn) event() {}
-func (Listing) event()   {}
-func (Woken) event()     {}
-func (Stop) event()      {}
-func (Settled) event()   {}
-func (Tolls) event()     {}
-func (Fleet) event()     {}
-func (Restored) event()  {}
-func (Waited) event()    {}
+func (Arrival) event()      {}
+func (Result) event()       {}
+func (Withdrawn) event()    {}
+func (HostUpdate) event()   {}
+func (Woken) event()        {}
+func (Stop) event()         {}
+func (Acknowledged) event() {}
+func (ZoneBudget) event()   {}
+func (FleetChange) event()  {}
+func (Restored) event()     {}
+func (RestoredHost) event() {}
 
 // Action is an output of Chooser.Step that the relay must carry out; the types below implement it.
 type Action interface{ action() }
@@ -246,15 +251,15 @@
 	ID      string
 	Host    string
 	Timeout time.Duration
-	// Within is the time after which the message must not be written to the host any more, for example
+	// StartWithin is the time after which the message must not be written to the host any more, for example
 	// because the connection took long to open; 0 for no limit.
-	Within time.Duration
+	StartWithin time.Duration
 }
 
 // Refuse is the final answer of a message that did not run, or that the client may safely repeat.
 type Refuse struct {
-	ID    string
-	After time.Duration // time that the client should wait before it retries (Retry-After); 0 for none
+	ID         string
+	RetryAfter time.Duration // time that the client should wait before it retries (Retry-After); 0 for none
 }
 
 // Fail is the final answer of a message that may have run.
--- a/choice/chance_test.go
+++ b/choice/chance_test.go
@@ -56,7 +56,7 @@
 func (p refusalSimulation) settings(index int) Settings {
 	s := testSettings()
 	s.Index, s.Fleet = index, p.relays
-	s.Listed, s.MaxAttempts, s.ReportLimit = p.listed, 6, -1
+	s.ListedRates, s.MaxAttempts, s.ReportLimitIndex = p.listed, 6, -1
 	each := p.rate / float64(p.relays)
 	s.Workers, s.MaxHeld = 8+int(each/4), 50+int(10*each)
 	inOrder := s.Classes[0]
@@ -73,11 +73,11 @@
 	}
 	r.chooser, r.calls, r.wake = chooser, nil, now // the calls in flight get no result
 	host := Host{Addr: "a", Dest: 1, State: Ready, Rate: 2 * p.rate}
-	events := []Event{Listing{Whole: true, Hosts: []Host{host}}}
+	events := []Event{HostUpdate{Full: true, Hosts: []Host{host}}}
 	for _, id := range slices.Sorted(maps.Keys(r.held)) {
 		m := r.held[id]
-		m.Left = m.due - now
-		back := Restored{Arrival: m.Arrival, Attempts: r.attempts[id], Ran: m.sent >= 0, Since: now - m.sent}
+		m.TimeLeft = m.due - now
+		back := Restored{Arrival: m.Arrival, Attempts: r.attempts[id], MayHaveRun: m.sent >= 0, Since: now - m.sent}
 		events = append(events, back)
 	}
 	r.carryOut(chooser.Step(now, events), now, p)
@@ -158,14 +158,14 @@
 		arrivals := make([][]Event, p.relays)
 		for ; next <= now && next < p.span; next += time.Duration(random.ExpFloat64() / p.rate * float64(time.Second)) {
 			offered++
-			m := Arrival{ID: fmt.Sprint("m", offered), Dest: 1, Left: s.Classes[0].Deadline}
+			m := Arrival{ID: fmt.Sprint("m", offered), Dest: 1, TimeLeft: s.Classes[0].Deadline}
 			to := random.IntN(p.relays)
 			if p.ordered {
 				key := random.IntN(max(p.relays, int(keysPerRate*p.rate)))
 				m.Class, m.Key, to = 1, fmt.Sprint("k", key), key%p.relays
 			}
 			r := relays[to]
-			r.held[m.ID] = heldMessage{Arrival: m, due: now + m.Left, sent: -1}
+			r.held[m.ID] = heldMessage{Arrival: m, due: now + m.TimeLeft, sent: -1}
 			arrivals[to] = append(arrivals[to], m)
 		}
 		for i, r := range relays {
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -84,7 +84,7 @@
 			c.handleResult(e)
 		case Withdrawn:
 			if m := c.messages[e.ID]; m != nil && !m.finished {
-				if m.withdrawn = true; !e.Owed {
+				if m.withdrawn = true; !e.AnswerOwed {
 					c.forget(m)
 				} else if m.call == nil {
 					c.giveFinalAnswer(m)
@@ -92,25 +92,25 @@
 			}
 		case Retracted:
 			c.retract(e)
-		case Listing:
+		case HostUpdate:
 			c.updateHosts(e)
 		case Stop:
 			c.stopped, c.suspended = !e.Keep, e.Keep
 		case Pause:
 			c.paused = e.On
-		case Settled:
+		case Acknowledged:
 			if m := c.unacknowledged[e.ID]; m != nil {
 				delete(c.unacknowledged, e.ID)
 				c.releaseKey(m)
 			}
-		case Tolls:
+		case ZoneBudget:
 			c.zoneBudget = &e
-		case Fleet:
+		case FleetChange:
 			c.setFleet(e)
 		case Restored:
 			m := c.addMessage(e.Arrival)
 			m.restored = true
-			if m.attempts = e.Attempts; e.Ran {
+			if m.attempts = e.Attempts; e.MayHaveRun {
 				m.mayHaveRun, m.firstRunAt, m.firstRunZone = true, c.now-min(e.Since, math.MaxInt64/4), e.Zone
 				m.unsureAt, m.noRefusal = c.now, true
 			}
@@ -118,9 +118,9 @@
 				c.unacknowledged[m.ID] = m
 				c.forget(m)
 			}
-		case Waited:
+		case RestoredHost:
 			if h := c.hosts[e.Host]; h != nil {
-				h.unit.waitUntil = max(h.unit.waitUntil, c.now+e.Left)
+				h.unit.waitUntil = max(h.unit.waitUntil, c.now+e.RetryAfter)
 				if e.Failing && h.unit.state == healthy {
 					h.unit.failedMayHaveRun = true
 					c.markSuspect(h.unit, h.dest, "failed before a restart", 0)
@@ -153,7 +153,7 @@
 
 // setFleet applies a new fleet size. In a larger fleet the learned limits shrink with this relay's share; in
 // a smaller one they grow by themselves.
-func (c *Chooser) setFleet(e Fleet) {
+func (c *Chooser) setFleet(e FleetChange) {
 	if e.Size < 1 {
 		return
 	}
@@ -169,12 +169,12 @@
 func (c *Chooser) emit(a Action) { c.actions = append(c.actions, a) }
 
 // updateHosts applies an update of the host list.
-func (c *Chooser) updateHosts(e Listing) {
+func (c *Chooser) updateHosts(e HostUpdate) {
 	if e.Failed {
 		c.subscribeAt = c.now + time.Second
 		return
 	}
-	if e.Whole {
+	if e.Full {
 		for _, h := range c.hosts {
 			h.State = Gone
 		}
@@ -191,13 +191,13 @@
 			if n.Kind >= 0 && n.Kind < len(c.cfg.Kinds) {
 				d.kind, d.stats = c.cfg.Kinds[n.Kind], &c.statsByKind[n.Kind]
 			}
-			if d.kind.Apart || len(d.units) == 0 {
+			if d.kind.PerHostLimits || len(d.units) == 0 {
 				u := &unit{name: n.Addr, lastServedAt: c.now - time.Second}
 				d.units = append(d.units, u)
 			}
 			h.unit = d.units[len(d.units)-1]
 		}
-		if h.Host = n; c.cfg.Listed && n.State == Ready {
+		if h.Host = n; c.cfg.ListedRates && n.State == Ready {
 			if h.unit.listedRate = n.Rate; h.unit.limit == 0 {
 				h.unit.limit = n.Rate // the listed rate is for all relays, so one may not exceed it
 			}
@@ -211,7 +211,7 @@
 			if left {
 				delete(c.hosts, h.Addr)
 			}
-			if left && d.kind.Apart {
+			if left && d.kind.PerHostLimits {
 				d.units = remove(d.units, h.unit)
 			}
 			return left
@@ -491,7 +491,7 @@
 		d.stats.retrySuccess -= d.stats.retrySuccess / 8
 	}
 	if d.refusalsInRow++; d.refusalsInRow >= len(d.units) && c.seldomCalled(u) {
-		if d.kind.Apart {
+		if d.kind.PerHostLimits {
 			step = d.refusalsInRow - len(d.units)
 		}
 		d.backoffUntil = c.now + 2*c.refusalBackoff(u, d, step)
@@ -602,7 +602,7 @@
 func (c *Chooser) addMessage(e Arrival) *message {
 	e.Class = min(max(e.Class, 0), len(c.cfg.Classes)-1)
 	k := &c.cfg.Classes[e.Class]
-	m := &message{Arrival: e, class: k, dest: c.destinationFor(e.Dest), deadline: c.now + e.Left,
+	m := &message{Arrival: e, class: k, dest: c.destinationFor(e.Dest), deadline: c.now + e.TimeLeft,
 		arrivedAt: c.now, unsureAt: -1}
 	m.startedAt = m.deadline - k.Deadline
 	c.messages[e.ID] = m
@@ -629,8 +629,8 @@
 	}
 	k, h, u, d := m.call, m.call.host, m.call.host.unit, m.dest
 	m.call, m.lastHost = nil, h
-	u.waitUntil = max(u.waitUntil, c.now+e.Wait) // a wait is kept whatever the outcome
-	if e.Spent {
+	u.waitUntil = max(u.waitUntil, c.now+e.RetryAfter) // a wait is kept whatever the outcome
+	if e.NoMoreAttempts {
 		m.attempts = c.cfg.MaxAttempts
 	}
 	if k.members = remove(k.members, m); len(k.members) == 0 {
@@ -638,7 +638,7 @@
 		u.inFlight = remove(u.inFlight, k)
 		c.trackConnections(k, e.Outcome, e.Took)
 	}
-	if r := c.cfg.ReportLimit; r >= 0 && r < len(e.Report) && e.Report[r] > 0 {
+	if r := c.cfg.ReportLimitIndex; r >= 0 && r < len(e.Report) && e.Report[r] > 0 {
 		u.listedRate = e.Report[r]
 	}
 	switch e.Outcome {
@@ -658,7 +658,7 @@
 		d.refusalsInRow = 0
 		c.handleServed(u, d, e.Took)
 	case Refused:
-		c.handleRefusal(u, d, e.Wait)
+		c.handleRefusal(u, d, e.RetryAfter)
 	case Error, Reset:
 		if !k.failureCounted { // the messages of one call count as one failure
 			c.handleFailure(h, e.Outcome, e.Took)
@@ -958,7 +958,7 @@
 		m.timeout = min(longest, left)
 		s := Send{ID: m.ID, Host: h.Addr, Timeout: m.timeout}
 		if m.mayHaveRun && m.class.Effect == Keyed { // a connection may open only after the window
-			s.Within = c.windowEnd(m) - c.now
+			s.StartWithin = c.windowEnd(m) - c.now
 		}
 		c.emit(s)
 	}
@@ -973,8 +973,8 @@
 	d := m.dest
 	m.timeout = c.attemptTimeout(m, k.host.unit)
 	if c.zoneBudget != nil && k.host.Zone != c.zoneBudget.Home {
-		t := &c.zoneBudget.Class[m.Class]
-		c.zoneBudget.Left, t.Own = c.zoneBudget.Left-t.Cost, t.Own-t.Cost
+		t := &c.zoneBudget.Classes[m.Class]
+		c.zoneBudget.Remaining, t.Own = c.zoneBudget.Remaining-t.Cost, t.Own-t.Cost
 	}
 	d.waiting = remove(d.waiting, m)
 	m.attempts++
@@ -988,12 +988,12 @@
 	if c.zoneBudget == nil || zone == c.zoneBudget.Home {
 		return 0, true
 	}
-	t := &c.zoneBudget.Class[m.Class]
+	t := &c.zoneBudget.Classes[m.Class]
 	floor := t.Floor
 	if m.deadline-c.now < m.class.Deadline/4 {
 		floor = t.Urgent
 	}
-	return t.Again, c.zoneBudget.Left-t.Cost >= floor && t.Own >= t.Cost
+	return t.Again, c.zoneBudget.Remaining-t.Cost >= floor && t.Own >= t.Cost
 }
 
 // zonesExcluded reports whether the budget excludes all hosts of a message's destination until past its
@@ -1002,7 +1002,7 @@
 	if c.zoneBudget == nil || len(m.dest.hosts) == 0 {
 		return false
 	}
-	if t := &c.zoneBudget.Class[m.Class]; c.zoneBudget.Left-t.Cost >= t.Urgent {
+	if t := &c.zoneBudget.Classes[m.Class]; c.zoneBudget.Remaining-t.Cost >= t.Urgent {
 		return false // it may be sent once it is urgent
 	}
 	return !slices.ContainsFunc(m.dest.hosts, func(h *host) bool {
@@ -1082,7 +1082,7 @@
 func (c *Chooser) hostCost(m *message, h *host) float64 {
 	u := h.unit
 	cost := 0.0
-	if m.dest.kind.Apart && h.Zone < len(c.cfg.ZoneFee) {
+	if m.dest.kind.PerHostLimits && h.Zone < len(c.cfg.ZoneFee) {
 		cost += c.cfg.ZoneFee[h.Zone]
 	}
 	if c.seldomCalled(u) {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -14,7 +14,7 @@
 // testSettings returns settings with a class for each effect and an ordered one, and with listed rates.
 func testSettings() Settings {
 	return Settings{
-		Fleet: 2, Workers: 4, MaxHeld: 50, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, Listed: true,
+		Fleet: 2, Workers: 4, MaxHeld: 50, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, ListedRates: true,
 		Classes: []Class{
 			{Name: "safe", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Safe},
 			{Name: "keyed", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Keyed,
@@ -23,7 +23,7 @@
 			{Name: "ordered", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Unsafe,
 				Ordered: true},
 		},
-		Kinds:   []Kind{{PerCall: 1}, {PerCall: 3}, {PerCall: 1, Apart: true}},
+		Kinds:   []Kind{{PerCall: 1}, {PerCall: 3}, {PerCall: 1, PerHostLimits: true}},
 		ZoneFee: []float64{0, 0.05},
 		Rules: Rules{AnswerGrace: 20 * ms, DrainGrace: time.Second, OverloadFactor: 2, Fall: 2 * time.Second,
 			ColdFrom: 0.2, Cold: 10 * time.Second, OrderSettle: 100 * ms},
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	r := &harness{t: t, c: c, now: time.Hour, attempts: map[string]int{}}
-	r.step(Listing{Whole: true, Hosts: hosts})
+	r.step(HostUpdate{Full: true, Hosts: hosts})
 	return r
 }
 
@@ -111,7 +111,7 @@
 
 // arrival returns a message for destination 1, with 10 s left.
 func arrival(id string, class int) Arrival {
-	return Arrival{ID: id, Class: class, Dest: 1, Left: 10 * time.Second}
+	return Arrival{ID: id, Class: class, Dest: 1, TimeLeft: 10 * time.Second}
 }
 
 // TestLatencyTableBestTimeout checks the timeout that follows from known latencies: a rare slow answer is cut off,
@@ -248,10 +248,10 @@
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	h := readyHost("a", 1, 0, 0)
 	h.State = Draining
-	if n := len(sends(r.step(Listing{Hosts: []Host{h}}, arrival("m", 0)))); n != 0 {
+	if n := len(sends(r.step(HostUpdate{Hosts: []Host{h}}, arrival("m", 0)))); n != 0 {
 		t.Errorf("%d sends to a draining host, want none", n)
 	}
-	if n := len(sends(r.step(Listing{Whole: true}))); n != 0 {
+	if n := len(sends(r.step(HostUpdate{Full: true}))); n != 0 {
 		t.Errorf("%d sends to a host that is gone, want none", n)
 	}
 }
@@ -261,7 +261,7 @@
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	r.step(arrival("m", 0))
 	r.now += 50 * ms
-	acts := r.step(r.result("m", "a", Refused, func(e *Result) { e.Wait = 700 * ms }), arrival("n", 2))
+	acts := r.step(r.result("m", "a", Refused, func(e *Result) { e.RetryAfter = 700 * ms }), arrival("n", 2))
 	if acts = append(acts, r.advance(695*ms)...); len(sends(acts)) != 0 {
 		t.Errorf("%d sends within the wait the host asked for, want none", len(sends(acts)))
 	}
@@ -566,7 +566,7 @@
 		}
 		a, b := readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0)
 		a.Rate, b.Rate = 4, 4
-		acts := c.Step(time.Hour, []Event{Listing{Whole: true, Hosts: []Host{a, b}}, arrival("m", 0)})
+		acts := c.Step(time.Hour, []Event{HostUpdate{Full: true, Hosts: []Host{a, b}}, arrival("m", 0)})
 		used[sends(acts)[0].Host]++
 	}
 	if used["a"] < 4 || used["b"] < 4 {
@@ -689,7 +689,7 @@
 		gone = append(gone, h)
 	}
 	r := newHarness(t, testSettings(), hosts...)
-	r.step(Listing{Whole: true, Hosts: hosts})
+	r.step(HostUpdate{Full: true, Hosts: hosts})
 	m := arrival("m", 0)
 	m.Dest = 4999
 	if got := sends(r.step(m)); len(got) != 1 || got[0].Host != "h4999" {
@@ -701,7 +701,7 @@
 		}
 	}
 	r.step(r.result("m", "h4999", Served))
-	r.step(Listing{Hosts: gone})
+	r.step(HostUpdate{Hosts: gone})
 	if len(r.c.destByID) != 0 || len(r.c.hosts) != 0 {
 		t.Errorf("%d destinations and %d hosts left after all left the list", len(r.c.destByID), len(r.c.hosts))
 	}
@@ -711,15 +711,15 @@
 // flight with their result.
 func TestStopAnswersWaitingMessages(t *testing.T) {
 	r := newHarness(t, testSettings(), Host{Addr: "a", Dest: 1, State: Ready})
-	r.step(Arrival{ID: "out", Class: 2, Dest: 1, Left: 10 * time.Second})
-	r.step(Arrival{ID: "ran", Class: 2, Dest: 1, Left: 10 * time.Second})
-	r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Draining}}})
-	r.step(Arrival{ID: "waits", Class: 0, Dest: 1, Left: 10 * time.Second})
+	r.step(Arrival{ID: "out", Class: 2, Dest: 1, TimeLeft: 10 * time.Second})
+	r.step(Arrival{ID: "ran", Class: 2, Dest: 1, TimeLeft: 10 * time.Second})
+	r.step(HostUpdate{Full: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Draining}}})
+	r.step(Arrival{ID: "waits", Class: 0, Dest: 1, TimeLeft: 10 * time.Second})
 	acts := r.step(Stop{}, r.result("ran", "a", Cancelled))
 	if !slices.Contains(acts, Action(Refuse{ID: "waits"})) || !slices.Contains(acts, Action(Fail{ID: "ran"})) {
 		t.Fatalf("actions %v at the stop, want waits refused and ran failed", acts)
 	}
-	acts = r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}}, r.result("out", "a", NotSent))
+	acts = r.step(HostUpdate{Full: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}}, r.result("out", "a", NotSent))
 	if len(sends(acts)) > 0 || !slices.Contains(acts, Action(Refuse{ID: "out"})) {
 		t.Fatalf("actions %v at a result after the stop, want out refused and no send", acts)
 	}
@@ -728,9 +728,9 @@
 // TestRetryAfterWithErrorIsKept guards against ignoring the wait that a host asks for if it comes with an error.
 func TestRetryAfterWithErrorIsKept(t *testing.T) {
 	r := newHarness(t, testSettings(), Host{Addr: "a", Dest: 1, State: Ready})
-	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 10 * time.Second})
-	r.step(r.result("m1", "a", Error, func(e *Result) { e.Wait = 3 * time.Second }))
-	r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 10 * time.Second})
+	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, TimeLeft: 10 * time.Second})
+	r.step(r.result("m1", "a", Error, func(e *Result) { e.RetryAfter = 3 * time.Second }))
+	r.step(Arrival{ID: "m2", Class: 0, Dest: 1, TimeLeft: 10 * time.Second})
 	if s := sends(r.advance(2900 * ms)); len(s) > 0 {
 		t.Fatalf("sent %v within the wait", s)
 	}
@@ -744,7 +744,7 @@
 func TestMessageThatMayHaveRunIsNotRefused(t *testing.T) {
 	for class := range 2 { // safe, keyed
 		s := testSettings()
-		s.Certain, s.MaxAttempts = true, 1
+		s.RefuseOnlyNeverRan, s.MaxAttempts = true, 1
 		r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 		r.step(arrival("m", class))
 		acts := r.step(r.result("m", "a", Reset))
@@ -758,16 +758,16 @@
 // once or with its result, and is not sent again.
 func TestWithdrawnMessageStillGetsAnswer(t *testing.T) {
 	s := testSettings()
-	s.Certain = true
+	s.RefuseOnlyNeverRan = true
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(arrival("out", 0))
-	r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Draining}}})
+	r.step(HostUpdate{Full: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Draining}}})
 	r.step(arrival("waits", 0))
-	acts := r.step(Withdrawn{ID: "out", Owed: true}, Withdrawn{ID: "waits", Owed: true})
+	acts := r.step(Withdrawn{ID: "out", AnswerOwed: true}, Withdrawn{ID: "waits", AnswerOwed: true})
 	if len(acts) == 0 || acts[0] != Action(Refuse{ID: "waits"}) || slices.Contains(acts, Action(Fail{ID: "out"})) {
 		t.Fatalf("actions %v at the withdrawal, want only waits refused", acts)
 	}
-	r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}})
+	r.step(HostUpdate{Full: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}})
 	acts = r.step(r.result("out", "a", Reset))
 	if !slices.Contains(acts, Action(Fail{ID: "out"})) || len(sends(append(acts, r.advance(time.Second)...))) > 0 {
 		t.Fatalf("actions %v at the result, want out failed and no send", acts)
@@ -776,8 +776,8 @@
 
 // TestZoneBudget checks which messages the budget for sends to other zones allows.
 func TestZoneBudget(t *testing.T) {
-	tolls := func(left, urgent float64, again time.Duration) Tolls {
-		return Tolls{Left: left, Class: slices.Repeat([]Toll{{Cost: 10, Floor: 5, Urgent: urgent, Own: 1000, Again: again}}, 4)}
+	tolls := func(left, urgent float64, again time.Duration) ZoneBudget {
+		return ZoneBudget{Remaining: left, Classes: slices.Repeat([]ClassBudget{{Cost: 10, Floor: 5, Urgent: urgent, Own: 1000, Again: again}}, 4)}
 	}
 	r := newHarness(t, testSettings(), readyHost("far", 1, 0, 1))
 	r.step(tolls(18, 5, r.now+500*ms))
@@ -795,7 +795,7 @@
 	s.MaxRetryAfter = 30 * time.Second
 	r = newHarness(t, s, readyHost("far", 1, 0, 1))
 	acts := r.step(tolls(0, 5, r.now+20*time.Second), arrival("c", 0))
-	if !slices.Contains(acts, Action(Refuse{ID: "c", After: 20 * time.Second})) {
+	if !slices.Contains(acts, Action(Refuse{ID: "c", RetryAfter: 20 * time.Second})) {
 		t.Errorf("actions %v without a budget until past the deadline, want a refusal with the time until then", acts)
 	}
 	// An urgent message has a lower floor.
@@ -825,16 +825,16 @@
 		sent  bool
 	}{
 		{"unsafe, never ran", 2, Restored{Attempts: 1}, true},
-		{"unsafe, may have run", 2, Restored{Attempts: 1, Ran: true, Since: time.Second}, false},
-		{"keyed, in its window", 1, Restored{Attempts: 1, Ran: true, Since: time.Second}, true},
-		{"keyed, in another zone", 1, Restored{Attempts: 1, Ran: true, Since: time.Second, Zone: 1}, false},
-		{"keyed, past its window", 1, Restored{Attempts: 1, Ran: true, Since: 4 * time.Second}, false},
-		{"keyed, at the largest time ago", 1, Restored{Attempts: 1, Ran: true, Since: math.MaxInt64}, false},
-		{"safe, may have run", 0, Restored{Attempts: 1, Ran: true, Since: time.Hour}, true},
-		{"no attempts left", 0, Restored{Attempts: 4, Ran: true}, false},
+		{"unsafe, may have run", 2, Restored{Attempts: 1, MayHaveRun: true, Since: time.Second}, false},
+		{"keyed, in its window", 1, Restored{Attempts: 1, MayHaveRun: true, Since: time.Second}, true},
+		{"keyed, in another zone", 1, Restored{Attempts: 1, MayHaveRun: true, Since: time.Second, Zone: 1}, false},
+		{"keyed, past its window", 1, Restored{Attempts: 1, MayHaveRun: true, Since: 4 * time.Second}, false},
+		{"keyed, at the largest time ago", 1, Restored{Attempts: 1, MayHaveRun: true, Since: math.MaxInt64}, false},
+		{"safe, may have run", 0, Restored{Attempts: 1, MayHaveRun: true, Since: time.Hour}, true},
+		{"no attempts left", 0, Restored{Attempts: 4, MayHaveRun: true}, false},
 	} {
 		r := newHarness(t, testSettings(), Host{Addr: "a", State: Ready})
-		c.m.Arrival = Arrival{ID: "m", Class: c.class, Left: 9 * time.Second}
+		c.m.Arrival = Arrival{ID: "m", Class: c.class, TimeLeft: 9 * time.Second}
 		if got := sends(append(r.step(c.m), r.advance(time.Second)...)); (len(got) > 0) != c.sent {
 			t.Errorf("%s: sent %v", c.name, got)
 		}
@@ -845,28 +845,28 @@
 // gets a single probe, and that a relay's share of a limit shrinks in a larger fleet.
 func TestRestoredHost(t *testing.T) {
 	r := newHarness(t, testSettings(), Host{Addr: "a", State: Ready})
-	r.step(Waited{Host: "a", Left: time.Second}, Waited{Host: "gone", Left: time.Hour})
-	if got := sends(append(r.step(Arrival{ID: "m", Left: 9 * time.Second}), r.advance(950*ms)...)); len(got) > 0 {
+	r.step(RestoredHost{Host: "a", RetryAfter: time.Second}, RestoredHost{Host: "gone", RetryAfter: time.Hour})
+	if got := sends(append(r.step(Arrival{ID: "m", TimeLeft: 9 * time.Second}), r.advance(950*ms)...)); len(got) > 0 {
 		t.Errorf("sent %v within the wait", got)
 	}
 	if got := sends(r.advance(200 * ms)); len(got) != 1 {
 		t.Errorf("sent %v after the wait, want one", got)
 	}
 	r = newHarness(t, testSettings(), Host{Addr: "a", State: Ready})
-	r.step(Waited{Host: "a", Failing: true})
+	r.step(RestoredHost{Host: "a", Failing: true})
 	var all []Event
 	for i := range 4 {
-		all = append(all, Arrival{ID: fmt.Sprint(i), Left: 9 * time.Second})
+		all = append(all, Arrival{ID: fmt.Sprint(i), TimeLeft: 9 * time.Second})
 	}
 	if got := sends(append(r.step(all...), r.advance(time.Second)...)); len(got) != 1 {
 		t.Errorf("sent %v to a host that failed before the restart, want a single probe", got)
 	}
 	r = newHarness(t, testSettings(), Host{Addr: "a", Rate: 40, State: Ready})
 	u := r.c.hosts["a"].unit
-	if r.step(Fleet{Index: 3, Size: 8}); u.limit != 10 || r.c.cfg.Fleet != 8 {
+	if r.step(FleetChange{Index: 3, Size: 8}); u.limit != 10 || r.c.cfg.Fleet != 8 {
 		t.Errorf("limit %v for a fleet of %d", u.limit, r.c.cfg.Fleet)
 	}
-	if r.step(Fleet{Index: 0, Size: 1}, Fleet{}); u.limit > 11 || r.c.cfg.Fleet != 1 {
+	if r.step(FleetChange{Index: 0, Size: 1}, FleetChange{}); u.limit > 11 || r.c.cfg.Fleet != 1 {
 		t.Errorf("limit %v for a fleet of %d", u.limit, r.c.cfg.Fleet)
 	}
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -22,8 +22,8 @@
 	}
 	now := time.Duration(0)
 	inbox := []choice.Event{
-		choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "10.0.0.1:80", Dest: 7, State: choice.Ready}}},
-		choice.Arrival{ID: "m1", Class: 0, Dest: 7, Left: 10 * time.Second},
+		choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "10.0.0.1:80", Dest: 7, State: choice.Ready}}},
+		choice.Arrival{ID: "m1", Class: 0, Dest: 7, TimeLeft: 10 * time.Second},
 	}
 	for len(inbox) > 0 {
 		actions := c.Step(now, inbox)
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -41,8 +41,8 @@
 func (w *outageSimulation) run(t *testing.T, fleet int, load float64, seed uint64) (over float64, served int) {
 	t.Helper()
 	const outageStart = 5 * time.Second
-	s := Settings{Fleet: fleet, Workers: 6, MaxHeld: 60, MaxAttempts: 6, Tick: 5 * ms, Cancels: true, Listed: true, Certain: true,
-		ReportLimit: -1, ConnIdle: 15 * time.Second, Classes: []Class{
+	s := Settings{Fleet: fleet, Workers: 6, MaxHeld: 60, MaxAttempts: 6, Tick: 5 * ms, Cancels: true, ListedRates: true, RefuseOnlyNeverRan: true,
+		ReportLimitIndex: -1, ConnIdle: 15 * time.Second, Classes: []Class{
 			{Name: "safe", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Safe},
 			{Name: "unsafe", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Unsafe}},
 		Kinds: []Kind{{PerCall: 1}}, Rules: w.params}
@@ -53,7 +53,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Step(0, []Event{Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, Rate: w.rate, State: Ready}}}})
+		c.Step(0, []Event{HostUpdate{Full: true, Hosts: []Host{{Addr: "a", Dest: 1, Rate: w.rate, State: Ready}}}})
 		w.relays = append(w.relays, c)
 	}
 	random := rand.New(rand.NewPCG(seed, 5))
@@ -69,7 +69,7 @@
 		for random.Float64() < load*w.rate*0.005 { // the expected number for each step
 			i := random.IntN(fleet)
 			n++
-			events[i] = append(events[i], Arrival{ID: fmt.Sprint("m", n), Class: random.IntN(2), Dest: 1, Left: 10 * time.Second})
+			events[i] = append(events[i], Arrival{ID: fmt.Sprint("m", n), Class: random.IntN(2), Dest: 1, TimeLeft: 10 * time.Second})
 			if load*w.rate*0.005 < 1 {
 				break
 			}
@@ -114,7 +114,7 @@
 					}
 					k := tries[i][a.ID]
 					tries[i][a.ID]++
-					pending[i] = append(pending[i], pendingResult{now + took, i, Result{ID: a.ID, Host: "a", Attempt: k, Outcome: o, Took: took, Wait: wait,
+					pending[i] = append(pending[i], pendingResult{now + took, i, Result{ID: a.ID, Host: "a", Attempt: k, Outcome: o, Took: took, RetryAfter: wait,
 						Done: o == Served}})
 				case Cancel:
 					for j := range pending[i] {
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -116,7 +116,7 @@
 		case Served:
 			l.finished = true
 		case Refused:
-			e.Wait = told
+			e.RetryAfter = told
 			unit := fmt.Sprint(h.Dest)
 			if h.Dest == 2 {
 				unit = l.inFlightTo
@@ -131,7 +131,7 @@
 		l.inFlightTo = ""
 		return e
 	}
-	step(Listing{Whole: true, Hosts: hosts})
+	step(HostUpdate{Full: true, Hosts: hosts})
 	for i := 0; i+1 < len(data); i += 2 {
 		op, arg := data[i], int(data[i+1])
 		switch op % 5 {
@@ -143,7 +143,7 @@
 			}
 			states[id] = l
 			ids = append(ids, id)
-			step(Arrival{ID: id, Class: l.class, Dest: 1 + arg/8%2, Left: l.due - now, Key: l.key})
+			step(Arrival{ID: id, Class: l.class, Dest: 1 + arg/8%2, TimeLeft: l.due - now, Key: l.key})
 		case 1:
 			for _, id := range ids {
 				if states[id].inFlightTo != "" {
@@ -160,7 +160,7 @@
 		case 2:
 			h := &hosts[arg%4]
 			h.State = State(arg / 4 % 3)
-			step(Listing{Hosts: []Host{*h}})
+			step(HostUpdate{Hosts: []Host{*h}})
 			if h.State == Gone {
 				h.State = Draining // calls in flight still name it; new ones must not go there
 			}
--- a/choice/large_test.go
+++ b/choice/large_test.go
@@ -79,7 +79,7 @@
 	// A hanging partner refuses with a full queue and asks for no wait. When it returns cold, at most two thirds of
 	// its load may be retries of relays that were refused there. Here 100 relays accept 5 messages per second.
 	s := testSettings()
-	s.Fleet, s.Listed = 100, false
+	s.Fleet, s.ListedRates = 100, false
 	s.Classes[0].Deadline = 20 * time.Second
 	first, again := 0, 0
 	relays := make([]*harness, s.Fleet)
@@ -89,7 +89,7 @@
 			t.Fatal(err)
 		}
 		relays[i] = &harness{t: t, c: c, now: time.Hour, attempts: map[string]int{}}
-		relays[i].step(Listing{Whole: true, Hosts: []Host{readyHost("a", 1, 0, 0)}})
+		relays[i].step(HostUpdate{Full: true, Hosts: []Host{readyHost("a", 1, 0, 0)}})
 	}
 	for tick := range 4000 { // 20 s
 		for i, r := range relays {
@@ -97,7 +97,7 @@
 			events := []Event{Woken{}}
 			if tick%40 == 0 && tick/40 == i {
 				m := arrival("m", 0)
-				m.Left = 20 * time.Second
+				m.TimeLeft = 20 * time.Second
 				events = append(events, m)
 			}
 			for acts := r.step(events...); len(sends(acts)) > 0; acts = r.step(r.result("m", "a", Refused)) {
@@ -133,13 +133,13 @@
 		r := &harness{t: t, c: c, now: time.Hour, attempts: map[string]int{}}
 		h := readyHost("a", 1, 0, 0)
 		h.Rate = 5
-		r.step(Listing{Whole: true, Hosts: []Host{h}})
+		r.step(HostUpdate{Full: true, Hosts: []Host{h}})
 		opens := r.now + 9*time.Second
 		r.now += time.Duration(i) * 100 * ms
 		if len(sends(r.step(arrival("m", 0)))) != 1 {
 			t.Fatal("no first attempt")
 		}
-		r.step(r.result("m", "a", Refused, func(e *Result) { e.Wait = opens - r.now }))
+		r.step(r.result("m", "a", Refused, func(e *Result) { e.RetryAfter = opens - r.now }))
 		for r.now < opens+2*time.Second {
 			r.now += 5 * ms
 			if n := len(sends(r.step(Woken{}))); n > 0 {
@@ -159,7 +159,7 @@
 // error.
 func TestSingleErrorDoesNotStopSeldomCalledPartner(t *testing.T) {
 	s := testSettings()
-	s.Fleet, s.Listed = 100, false
+	s.Fleet, s.ListedRates = 100, false
 	r := newHarness(t, s, readyHost("a", 1, 0, 0))
 	r.advance(5 * time.Second)
 	r.step(arrival("m", 0))
@@ -181,16 +181,16 @@
 func TestSeldomCalledUnitUsesAllLatencies(t *testing.T) {
 	// A relay that seldom calls each partner fills no table of a destination, only the one of all destinations.
 	s := testSettings()
-	s.Fleet, s.Listed = 100, false
+	s.Fleet, s.ListedRates = 100, false
 	r := newHarness(t, s)
 	for i := range minSamples + 1 {
 		h := readyHost(string(rune('A'+i)), i+2, 0, 0)
-		r.step(Listing{Hosts: []Host{h}})
+		r.step(HostUpdate{Hosts: []Host{h}})
 		m := arrival(h.Addr, 0)
 		m.Dest = h.Dest
 		r.deliver(m)
 	}
-	r.step(Listing{Hosts: []Host{readyHost("a", 1, 0, 0)}})
+	r.step(HostUpdate{Hosts: []Host{readyHost("a", 1, 0, 0)}})
 	r.advance(time.Second)
 	if got := sends(r.step(arrival("m", 0))); len(got) != 1 || got[0].Timeout > 2*s.Classes[0].Aim {
 		t.Errorf("sends %v, want one with a timeout that leaves time for a restart", got)
@@ -205,7 +205,7 @@
 	// After nine refused retries the next back-off must be several times longer than at the start.
 	pause := func(failed int, told bool) time.Duration {
 		s := testSettings()
-		s.Fleet, s.Listed = 100, false
+		s.Fleet, s.ListedRates = 100, false
 		r := newHarness(t, s, readyHost("a", 1, 0, 0))
 		d := r.c.destByID[1]
 		u := d.units[0]
@@ -235,7 +235,7 @@
 // destination failed.
 func TestSecondFailedHostCountsAsProbe(t *testing.T) {
 	s := testSettings()
-	s.Fleet, s.Listed = 100, false
+	s.Fleet, s.ListedRates = 100, false
 	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0))
 	r.advance(5 * time.Second)
 	first := sends(r.step(arrival("m", 0)))
@@ -254,7 +254,7 @@
 // TestFullConnectionTableIsNoOutage guards against suspecting a unit whose host only has no connection left.
 func TestFullConnectionTableIsNoOutage(t *testing.T) {
 	s := testSettings()
-	s.Fleet, s.Listed = 100, false
+	s.Fleet, s.ListedRates = 100, false
 	r := newHarness(t, s, readyHost("a", 1, 0, 0))
 	r.c.statsByKind[0].noConnShare = 1.0 / outcomeHistory
 	r.advance(5 * time.Second)
@@ -295,13 +295,13 @@
 		s.MaxRetryAfter, s.MaxAttempts = longest, 1
 		r := newHarness(t, s, readyHost("a", 1, 0, 0))
 		r.step(arrival("m", 0))
-		acts := r.step(r.result("m", "a", Refused, func(e *Result) { e.Wait = 5 * time.Second }))
+		acts := r.step(r.result("m", "a", Refused, func(e *Result) { e.RetryAfter = 5 * time.Second }))
 		if finalAnswers(acts) != "refuse m;" {
 			t.Errorf("final answers %q when the attempts are used up, want a refusal at once", finalAnswers(acts))
 		}
 		for _, a := range acts {
-			if a, ok := a.(Refuse); ok && (a.After < want || a.After > longest) {
-				t.Errorf("MaxRetryAfter %v: Refuse.After %v after a wait of 5s, want %v", longest, a.After, want)
+			if a, ok := a.(Refuse); ok && (a.RetryAfter < want || a.RetryAfter > longest) {
+				t.Errorf("MaxRetryAfter %v: Refuse.RetryAfter %v after a wait of 5s, want %v", longest, a.RetryAfter, want)
 			}
 		}
 	}
@@ -311,7 +311,7 @@
 // another host was never tried.
 func TestUntriedHostIsPreferredToFailedOnes(t *testing.T) {
 	s := testSettings()
-	s.Fleet, s.Listed = 100, false
+	s.Fleet, s.ListedRates = 100, false
 	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0), readyHost("c", 1, 0, 0))
 	for i, h := range []string{"a", "b", "c"} {
 		r.c.hosts[h].preference = float64(i) / 2 // a and b are preferred by far to c
--- a/choice/pacing_test.go
+++ b/choice/pacing_test.go
@@ -31,7 +31,7 @@
 // refusal: calls sent while there was no limit must not leave a debt of tokens.
 func TestFirstRefusalLeavesNoTokenDebt(t *testing.T) {
 	s := testSettings()
-	s.Listed, s.Fleet = false, 1
+	s.ListedRates, s.Fleet = false, 1
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	const refused = 200
 	serveSteadily(r, 11*time.Second, 50*ms, func(sent int) Outcome {
@@ -50,7 +50,7 @@
 // rate nor waits: the limit must fall until few calls are refused.
 func TestFullDestinationIsNotOverloaded(t *testing.T) {
 	s := testSettings()
-	s.Listed, s.Fleet, s.Workers = false, 1, 20
+	s.ListedRates, s.Fleet, s.Workers = false, 1, 20
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	const capacity = 10 // calls in each second
 	second, taken, refused := time.Duration(0), 0, 0
@@ -80,12 +80,12 @@
 // random: they are due to its rate limit, however few they are.
 func TestRetryAfterCutsLimit(t *testing.T) {
 	s := testSettings()
-	s.Listed, s.Fleet = false, 1
+	s.ListedRates, s.Fleet = false, 1
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	serveSteadily(r, 3*time.Second, 50*ms, func(int) Outcome { return Served })
 	u := r.c.destList[0].units[0]
 	for _, send := range sends(r.step(arrival("told", 0))) {
-		r.step(r.result(send.ID, send.Host, Refused, func(e *Result) { e.Wait = 100 * ms }))
+		r.step(r.result(send.ID, send.Host, Refused, func(e *Result) { e.RetryAfter = 100 * ms }))
 	}
 	if found := u.rateBeforeCut; found == 0 || u.limit > (1-maxCut)*found+0.1 {
 		t.Errorf("limit %v after a refusal with a wait at a rate of %v, want a cut by a fifth", u.limit, found)
@@ -96,7 +96,7 @@
 // has grown to infinity and the tokens are NaN.
 func TestLimitStaysFinite(t *testing.T) {
 	s := testSettings()
-	s.Listed, s.Fleet = false, 1
+	s.ListedRates, s.Fleet = false, 1
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	u := r.c.destList[0].units[0]
 	u.limit = 1
@@ -115,7 +115,7 @@
 // had served anything: the first served call removes it, whatever the number of refusals.
 func TestLimitBeforeFirstServedCallIsLifted(t *testing.T) {
 	s := testSettings()
-	s.Listed, s.Fleet, s.MaxAttempts = false, 1, 20
+	s.ListedRates, s.Fleet, s.MaxAttempts = false, 1, 20
 	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	serveSteadily(r, 4*time.Second, 500*ms, func(int) Outcome { return Refused })
 	u := r.c.destList[0].units[0]
--- a/choice/pause_test.go
+++ b/choice/pause_test.go
@@ -9,7 +9,7 @@
 // pause nothing is sent and no unit becomes suspect. Afterwards waiting messages are sent; one that expires in the
 // meantime is refused.
 func TestPause(t *testing.T) {
-	set := Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * time.Millisecond, ReportLimit: -1, Kinds: []Kind{{PerCall: 1}},
+	set := Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * time.Millisecond, ReportLimitIndex: -1, Kinds: []Kind{{PerCall: 1}},
 		Classes: []Class{{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
 		Rules:   Rules{OverloadFactor: 2, Fall: time.Second, ColdFrom: 0.2, Cold: 5 * time.Second}}
 	c, err := New(set, 1)
@@ -29,8 +29,8 @@
 		}
 		return sends, refusals, logs
 	}
-	count(0, Listing{Whole: true, Hosts: []Host{{Addr: "a", State: Ready}}}, Pause{On: true})
-	arrivals := []Event{Arrival{ID: "short", Left: 500 * time.Millisecond}, Arrival{ID: "long", Left: 4 * time.Second}}
+	count(0, HostUpdate{Full: true, Hosts: []Host{{Addr: "a", State: Ready}}}, Pause{On: true})
+	arrivals := []Event{Arrival{ID: "short", TimeLeft: 500 * time.Millisecond}, Arrival{ID: "long", TimeLeft: 4 * time.Second}}
 	sends, refusals, logs := count(0, arrivals...)
 	for now := time.Millisecond; now < 2*time.Second; now += 5 * time.Millisecond {
 		s, r, l := count(now, Woken{})
--- a/choice/platform_test.go
+++ b/choice/platform_test.go
@@ -40,7 +40,7 @@
 		r.now += 200 * ms
 	}
 	safe, unsafe, short := arrival("safe", 0), arrival("unsafe", 2), arrival("short", 0)
-	short.Left = 4 * time.Second
+	short.TimeLeft = 4 * time.Second
 	s := sends(r.step(safe, unsafe, short))
 	if len(s) != 3 {
 		t.Fatalf("%d sends, want 3", len(s))
@@ -57,7 +57,7 @@
 // key until the notice is acknowledged, also across a restart.
 func TestKeyWaitsForAcknowledgement(t *testing.T) {
 	s := testSettings()
-	s.Acknowledged = true
+	s.HoldUntilAcknowledged = true
 	for _, restart := range []bool{false, true} {
 		r := newHarness(t, s, readyHost("a", 1, 0, 0))
 		first, second, other := arrival("first", 3), arrival("second", 3), arrival("other", 3)
@@ -76,7 +76,7 @@
 			t.Errorf("restart %v: a message of another key was not sent", restart)
 		}
 		r.step(r.result("other", "a", Served))
-		acts = append(r.step(Settled{"first"}), r.advance(time.Second)...)
+		acts = append(r.step(Acknowledged{"first"}), r.advance(time.Second)...)
 		if !slices.ContainsFunc(sends(acts), func(x Send) bool { return x.ID == "second" }) {
 			t.Errorf("restart %v: second not sent after the notice was acknowledged", restart)
 		}
@@ -121,13 +121,14 @@
 	}
 }
 
-// TestSpentEndsMessage checks that a result with Spent ends a message, whatever the number of counted attempts.
-func TestSpentEndsMessage(t *testing.T) {
+// TestNoMoreAttemptsEndsMessage checks that a result with NoMoreAttempts ends a message, whatever the number of
+// counted attempts.
+func TestNoMoreAttemptsEndsMessage(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	r.step(arrival("m", 0))
-	acts := r.step(r.result("m", "a", NotSent, func(e *Result) { e.Spent = true }))
+	acts := r.step(r.result("m", "a", NotSent, func(e *Result) { e.NoMoreAttempts = true }))
 	if len(sends(acts)) != 0 || !slices.ContainsFunc(acts, func(a Action) bool { _, ok := a.(Refuse); return ok }) {
-		t.Errorf("actions %v after a result with Spent, want a refusal", acts)
+		t.Errorf("actions %v after a result with NoMoreAttempts, want a refusal", acts)
 	}
 }
 
@@ -162,19 +163,19 @@
 // such limit.
 func TestKeyedRepeatCarriesSendLimit(t *testing.T) {
 	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
-	if s := sends(r.step(arrival("safe", 0), arrival("keyed", 1))); len(s) != 2 || s[0].Within != 0 || s[1].Within != 0 {
+	if s := sends(r.step(arrival("safe", 0), arrival("keyed", 1))); len(s) != 2 || s[0].StartWithin != 0 || s[1].StartWithin != 0 {
 		t.Fatalf("first sends %+v, want two without a limit", s)
 	}
 	r.now += time.Second
 	acts := append(r.step(r.result("safe", "a", Reset), r.result("keyed", "a", Reset)), r.advance(1500*ms)...)
 	again := sends(acts)
 	i := slices.IndexFunc(again, func(s Send) bool { return s.ID == "keyed" })
-	if i < 0 || again[i].Within <= 0 || again[i].Within > 2*time.Second {
+	if i < 0 || again[i].StartWithin <= 0 || again[i].StartWithin > 2*time.Second {
 		t.Fatalf("repeats %+v, want keyed within the rest of its 3 s", again)
 	}
 	for _, s := range again {
-		if s.ID == "safe" && s.Within != 0 {
-			t.Errorf("safe message sent with a limit of %v, want none", s.Within)
+		if s.ID == "safe" && s.StartWithin != 0 {
+			t.Errorf("safe message sent with a limit of %v, want none", s.StartWithin)
 		}
 	}
 }
@@ -186,7 +187,7 @@
 	for _, cost := range []float64{0, 0.3} {
 		s := testSettings()
 		s.MaxHeld = 10
-		s.TakenBack.Cost, s.TakenBack.Before = cost, 0.7
+		s.ShedPenalty.Cost, s.ShedPenalty.Before = cost, 0.7
 		r := newHarness(t, s) // without a host all messages wait
 		refused := func(acts []Action) (ids []string) {
 			for _, a := range acts {
@@ -225,10 +226,10 @@
 func TestRestoredThatMayHaveRunIsNotRefused(t *testing.T) {
 	for class := range 2 { // safe, keyed
 		for _, ran := range []bool{false, true} {
-			s := testSettings() // Certain is off
+			s := testSettings() // RefuseOnlyNeverRan is off
 			r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Draining})
 			m := arrival("m", class)
-			r.step(Restored{Arrival: m, Attempts: 1, Ran: ran, Since: 100 * ms})
+			r.step(Restored{Arrival: m, Attempts: 1, MayHaveRun: ran, Since: 100 * ms})
 			var acts []Action
 			for range 200 {
 				acts = append(acts, r.advance(100*ms)...)
--- a/choice/state.go
+++ b/choice/state.go
@@ -151,7 +151,7 @@
 	suspended      bool                // shutting down with Stop.Keep: a later run resumes the held messages
 	paused         bool                // no call can begin at present, see Pause
 	unacknowledged map[string]*message // finally answered but unacknowledged messages, which block their key
-	zoneBudget     *Tolls              // budget for sends to other zones; nil if there is no limit
+	zoneBudget     *ZoneBudget         // budget for sends to other zones; nil if there is no limit
 	subscribeAt    time.Duration       // time of the next Subscribe action; negative for none
 	actions        []Action            // actions of this step
 }
@@ -197,7 +197,8 @@
 	for _, d := range c.destList {
 		hosts, units = hosts+len(d.hosts), units+len(d.units)
 	}
-	return map[string]int{"module messages": len(c.messages), "module destinations": len(c.destByID), "module live": len(c.active),
+	return map[string]int{"module messages": len(c.messages), "module destinations": len(c.destByID),
+		"module live":  len(c.active),
 		"module hosts": max(hosts, len(c.hosts)), "module units": units, "module keys": len(c.keyQueues),
 		"module resting keys": len(c.blockedQueues), "module owing": len(c.unacknowledged)}
 }
--- a/internal/badday/plant.go
+++ b/internal/badday/plant.go
@@ -86,7 +86,7 @@
 	last []choice.Host
 }
 
-func (d *deafSink) List(l choice.Listing) {
+func (d *deafSink) List(l choice.HostUpdate) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	l.Hosts = slices.Clone(l.Hosts)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -516,8 +516,8 @@
 	s := choice.Settings{
 		Index: c.Relay.Index, Fleet: c.Relay.Fleet, Workers: c.Relay.Workers, MaxHeld: c.Relay.Held,
 		MaxAttempts: c.Relay.Attempts, Tick: c.Relay.Tick.D(), MaxRetryAfter: c.Relay.MaxRetryAfter.D(),
-		ConnIdle: c.Relay.ConnIdle.D(), Halving: c.Relay.Halving, Listed: c.Relay.ListedRates,
-		Cancels: c.Relay.Cancels, ReportLimit: -1, Certain: true,
+		ConnIdle: c.Relay.ConnIdle.D(), Halving: c.Relay.Halving, ListedRates: c.Relay.ListedRates,
+		Cancels: c.Relay.Cancels, ReportLimitIndex: -1, RefuseOnlyNeverRan: true,
 		Rules: choice.Rules{AnswerGrace: c.Rules.AnswerGrace.D(), DrainGrace: c.Rules.DrainGrace.D(),
 			OverloadFactor: c.Rules.OverloadFactor, Fall: c.Rules.Fall.D(), ColdFrom: c.Rules.ColdFrom,
 			Cold: c.Rules.Cold.D(), OrderSettle: c.Rules.OrderSettle.D()},
@@ -528,7 +528,7 @@
 			Window: k.Window.D(), Ordered: k.Ordered})
 	}
 	for _, k := range c.Kinds {
-		s.Kinds = append(s.Kinds, choice.Kind{Apart: k.Apart, PerCall: k.PerCall})
+		s.Kinds = append(s.Kinds, choice.Kind{PerHostLimits: k.Apart, PerCall: k.PerCall})
 	}
 	for _, z := range c.Zones {
 		s.ZoneFee = append(s.ZoneFee, z.Fee)
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -110,7 +110,7 @@
 		c.clear(a)
 	}
 	c.batch = append(c.batch, choice.Result{ID: m.id, Host: a.host, Attempt: a.n, Outcome: e.Outcome,
-		Took: e.Took, Wait: e.Wait, Done: served || m.answered, Spent: e.Spent, Report: e.Report})
+		Took: e.Took, RetryAfter: e.Wait, Done: served || m.answered, NoMoreAttempts: e.Spent, Report: e.Report})
 	if served {
 		c.answer(m, ledger.Answer{Verdict: ledger.Delivered})
 	}
@@ -136,12 +136,12 @@
 }
 
 // listed notes endpoints that no longer take new work.
-func (c *Core) listed(l *choice.Listing, recall map[string]bool) {
+func (c *Core) listed(l *choice.HostUpdate, recall map[string]bool) {
 	if l.Failed {
 		return
 	}
 	ready := map[string]bool{}
-	if l.Whole {
+	if l.Full {
 		clear(c.zones)
 		clear(c.kinds)
 	}
@@ -158,7 +158,7 @@
 			recall[h.Addr] = true
 		}
 	}
-	if l.Whole {
+	if l.Full {
 		for a := range c.outs {
 			if !ready[a.host] {
 				recall[a.host] = true
@@ -170,7 +170,7 @@
 // hold notes endpoints that a told wait covers.
 func (c *Core) hold(a *attempt, recall map[string]bool) {
 	recall[a.host] = true
-	if c.kind(a.host).Apart {
+	if c.kind(a.host).PerHostLimits {
 		return
 	}
 	for b := range c.outs {
@@ -222,8 +222,8 @@
 	}
 	a := &attempt{m: m, n: m.tries, host: s.Host, partner: m.Partner, sent: c.now,
 		end: c.now + s.Timeout, zone: c.zones[s.Host], place: -1}
-	if s.Within > 0 {
-		a.by = c.now + s.Within
+	if s.StartWithin > 0 {
+		a.by = c.now + s.StartWithin
 	}
 	m.tries++
 	m.out = a
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -147,7 +147,7 @@
 // Toll tells which zones are open to a class, and books what crosses.
 type Toll interface {
 	// Tolls are news for the module; false if there is none.
-	Tolls(now time.Duration) (choice.Tolls, bool)
+	Tolls(now time.Duration) (choice.ZoneBudget, bool)
 	// Sent returns what settles a send by the bytes that passed, nil for none.
 	Sent(now time.Duration, class, partner, zone int) func(now time.Duration, passed int64, whole bool)
 }
@@ -234,8 +234,8 @@
 	at      time.Duration
 	ended   *attempt
 	ending  Ending
-	listing *choice.Listing
-	fleet   *choice.Fleet
+	listing *choice.HostUpdate
+	fleet   *choice.FleetChange
 	drop    string // identity withdrawn
 	by      Reply  // nobody is owed its answer, if it came with this; nil: it is still wanted
 	call    func()
@@ -340,11 +340,11 @@
 func (c *Core) Submit(m *Message) error { return c.put(event{arrival: m, at: c.Now()}) }
 
 // List hands in news of the endpoint list.
-func (c *Core) List(l choice.Listing) { _ = c.put(event{listing: &l}) }
+func (c *Core) List(l choice.HostUpdate) { _ = c.put(event{listing: &l}) }
 
 // Fleet says how many relays there are, and which of them this is, from 0.
 func (c *Core) Fleet(index, size int) {
-	_ = c.put(event{fleet: &choice.Fleet{Index: index, Size: size}})
+	_ = c.put(event{fleet: &choice.FleetChange{Index: index, Size: size}})
 }
 
 // Withdraw says that nobody wants the message of an identity any more. It is
@@ -363,7 +363,7 @@
 func (c *Core) settled(identity string) {
 	if id, ok := c.owing[identity]; ok {
 		delete(c.owing, identity)
-		c.batch = append(c.batch, choice.Settled{ID: id})
+		c.batch = append(c.batch, choice.Acknowledged{ID: id})
 	}
 }
 
@@ -576,7 +576,7 @@
 		c.batch = c.batch[:0]
 		for _, id := range c.nows { // had their chance
 			if m := c.msgs[id]; m != nil && !m.answered {
-				c.batch = append(c.batch, choice.Withdrawn{ID: id, Owed: true})
+				c.batch = append(c.batch, choice.Withdrawn{ID: id, AnswerOwed: true})
 			}
 		}
 		c.nows = c.nows[:0]
@@ -662,7 +662,7 @@
 	c.opt.Trace.Step(m.Identity, "taken", m.id)
 	c.opt.Observer.Taken(in.Class)
 	c.batch = append(c.batch, choice.Arrival{ID: m.id, Class: in.Class, Dest: in.Partner,
-		Left: m.due - c.now, Key: in.Key})
+		TimeLeft: m.due - c.now, Key: in.Key})
 	if _, ok := in.Reply.(Decider); ok {
 		c.fresh = append(c.fresh, m)
 	}
@@ -682,7 +682,7 @@
 		c.led.End(c.now, m.entry, a)
 		delete(c.byEntry, m.entry)
 	}
-	if c.opt.Settings.Acknowledged && (a.Verdict == ledger.Refused || a.Verdict == ledger.Failed) {
+	if c.opt.Settings.HoldUntilAcknowledged && (a.Verdict == ledger.Refused || a.Verdict == ledger.Failed) {
 		c.owing[m.Identity] = m.id
 	}
 	if m.kept && !c.takeBack(m) {
@@ -701,7 +701,7 @@
 		}
 	}
 	c.opt.Trace.Step(m.Identity, "ended", a.Verdict.String())
-	if c.opt.Settings.Acknowledged {
+	if c.opt.Settings.HoldUntilAcknowledged {
 		c.untold[m] = tell
 	}
 	c.durable(m.kept, tell, m.seq)
@@ -728,7 +728,7 @@
 	if by != nil && m.Reply != by {
 		return
 	}
-	c.batch = append(c.batch, choice.Withdrawn{ID: m.id, Owed: by == nil})
+	c.batch = append(c.batch, choice.Withdrawn{ID: m.id, AnswerOwed: by == nil})
 	if by != nil {
 		c.answer(m, ledger.Answer{Verdict: ledger.Abandoned})
 	}
@@ -760,7 +760,7 @@
 			}
 		case choice.Refuse:
 			if m := c.msgs[act.ID]; m != nil {
-				c.refuse(m, act.After)
+				c.refuse(m, act.RetryAfter)
 			}
 		case choice.Fail:
 			if m := c.msgs[act.ID]; m != nil {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -77,7 +77,7 @@
 	unsafe.Effect, unsafe.Ordered = choice.Unsafe, true
 	c, err := New(Options{Seed: 1, Arrivals: 8, Identities: 8, Keep: time.Minute, Caller: r, Observer: r,
 		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 2, Tick: 5 * ms, Cancels: true,
-			Certain: true, ReportLimit: -1, MaxRetryAfter: time.Second, Classes: []choice.Class{class, unsafe},
+			RefuseOnlyNeverRan: true, ReportLimitIndex: -1, MaxRetryAfter: time.Second, Classes: []choice.Class{class, unsafe},
 			Kinds: []choice.Kind{{PerCall: 1}},
 			Rules: choice.Rules{OverloadFactor: 2, Fall: time.Second, ColdFrom: 0.2, Cold: 5 * time.Second}}})
 	if err != nil {
@@ -85,7 +85,7 @@
 	}
 	c.clock = func() time.Duration { return c.now }
 	r.Core = c
-	r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
+	r.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
 	r.at(0)
 	return r
 }
@@ -189,7 +189,7 @@
 		}
 		r.calls[0].started = false
 		if news == "drain" {
-			r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Draining}}})
+			r.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "a", State: choice.Draining}}})
 		} else {
 			r.calls[1].finish(choice.Refused, 2*time.Second)
 		}
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -133,8 +133,8 @@
 			seen = 0
 			c, err := New(Options{Seed: 1, Arrivals: 100, Identities: 100, Keep: time.Hour, Caller: r, Observer: r,
 				Clock: d.now, Journal: d, Names: Names{func(int) string { return "p" }, []string{"z"}},
-				Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, Certain: true,
-					ReportLimit: -1, MaxRetryAfter: time.Second, Classes: crashClasses, Kinds: []choice.Kind{{PerCall: 1}},
+				Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, RefuseOnlyNeverRan: true,
+					ReportLimitIndex: -1, MaxRetryAfter: time.Second, Classes: crashClasses, Kinds: []choice.Kind{{PerCall: 1}},
 					Rules: choice.Rules{Fall: time.Second, Cold: 2 * time.Second, ColdFrom: 0.2, OverloadFactor: 2}}})
 			if err != nil {
 				t.Fatal(err)
@@ -144,7 +144,7 @@
 				"order": {Deadline: 6 * time.Second, Keep: true}, "charge": {Deadline: 6 * time.Second, Keep: true}}, map[string]bool{"p": true}, time.Hour, 2*time.Second)
 			var messages []Restored
 			var ended []Ended
-			var waits []choice.Waited
+			var waits []choice.RestoredHost
 			for _, m := range plan.Messages {
 				class := map[string]int{"status": 0, "order": 1, "charge": 2}[m.Class]
 				items[m.Identity].taken = true // a front that owes it says so itself to who comes again
@@ -157,10 +157,10 @@
 				items[e.Identity].Answer(a) // as a front hands over what is owed
 			}
 			for _, w := range plan.Waits {
-				waits = append(waits, choice.Waited{Host: w.Host, Left: w.Left, Failing: w.Failing})
+				waits = append(waits, choice.RestoredHost{Host: w.Host, RetryAfter: w.Left, Failing: w.Failing})
 			}
 			r.Restore(messages, ended, waits, d.kept().Last)
-			r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "h1", State: choice.Ready}, {Addr: "h2", State: choice.Ready}}})
+			r.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "h1", State: choice.Ready}, {Addr: "h2", State: choice.Ready}}})
 			r.Step()
 		}
 		boot()
@@ -269,14 +269,14 @@
 	r := &rig{}
 	c, err := New(Options{Seed: 1, Arrivals: 100, Identities: 100, Keep: time.Hour, Caller: r, Observer: r,
 		Clock: d.now, Journal: d, Names: Names{func(int) string { return "p" }, []string{"z"}},
-		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Certain: true, ReportLimit: -1,
+		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, RefuseOnlyNeverRan: true, ReportLimitIndex: -1,
 			Classes: crashClasses, Kinds: []choice.Kind{{PerCall: 1}},
 			Rules: choice.Rules{Fall: time.Second, Cold: 2 * time.Second, ColdFrom: 0.2, OverloadFactor: 2}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Core = c
-	list := func(s choice.State) { r.List(choice.Listing{Hosts: []choice.Host{{Addr: "h", State: s}}}); r.Step() }
+	list := func(s choice.State) { r.List(choice.HostUpdate{Hosts: []choice.Host{{Addr: "h", State: s}}}); r.Step() }
 	list(choice.Ready)
 	for i := range 2 {
 		_ = r.Submit(&Message{Source: "c", Identity: fmt.Sprint(i), Left: 6 * time.Second, Reply: &item{}})
--- a/internal/core/doubt.go
+++ b/internal/core/doubt.go
@@ -274,9 +274,9 @@
 // answer of a call that ended before. It is heeded like any other.
 func (c *Core) Waits(host string, partner int, wait time.Duration) {
 	_ = c.put(event{call: func() {
-		c.batch = append(c.batch, choice.Waited{Host: host, Left: wait})
+		c.batch = append(c.batch, choice.RestoredHost{Host: host, RetryAfter: wait})
 		hosts := map[string]bool{host: true}
-		if !c.kind(host).Apart {
+		if !c.kind(host).PerHostLimits {
 			for a := range c.outs {
 				hosts[a.host] = hosts[a.host] || a.partner == partner
 			}
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -59,8 +59,8 @@
 	c, err := New(Options{Seed: 1, Arrivals: 20, Identities: 200, Keep: time.Minute, Caller: r, Observer: r, Journal: j, Every: true,
 		Guard: &lifecycle.Guard{Strict: true},
 		Names: Names{Partner: func(int) string { return "p" }},
-		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, Certain: true,
-			ReportLimit: -1, Classes: []choice.Class{class}, Kinds: []choice.Kind{{PerCall: 1}},
+		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, RefuseOnlyNeverRan: true,
+			ReportLimitIndex: -1, Classes: []choice.Class{class}, Kinds: []choice.Kind{{PerCall: 1}},
 			Rules: choice.Rules{OverloadFactor: 2, Fall: time.Second, ColdFrom: 0.2, Cold: 5 * time.Second}}})
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 	c.clock = func() time.Duration { return c.now }
 	r.Core = c
 	r.at(0)
-	r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
+	r.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
 	r.at(ms)
 	return r
 }
@@ -145,8 +145,8 @@
 func TestOverdueEndsAreToldWithoutTheirRecord(t *testing.T) {
 	j := &slowJournal{}
 	r := kept(t, j)
-	r.opt.Settings.Acknowledged = true
-	r.List(choice.Listing{Whole: true}) // nobody takes it
+	r.opt.Settings.HoldUntilAcknowledged = true
+	r.List(choice.HostUpdate{Full: true}) // nobody takes it
 	r.at(r.now + ms)
 	d := &decider{}
 	if err := r.Submit(&Message{Identity: "m", Left: 5 * time.Second, Reply: d}); err != nil {
@@ -225,7 +225,7 @@
 func TestLongBodiesTravelApart(t *testing.T) {
 	r, _ := several(t)
 	r.opt.Together = 2000
-	r.List(choice.Listing{Whole: true}) // nothing is sent before all are there
+	r.List(choice.HostUpdate{Full: true}) // nothing is sent before all are there
 	r.at(3 * ms)
 	for _, id := range []string{"a", "b", "c"} {
 		if err := r.Submit(&Message{Identity: id, Left: 5 * time.Second, Reply: &reply{}, Body: make([]byte, 600)}); err != nil {
@@ -233,7 +233,7 @@
 		}
 	}
 	r.at(4 * ms)
-	r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
+	r.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
 	r.at(5 * ms)
 	if len(r.calls) != 2 || len(r.calls[0].Call.Several) != 2 || r.calls[1].Call.Several != nil || r.calls[1].Name != "c" {
 		t.Fatalf("%d calls, want one with two messages and one with the third", len(r.calls))
--- a/internal/core/records_test.go
+++ b/internal/core/records_test.go
@@ -151,7 +151,7 @@
 func TestRefusalOfAnUnrecordedHandInIsToldAtOnce(t *testing.T) {
 	j := newFailingDisk()
 	r := kept(t, j)
-	r.List(choice.Listing{Whole: true}) // nobody takes it
+	r.List(choice.HostUpdate{Full: true}) // nobody takes it
 	r.at(r.now + ms)
 	j.failing = true
 	d := &decider{}
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -36,10 +36,10 @@
 
 // remember tells the module what an earlier run knew of endpoints that are listed
 // now, and drops the records of those that went.
-func (c *Core) remember(l *choice.Listing) {
+func (c *Core) remember(l *choice.HostUpdate) {
 	for _, h := range l.Hosts {
 		if w, ok := c.waited[h.Addr]; ok && h.State != choice.Gone {
-			c.batch = append(c.batch, choice.Waited{Host: h.Addr, Left: max(0, w.until-c.now), Failing: w.failing})
+			c.batch = append(c.batch, choice.RestoredHost{Host: h.Addr, RetryAfter: max(0, w.until-c.now), Failing: w.failing})
 			delete(c.waited, h.Addr)
 		}
 	}
@@ -80,7 +80,7 @@
 // Restore takes in what an earlier run left, before Run. Answers that were given
 // then count from the first moment on; the module is told of the messages in its
 // first step, in their order.
-func (c *Core) Restore(messages []Restored, ended []Ended, waits []choice.Waited, last uint64) {
+func (c *Core) Restore(messages []Restored, ended []Ended, waits []choice.RestoredHost, last uint64) {
 	c.now = c.Now()
 	c.next = last
 	var owed []choice.Event
@@ -94,7 +94,7 @@
 		c.led.Restore(c.now-e.Age, e.Identity, id, e.Answer, e.Forget)
 	}
 	for _, w := range waits {
-		n := noted{c.now + w.Left, w.Failing}
+		n := noted{c.now + w.RetryAfter, w.Failing}
 		c.waited[w.Host], c.noted[w.Host] = n, n
 	}
 	var first []*choice.Restored
@@ -109,15 +109,15 @@
 		c.byEntry[m.entry] = m
 		c.msgs[m.id] = m
 		c.owed++
-		first = append(first, &choice.Restored{Arrival: choice.Arrival{ID: m.id, Class: r.Class, Dest: r.Partner, Left: r.Message.Left,
-			Key: r.Key}, Attempts: r.Attempts, Ran: r.Ran, Since: r.Since, Zone: r.Zone})
+		first = append(first, &choice.Restored{Arrival: choice.Arrival{ID: m.id, Class: r.Class, Dest: r.Partner, TimeLeft: r.Message.Left,
+			Key: r.Key}, Attempts: r.Attempts, MayHaveRun: r.Ran, Since: r.Since, Zone: r.Zone})
 	}
 	began := c.now
 	_ = c.put(event{call: func() {
 		c.batch = append(c.batch, owed...)
 		for _, r := range first { // the time that the start took is gone
 			if m := c.msgs[r.ID]; m != nil {
-				r.Left = m.due - c.now
+				r.TimeLeft = m.due - c.now
 				r.Since += min(c.now-began, math.MaxInt64-r.Since)
 				c.batch = append(c.batch, *r)
 			}
--- a/internal/core/several_test.go
+++ b/internal/core/several_test.go
@@ -21,7 +21,7 @@
 	unsafe.Effect = choice.Unsafe
 	c, err := New(Options{Seed: 1, Arrivals: 20, Identities: 20, Keep: time.Minute, Caller: r, Observer: r,
 		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 2, Tick: 5 * ms, Cancels: true,
-			Certain: true, ReportLimit: -1, Classes: []choice.Class{class, unsafe}, Kinds: []choice.Kind{{PerCall: 3}},
+			RefuseOnlyNeverRan: true, ReportLimitIndex: -1, Classes: []choice.Class{class, unsafe}, Kinds: []choice.Kind{{PerCall: 3}},
 			Rules: choice.Rules{OverloadFactor: 2, Fall: time.Second, ColdFrom: 0.2, Cold: 5 * time.Second}}})
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 		}
 	}
 	r.at(ms)
-	r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
+	r.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
 	r.at(2 * ms)
 	return r, all
 }
@@ -145,7 +145,7 @@
 func TestSettledRefusals(t *testing.T) {
 	r := newRig(t)
 	set := r.opt.Settings
-	set.Acknowledged, set.Classes = true, slices.Clone(set.Classes)
+	set.HoldUntilAcknowledged, set.Classes = true, slices.Clone(set.Classes)
 	set.Classes[1].Ordered = true
 	c, err := New(Options{Seed: 1, Arrivals: 8, Identities: 8, Keep: time.Minute, Caller: r, Observer: r, Settings: set})
 	if err != nil {
@@ -162,7 +162,7 @@
 	if verdicts([]*reply{one, two}) != "refused none " {
 		t.Fatal(verdicts([]*reply{one, two}))
 	}
-	r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
+	r.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
 	r.at(300 * ms)
 	if len(r.calls) != 0 {
 		t.Fatal("sent before the one ahead was settled")
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -20,7 +20,7 @@
 
 // Sink takes news of the endpoint list.
 type Sink interface {
-	List(choice.Listing)
+	List(choice.HostUpdate)
 }
 
 // News is where a source reports to; its methods may be called from any goroutine.
@@ -93,7 +93,7 @@
 type Sinks []Sink
 
 // List hands a listing to each.
-func (s Sinks) List(l choice.Listing) {
+func (s Sinks) List(l choice.HostUpdate) {
 	for _, to := range s {
 		to.List(l)
 	}
@@ -198,7 +198,7 @@
 func (n news) Failed(err error) {
 	n.d.opt.Failed(n.d.opt.Sources[n.from].Settings().Name, err)
 	if n.d.opt.Sources[n.from].Settings().Sure {
-		n.d.opt.To.List(choice.Listing{Failed: true})
+		n.d.opt.To.List(choice.HostUpdate{Failed: true})
 	}
 }
 
@@ -265,7 +265,7 @@
 	if len(told)+len(gone) == 0 && d.last != nil {
 		return next
 	}
-	news := choice.Listing{Whole: d.last == nil}
+	news := choice.HostUpdate{Full: d.last == nil}
 	if d.last == nil {
 		d.last, d.at = map[string]choice.Host{}, map[string]addr.Endpoint{}
 	}
@@ -302,7 +302,7 @@
 		}
 		d.opt.Addresses(at)
 	}
-	if d.count = len(d.last); len(news.Hosts) > 0 || news.Whole {
+	if d.count = len(d.last); len(news.Hosts) > 0 || news.Full {
 		d.opt.To.List(news)
 	}
 	d.opt.Listed(d.count)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -14,9 +14,9 @@
 	"basaltcross.example/basaltcross/internal/standin"
 )
 
-type listings chan choice.Listing
+type listings chan choice.HostUpdate
 
-func (l listings) List(x choice.Listing) { l <- x }
+func (l listings) List(x choice.HostUpdate) { l <- x }
 
 // 940 endpoints of 47 services in a stand-in catalogue: one change until the core
 // is told, the stand-in's own work included.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -187,9 +187,9 @@
 		r := &relay{w: w, index: i, zone: i % s.Zones}
 		opt := core.Options{Seed: s.Seed + uint64(i), Arrivals: 1 << 20, Identities: 1 << 20,
 			Keep: time.Minute, Caller: r, Observer: r, Clock: func() time.Duration { return w.now },
-			Settings: choice.Settings{Index: i, Fleet: believed, Listed: s.Size != nil && s.Size.Listed, Workers: 64, MaxHeld: 2000, MaxAttempts: 4,
-				Tick: 10 * time.Millisecond, Classes: classes, Kinds: []choice.Kind{{PerCall: 1, Apart: s.Size == nil}}, Cancels: true,
-				Certain: true, ReportLimit: -1, ZoneFee: fees(s.Zones, r.zone), Rules: choice.Rules{OverloadFactor: 2,
+			Settings: choice.Settings{Index: i, Fleet: believed, ListedRates: s.Size != nil && s.Size.Listed, Workers: 64, MaxHeld: 2000, MaxAttempts: 4,
+				Tick: 10 * time.Millisecond, Classes: classes, Kinds: []choice.Kind{{PerCall: 1, PerHostLimits: s.Size == nil}}, Cancels: true,
+				RefuseOnlyNeverRan: true, ReportLimitIndex: -1, ZoneFee: fees(s.Zones, r.zone), Rules: choice.Rules{OverloadFactor: 2,
 					Fall: 2 * time.Second, ColdFrom: 0.2, Cold: 10 * time.Second}}}
 		if s.How != None {
 			set := budget.Settings{Bytes: s.Bytes, Window: s.Window, Burst: 0.25, Held: 0.3, First: request + response}
@@ -223,7 +223,7 @@
 		}
 		w.relays = append(w.relays, r)
 		r.dead = s.Size != nil && i >= s.Size.From
-		r.core.List(choice.Listing{Whole: true, Hosts: list})
+		r.core.List(choice.HostUpdate{Full: true, Hosts: list})
 		r.step()
 	}
 	if s.Size != nil {
--- a/internal/partner/hard_test.go
+++ b/internal/partner/hard_test.go
@@ -369,7 +369,7 @@
 	if requests.Load() != 1 {
 		t.Errorf("%d requests", requests.Load())
 	}
-	c.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: at, State: choice.Draining}}})
+	c.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: at, State: choice.Draining}}})
 	until(t, "the spare's end", func() bool { return c.Connections(at) == 0 })
 	if conns.Load() != 2 {
 		t.Errorf("%d connections", conns.Load())
--- a/internal/partner/pool.go
+++ b/internal/partner/pool.go
@@ -328,12 +328,12 @@
 
 // List takes in news of the endpoint list: nothing is opened in advance to an
 // endpoint that takes no new work, and nothing kept.
-func (c *Caller) List(l choice.Listing) {
+func (c *Caller) List(l choice.HostUpdate) {
 	if l.Failed {
 		return
 	}
 	c.mu.Lock()
-	if l.Whole {
+	if l.Full {
 		listed := make(map[string]bool, len(l.Hosts))
 		for _, h := range l.Hosts {
 			listed[h.Addr] = true
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -160,8 +160,8 @@
 	}
 	undo = append(undo, n.caller.Close)
 	set := s.Settings
-	set.Acknowledged = true
-	set.TakenBack.Cost, set.TakenBack.Before = takenBack, takenBackBefore
+	set.HoldUntilAcknowledged = true
+	set.ShedPenalty.Cost, set.ShedPenalty.Before = takenBack, takenBackBefore
 	longest := time.Duration(0)
 	var ordered []bool
 	for _, k := range set.Classes {
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -89,9 +89,9 @@
 		Index: c.Index, Fleet: c.FleetSize, Workers: c.Family.Workers, MaxHeld: c.Bounds.MostHeld,
 		MaxAttempts: c.Bounds.MaxAttempts, Tick: seconds(c.Tick),
 		ConnIdle: seconds(c.Bounds.ConnIdle), ZoneFee: c.Family.ZoneFee,
-		Halving: c.Family.Late == "halving", Listed: c.Weights == "nominal" || c.Weights == "rough",
+		Halving: c.Family.Late == "halving", ListedRates: c.Weights == "nominal" || c.Weights == "rough",
 		Cancels: c.Bounds.Cancel, Subscribe: c.RegistryMode == "subscribe",
-		ReportLimit: -1,
+		ReportLimitIndex: -1,
 		Rules: choice.Rules{
 			AnswerGrace: seconds(c.Rules.GraceToAnswer), DrainGrace: seconds(c.Rules.DrainGrace),
 			OverloadFactor: c.Rules.OverloadFactor, Fall: seconds(c.Rules.Fall),
@@ -103,7 +103,7 @@
 	}
 	if c.LoadReport.How == "inline" {
 		all.Columns = c.LoadReport.Columns
-		s.ReportLimit = slices.Index(c.LoadReport.Columns, "x1")
+		s.ReportLimitIndex = slices.Index(c.LoadReport.Columns, "x1")
 	}
 	for _, k := range c.Classes {
 		effect, ok := map[string]choice.Effect{
@@ -121,7 +121,7 @@
 	for i := range c.Skus {
 		k := choice.Kind{PerCall: 1}
 		if i < len(c.Family.OwnLimits) {
-			k.Apart = c.Family.OwnLimits[i]
+			k.PerHostLimits = c.Family.OwnLimits[i]
 		}
 		if i < len(c.Family.PerCall) {
 			k.PerCall = max(1, c.Family.PerCall[i])
--- a/internal/relay/consul_test.go
+++ b/internal/relay/consul_test.go
@@ -174,7 +174,7 @@
 	at map[string]time.Time
 }
 
-func (h *heard) List(l choice.Listing) {
+func (h *heard) List(l choice.HostUpdate) {
 	h.mu.Lock()
 	for _, e := range l.Hosts {
 		if e.State != choice.Ready {
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -94,9 +94,9 @@
 			Partner: names.Partners[m.Partner], Key: m.Key, Left: m.Left, Head: m.Head, Body: m.Body, Front: m.Front, Way: m.Way, Reply: reply},
 			Seq: m.Seq, Attempts: m.Attempts, Ran: m.Ran, Since: m.Since, Zone: zone})
 	}
-	var waits []choice.Waited
+	var waits []choice.RestoredHost
 	for _, w := range plan.Waits {
-		waits = append(waits, choice.Waited{Host: w.Host, Left: w.Left, Failing: w.Failing})
+		waits = append(waits, choice.RestoredHost{Host: w.Host, RetryAfter: w.Left, Failing: w.Failing})
 	}
 	if r.toll != nil && plan.Levels != nil {
 		r.toll.Resume(plan.Levels, plan.Ago)
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -64,7 +64,7 @@
 		compared += len(x)
 		return x
 	}
-	both(choice.Listing{Whole: true, Hosts: hosts})
+	both(choice.HostUpdate{Full: true, Hosts: hosts})
 	var inFlight []choice.Send
 	for i := range 60 {
 		var events []choice.Event
@@ -73,7 +73,7 @@
 				Done: (i+j)%6 == 0, Report: []float64{0.5, 10}})
 		}
 		for k := range 3 {
-			events = append(events, choice.Arrival{ID: fmt.Sprint(i, "-", k), Class: k, Dest: 1 + i%2, Left: cfg.Settings.Classes[k].Deadline, Key: fmt.Sprint(i % 4)})
+			events = append(events, choice.Arrival{ID: fmt.Sprint(i, "-", k), Class: k, Dest: 1 + i%2, TimeLeft: cfg.Settings.Classes[k].Deadline, Key: fmt.Sprint(i % 4)})
 		}
 		inFlight = nil
 		for _, a := range both(events...) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -355,25 +355,25 @@
 	switch l.name {
 	case "ACCEPT":
 		return choice.Arrival{ID: l.text("op-id"), Class: l.integer("priority", false), Dest: l.integer("far-end", true),
-			Left: l.seconds("left", true), Key: l.fields["subject"]}, nil
+			TimeLeft: l.seconds("left", true), Key: l.fields["subject"]}, nil
 	case "ATTEMPT_END":
 		return choice.Result{ID: l.text("op-id"), Host: l.text("host"), Attempt: l.integer("try", false),
 			Outcome: l.outcome("how"), Took: l.seconds("cost-time", false), Done: l.integer("over", false) == 1,
-			Wait: time.Duration(l.integer("remark-ms", false)) * time.Millisecond, Report: l.floats("feedback")}, nil
+			RetryAfter: time.Duration(l.integer("remark-ms", false)) * time.Millisecond, Report: l.floats("feedback")}, nil
 	case "UPDATE":
 		scope := l.integer("scope", false)
 		if scope < 0 || scope > 3 {
 			l.setError("scope", fmt.Sprintf("%d is not a scope from 0 to 3", scope))
 		}
 		if scope == 3 {
-			return choice.Listing{Failed: true}, nil
+			return choice.HostUpdate{Failed: true}, nil
 		}
 		sheet := l.integer("sheet", false)
 		hosts, ok := s.sheets[sheet]
 		if !ok {
 			l.setError("sheet", fmt.Sprintf("no CATALOG with sheet %d", sheet))
 		}
-		return choice.Listing{Whole: scope != 0, Hosts: hosts}, nil
+		return choice.HostUpdate{Full: scope != 0, Hosts: hosts}, nil
 	case "CLIENT_GONE":
 		return choice.Withdrawn{ID: l.text("op-id")}, nil
 	case "FIRED":
@@ -404,7 +404,7 @@
 	case choice.Send:
 		fmt.Fprintf(s.out, "PLACE\trelay-id=%s\top-id=%s\thost=%s\tmax-wait=%s\n", inst, a.ID, a.Host, sec(a.Timeout))
 	case choice.Refuse:
-		fmt.Fprintf(s.out, "DENY\trelay-id=%s\top-id=%s\tnot-before-for=%s\n", inst, a.ID, sec(a.After))
+		fmt.Fprintf(s.out, "DENY\trelay-id=%s\top-id=%s\tnot-before-for=%s\n", inst, a.ID, sec(a.RetryAfter))
 	case choice.Fail:
 		fmt.Fprintf(s.out, "SURRENDER\trelay-id=%s\top-id=%s\n", inst, a.ID)
 	case choice.Cancel:
--- a/internal/zone/toll.go
+++ b/internal/zone/toll.go
@@ -32,7 +32,7 @@
 }
 
 // Tolls are what the module is to know now; ok is false if it knows.
-func (t *Toll) Tolls(now time.Duration) (out choice.Tolls, ok bool) {
+func (t *Toll) Tolls(now time.Duration) (out choice.ZoneBudget, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.dirty && now-t.at < refresh {
@@ -40,9 +40,9 @@
 	}
 	t.dirty, t.at = false, now
 	left, classes := t.book.Tolls(now)
-	out = choice.Tolls{Home: t.own, Left: left, Class: make([]choice.Toll, 0, len(classes))}
+	out = choice.ZoneBudget{Home: t.own, Remaining: left, Classes: make([]choice.ClassBudget, 0, len(classes))}
 	for _, k := range classes {
-		out.Class = append(out.Class, choice.Toll(k))
+		out.Classes = append(out.Classes, choice.ClassBudget(k))
 	}
 	return out, true
 }
