--- a/internal/addr/addr.go
+++ b/internal/addr/addr.go
@@ -1,11 +1,12 @@
-// Package addr decides in which order the addresses of an endpoint are
-// connected to, and when the next one is begun beside those that are under way
-// (Happy Eyeballs, RFC 8305, adapted: connections race, requests never). It does
-// no I/O and reads no clock.
+// Package addr plans how to reach an endpoint. A Book orders the endpoint's addresses and schedules
+// the staggered start of connection attempts to them (Happy Eyeballs, RFC 8305, with one
+// restriction: connections are raced, requests never are). A Keep sizes the pool of connections to
+// one endpoint, and Names schedules and validates the resolution of host names. The package does no
+// I/O and reads no clock.
 //
-// What is learned of an address is its connect time, its failures to connect,
-// and calls that it took and did not answer. Its family's health is learned over
-// all endpoints, so that a dead family is met once and not at each of them.
+// For each address a Book tracks the connect time, failures to connect, and calls that were sent
+// and not answered. The health of an address family is tracked over all endpoints, so that a family
+// that is down is detected once and not at every endpoint separately.
 package addr
 
 import (
@@ -19,25 +20,25 @@
 	"time"
 )
 
-// Family of an address.
+// Family is the address family of an Address.
 type Family int
 
-// The families, in the order in which they are preferred while nothing is
-// known: local ones, then IPv6 before IPv4 (RFC 6724, 10.3; RFC 8305, 4).
+// The families, in their order of preference while no connect times are known: Unix sockets, then
+// IPv6 before IPv4 (RFC 6724, 10.3; RFC 8305, 4).
 const (
 	Unix Family = iota
 	IPv6
 	IPv4
-	Name // to be resolved by the dialler
-	families
+	Name // a host name, resolved before it is connected to
+	familyCount
 )
 
 func (f Family) String() string { return [...]string{"unix", "ipv6", "ipv4", "name"}[f] }
 
-// Address is one way to an endpoint.
+// Address is one network address of an endpoint.
 type Address struct {
 	Network string // "tcp" or "unix"
-	Addr    string // host:port, or a path
+	Addr    string // host:port, or the path of a Unix socket
 	Family  Family
 }
 
@@ -48,11 +49,11 @@
 	return a.Addr
 }
 
-// Parse reads host:port, [ipv6]:port or unix:/path. An IPv4-mapped IPv6 address
-// is the IPv4 address.
+// Parse reads host:port, [ipv6]:port or unix:/path. An IPv4-mapped IPv6 address is returned as the
+// IPv4 address.
 func Parse(s string) (Address, error) {
 	if path, ok := strings.CutPrefix(s, "unix:"); ok {
-		if !strings.HasPrefix(path, "/") || len(path) > 107 { // sockaddr_un, unix(7)
+		if !strings.HasPrefix(path, "/") || len(path) > 107 { // size of sun_path in sockaddr_un, unix(7)
 			return Address{}, fmt.Errorf("addr: %q is not unix: and an absolute path of at most 107 bytes", s)
 		}
 		return Address{"unix", path, Unix}, nil
@@ -72,215 +73,218 @@
 	return Address{"tcp", s, Name}, nil
 }
 
-// Bounds of RFC 8305, section 8, on the delay before the next connection is
-// begun, and ours on how long an address that fails is left alone.
+// Bounds on the delay before the next connection attempt starts (RFC 8305, section 8), and on the
+// back-off of an address that failed.
 const (
-	leastDelay   = 10 * time.Millisecond
-	usualDelay   = 250 * time.Millisecond
-	strangeDelay = 100 * time.Millisecond // least for an address that was never connected to
-	enough       = 16                     // connections after which a family's times are heard
-	mostDelay    = 2 * time.Second
-	firstPenalty = time.Second
-	mostPenalty  = time.Minute
-	// a family counts as broken once so many of its last attempts failed, over
-	// several endpoints.
-	broken    = 0.9
-	endpoints = 3
+	minDelay        = 10 * time.Millisecond
+	defaultDelay    = 250 * time.Millisecond
+	minUnknownDelay = 100 * time.Millisecond // lower bound for an address without a connect time of its own
+	minSamples      = 16                     // connections before a family's connect times are used
+	maxDelay        = 2 * time.Second
+	minBackoff      = time.Second
+	maxBackoff      = time.Minute
+	// A family is broken once brokenFailureRate of its recent connection attempts failed, at
+	// minBrokenEndpoints or more endpoints.
+	brokenFailureRate  = 0.9
+	minBrokenEndpoints = 3
 )
 
-// Families is the health of families over all endpoints. It is safe for
-// concurrent use.
+// Families tracks the health of the address families over all endpoints. It is safe for concurrent
+// use.
 type Families struct {
-	mu   sync.Mutex
-	bad  [families]float64 // smoothed share of failed connections
-	seen [families]map[string]bool
-	srtt [families]time.Duration // smoothed connect time over all endpoints
-	dev  [families]time.Duration
-	n    [families]int
-	next [families]time.Duration // of a broken family: its next trial
-	gap  [families]time.Duration
+	mu            sync.Mutex
+	failureRate   [familyCount]float64 // smoothed share of connection attempts that failed
+	failedAt      [familyCount]map[string]bool
+	srtt          [familyCount]time.Duration // smoothed connect time over all endpoints
+	rttvar        [familyCount]time.Duration
+	samples       [familyCount]int
+	nextTrial     [familyCount]time.Duration // when a broken family may be tried again
+	trialInterval [familyCount]time.Duration
 }
 
-// try tells whether it is time to try a broken family again, at whichever
-// endpoint comes first.
-func (f *Families) try(now time.Duration, family Family) bool {
+// trialDue reports whether a broken family may be tried again now, at whichever endpoint asks
+// first, and schedules the next trial.
+func (f *Families) trialDue(now time.Duration, family Family) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now < f.next[family] {
+	if now < f.nextTrial[family] {
 		return false
 	}
-	f.gap[family] = min(max(2*f.gap[family], firstPenalty), mostPenalty)
-	f.next[family] = now + f.gap[family]
+	f.trialInterval[family] = min(max(2*f.trialInterval[family], minBackoff), maxBackoff)
+	f.nextTrial[family] = now + f.trialInterval[family]
 	return true
 }
 
-// delay is what an address of a family is given before the next is begun, while
-// nothing is known of it itself: what the others of its family took, for a new
-// address is seldom slower by much than all that were met.
+// delay returns how long to wait for an address that has no connect time of its own before the next
+// attempt starts. It is derived from the connect times of the whole family, because a new address
+// is seldom much slower than all addresses measured so far.
 func (f *Families) delay(family Family) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.n[family] < enough {
-		return usualDelay
+	if f.samples[family] < minSamples {
+		return defaultDelay
 	}
-	return min(max(f.srtt[family]+8*f.dev[family], strangeDelay), mostDelay)
+	return min(max(f.srtt[family]+8*f.rttvar[family], minUnknownDelay), maxDelay)
 }
 
-func (f *Families) took(family Family, took time.Duration) {
+// recordConnectTime adds the connect time of a successful attempt.
+
+func (f *Families) recordConnectTime(family Family, recordConnectTime time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	smooth(&f.srtt[family], &f.dev[family], took)
-	f.n[family] = min(f.n[family]+1, enough)
+	smooth(&f.srtt[family], &f.rttvar[family], recordConnectTime)
+	f.samples[family] = min(f.samples[family]+1, minSamples)
 }
 
-// smooth takes a time into a mean and its deviation (RFC 6298, 2).
-func smooth(srtt, dev *time.Duration, took time.Duration) {
+// smooth updates a smoothed time and its mean deviation (RFC 6298, 2).
+func smooth(srtt, rttvar *time.Duration, took time.Duration) {
 	if *srtt == 0 {
-		*srtt, *dev = max(took, 1), took/2
+		*srtt, *rttvar = max(took, 1), took/2
 		return
 	}
-	*dev += (time.Duration(math.Abs(float64(took-*srtt))) - *dev) / 4
+	*rttvar += (time.Duration(math.Abs(float64(took-*srtt))) - *rttvar) / 4
 	*srtt = max(*srtt+(took-*srtt)/8, 1)
 }
 
-// note takes in one connection attempt at an endpoint.
-func (f *Families) note(family Family, endpoint string, failed bool) {
+// recordResult adds the result of one connection attempt at an endpoint.
+func (f *Families) recordResult(family Family, endpoint string, failed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	x := 0.0
 	if failed {
 		x = 1
 	}
-	f.bad[family] += (x - f.bad[family]) / 8
+	f.failureRate[family] += (x - f.failureRate[family]) / 8
 	if !failed {
-		f.seen[family], f.gap[family] = nil, 0
-	} else if len(f.seen[family]) < endpoints {
-		if f.seen[family] == nil {
-			f.seen[family] = map[string]bool{}
+		f.failedAt[family], f.trialInterval[family] = nil, 0
+	} else if len(f.failedAt[family]) < minBrokenEndpoints {
+		if f.failedAt[family] == nil {
+			f.failedAt[family] = map[string]bool{}
 		}
-		f.seen[family][endpoint] = true
+		f.failedAt[family][endpoint] = true
 	}
 }
 
-// Broken tells whether a family fails wherever it is tried.
+// Broken reports whether connection attempts of a family fail at all endpoints.
 func (f *Families) Broken(family Family) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.bad[family] >= broken && len(f.seen[family]) >= endpoints
+	return f.failureRate[family] >= brokenFailureRate && len(f.failedAt[family]) >= minBrokenEndpoints
 }
 
-// state is what is known of one address.
-type state struct {
+// addressState is what is known of one address.
+type addressState struct {
 	Address
-	rank   int           // in the list, families interleaved
-	srtt   time.Duration // smoothed connect time, 0 if unknown
-	dev    time.Duration
-	fails  int // connections in a row that failed
-	hung   int // calls in a row that it took and did not answer
-	until  time.Duration
-	back   time.Duration // after calls that hung: one call may try it again then
-	trying bool          // a trial after a failure is under way
+	rank         int           // position in the list, with the families interleaved
+	srtt         time.Duration // smoothed connect time, 0 if unknown
+	rttvar       time.Duration
+	failures     int           // consecutive failed connections
+	hung         int           // consecutive calls that were sent and not answered
+	backoffUntil time.Duration // end of the back-off
+	retryAt      time.Duration // after unanswered calls: when one call may try the address again
+	inTrial      bool          // a trial after a failure is in progress
 }
 
-// Step is one connection to begin.
+// Step is one connection attempt of a race.
 type Step struct {
 	Address
-	After time.Duration // after the race began, or as soon as all before it failed
-	// Trial is to end by itself, within TrialTime, also if another wins: it is to
-	// show whether the address is well again.
+	After time.Duration // delay from the start of the race; shorter if all earlier attempts failed
+	// Trial marks an attempt that runs to its own end, at most TrialTime, even if another attempt
+	// wins: it finds out whether the address has recovered.
 	Trial bool
 }
 
-// TrialTime is how long a trial may take.
-const TrialTime = mostDelay
+// TrialTime is the time-out of a trial.
+const TrialTime = maxDelay
 
-// Book is what a relay knows of one endpoint's addresses. It is safe for
+// Book selects among the addresses of one endpoint and tracks their results. It is safe for
 // concurrent use.
 type Book struct {
 	name     string
 	families *Families
 	mu       sync.Mutex
-	list     []*state
+	list     []*addressState
 }
 
-// NewBook makes the book of an endpoint. Addresses that stand twice count once.
+// NewBook returns the Book of an endpoint. Duplicate addresses are dropped.
 func NewBook(name string, families *Families, addrs []Address) *Book {
 	b := &Book{name: name, families: families}
 	b.Set(addrs)
 	return b
 }
 
-// Set replaces the addresses; what is known of those that stay is kept.
+// Set replaces the addresses. The state of addresses that remain is kept.
 func (b *Book) Set(addrs []Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known := map[Address]*state{}
+	known := map[Address]*addressState{}
 	for _, s := range b.list {
 		known[s.Address] = s
 	}
 	b.list = nil
-	have := map[Address]bool{}
-	var by [families]int
+	added := map[Address]bool{}
+	var perFamily [familyCount]int
 	for _, a := range addrs {
-		if have[a] {
+		if added[a] {
 			continue
 		}
-		have[a] = true
+		added[a] = true
 		s := known[a]
 		if s == nil {
-			s = &state{Address: a}
+			s = &addressState{Address: a}
 		}
-		// Interleaved: the first of each family, then the second of each, ...
-		s.rank = by[a.Family]*int(families) + int(a.Family)
-		by[a.Family]++
+		// Interleave the families: the first address of each, then the second of each, and so on.
+		s.rank = perFamily[a.Family]*int(familyCount) + int(a.Family)
+		perFamily[a.Family]++
 		b.list = append(b.list, s)
 	}
 }
 
-// Plan is the race for one connection that must be up within a time: the order
-// and the moments to begin. Addresses that failed lately come last; one whose
-// time to be tried again has come is raced beside the best at once, which costs a
-// connection and no time. One that hung is left for the next tries.
+// Plan returns the attempts of one race, in order and with their start times, for a connection that
+// must be up within the given time. Addresses whose last connection failed come last. A failed
+// address whose back-off has ended is raced at once beside the best one, which costs a connection
+// and no time. An address with unanswered calls stays behind the others until its back-off ends.
 func (b *Book) Plan(now, within time.Duration) []Step {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	order := slices.Clone(b.list)
-	level := func(s *state) int {
+	level := func(s *addressState) int {
 		switch {
-		case s.fails > 0 || s.hung > 0 && now < s.until:
+		case s.failures > 0 || s.hung > 0 && now < s.backoffUntil:
 			return 2
 		case b.families.Broken(s.Family):
 			return 1
 		}
 		return 0
 	}
-	slices.SortStableFunc(order, func(x, y *state) int {
-		return cmp.Or(cmp.Compare(level(x), level(y)), cmp.Compare(x.hung, y.hung), cmp.Compare(x.fails, y.fails),
-			cmp.Compare(x.rank, y.rank))
+	slices.SortStableFunc(order, func(x, y *addressState) int {
+		return cmp.Or(cmp.Compare(level(x), level(y)), cmp.Compare(x.hung, y.hung),
+			cmp.Compare(x.failures, y.failures), cmp.Compare(x.rank, y.rank))
 	})
-	// A better address that hung gets one call to show that it is well again.
-	if i := slices.IndexFunc(order, func(s *state) bool {
-		return s.hung > 0 && s.fails == 0 && now >= s.back && s.rank < order[0].rank
+	// A preferred address with unanswered calls gets one call to show that it has recovered.
+	if i := slices.IndexFunc(order, func(s *addressState) bool {
+		return s.hung > 0 && s.failures == 0 && now >= s.retryAt && s.rank < order[0].rank
 	}); i > 0 {
 		s := order[i]
-		s.leave(now)
+		s.penalize(now)
 		order = slices.Insert(slices.Delete(order, i, i+1), 0, s)
 	}
 	var steps []Step
-	at := time.Duration(0)
+	start := time.Duration(0)
 	for i, s := range order {
 		if i > 0 {
-			at += b.delay(order[i-1])
+			start += b.delay(order[i-1])
 		}
-		if at > within/2 && i > 0 { // what comes later would leave the call no time
+		if start > within/2 && i > 0 { // a later start would leave no time for the call
 			break
 		}
-		steps = append(steps, Step{Address: s.Address, After: at})
+		steps = append(steps, Step{Address: s.Address, After: start})
 	}
-	for i, s := range order[:len(steps)] { // due for a trial: beside the first
-		own := s.fails > 0 && now >= s.until && !s.trying
-		if i > 0 && (own || s.fails == 0 && b.families.Broken(s.Family) && b.families.try(now, s.Family)) {
-			s.trying = true
+	for i, s := range order[:len(steps)] { // a trial starts together with the first attempt
+		backedOff := s.failures > 0 && now >= s.backoffUntil && !s.inTrial
+		if i > 0 && (backedOff || s.failures == 0 && b.families.Broken(s.Family) &&
+			b.families.trialDue(now, s.Family)) {
+			s.inTrial = true
 			steps[i].After, steps[i].Trial = 0, true
 			break
 		}
@@ -288,24 +292,24 @@
 	return steps
 }
 
-// delay before the next connection is begun beside one to an address.
-func (b *Book) delay(s *state) time.Duration {
+// delay returns how long to wait for s to connect before the next attempt starts.
+func (b *Book) delay(s *addressState) time.Duration {
 	if s.srtt == 0 {
 		return b.families.delay(s.Family)
 	}
-	return min(max(s.srtt+4*s.dev, leastDelay), mostDelay)
+	return min(max(s.srtt+4*s.rttvar, minDelay), maxDelay)
 }
 
-// Len is the number of addresses.
+// Len returns the number of addresses.
 func (b *Book) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.list)
 }
 
-// Handshake tells how long the handshake at one address may take, of what is left of
-// an attempt, and whether it is the last address to be tried: others need their part.
-// A nil book has one address.
+// Handshake returns the time-out of the TLS handshake at one address, given the time left of an
+// attempt, and whether it is the last address to be tried. Half of the time is reserved for the
+// other addresses. A nil Book stands for a single address.
 func (b *Book) Handshake(tries int, left time.Duration) (within time.Duration, last bool) {
 	if b == nil || tries >= b.Len() {
 		return left, true
@@ -313,21 +317,22 @@
 	return left / 2, false
 }
 
-// Pause is how long to wait where nothing is left here to open a connection with;
-// TryAgain tells whether to go on after that: for half of the attempt's time.
+// Pause is the delay before a connection is tried again after file descriptors, ports or memory of
+// this process ran out.
 const Pause = 10 * time.Millisecond
 
-// TryAgain is described at Pause.
+// TryAgain reports whether a connection that failed for want of local resources is tried again:
+// during the first half of the attempt's time.
 func TryAgain(passed, within time.Duration) bool { return passed <= within/2 }
 
-// Has tells whether an address is still listed.
+// Has reports whether an address is listed.
 func (b *Book) Has(a Address) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.find(a) != nil
 }
 
-func (b *Book) find(a Address) *state {
+func (b *Book) find(a Address) *addressState {
 	for _, s := range b.list {
 		if s.Address == a {
 			return s
@@ -336,42 +341,42 @@
 	return nil
 }
 
-// Connected takes in a connection that came up, whether it won its race or not.
+// Connected records a connection that was established, whether or not it won its race.
 func (b *Book) Connected(a Address, took time.Duration) {
-	b.families.note(a.Family, b.name, false)
-	b.families.took(a.Family, took)
+	b.families.recordResult(a.Family, b.name, false)
+	b.families.recordConnectTime(a.Family, took)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.find(a)
 	if s == nil {
 		return
 	}
-	s.fails, s.trying = 0, false
-	smooth(&s.srtt, &s.dev, took)
+	s.failures, s.inTrial = 0, false
+	smooth(&s.srtt, &s.rttvar, took)
 }
 
-// Failed takes in a connection that failed, by itself or by its time; not one
-// that was called off because another won.
+// Failed records a connection that failed or timed out by itself. It is not called for one that was
+// cancelled because another won.
 func (b *Book) Failed(now time.Duration, a Address) {
-	b.families.note(a.Family, b.name, true)
+	b.families.recordResult(a.Family, b.name, true)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.find(a); s != nil {
-		s.fails++
-		s.trying = false
-		s.until = now + min(firstPenalty<<min(s.fails-1, 10), mostPenalty)
+		s.failures++
+		s.inTrial = false
+		s.backoffUntil = now + min(minBackoff<<min(s.failures-1, 10), maxBackoff)
 	}
 }
 
-// Left takes in a connection that was called off, undecided, after a time: an
-// address that had its head start and did not connect in it failed. If it was
-// only slow, its trial beside the best, which costs no time, tells soon.
+// Left records a connection that was cancelled while undecided, so long after its start. An address
+// that did not connect within its own delay counts as failed. If it was merely slow, its trial
+// beside the best address shows so soon, at no cost in time.
 func (b *Book) Left(now time.Duration, a Address, after time.Duration) {
 	b.mu.Lock()
 	s := b.find(a)
 	slow := false
 	if s != nil {
-		s.trying = false
+		s.inTrial = false
 		slow = after >= b.delay(s)
 	}
 	b.mu.Unlock()
@@ -380,8 +385,7 @@
 	}
 }
 
-// Answered takes in a call that an address answered, Hung one that it took and
-// did not: within the attempt there is no other; the next prefers another.
+// Answered records that an address answered a call.
 func (b *Book) Answered(a Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -390,39 +394,43 @@
 	}
 }
 
+// Hung records a call that an address accepted and did not answer. The call is not repeated at
+// another address within the attempt; the next attempt prefers another one.
+
 func (b *Book) Hung(now time.Duration, a Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.find(a); s != nil {
 		s.hung++
-		s.leave(now)
+		s.penalize(now)
 	}
 }
 
-// leave leaves an address that hung alone, and keeps it behind the others for
-// longer: a call that finds out costs an attempt, where a connection costs none.
-func (s *state) leave(now time.Duration) {
-	pause := min(firstPenalty<<min(s.hung-1, 10), mostPenalty)
-	s.until = max(s.until, now+pause)
-	s.back = now + 8*pause
+// penalize backs off from an address with unanswered calls. It is kept behind the others longer
+// than after failed connections, because finding out costs a whole attempt, where a failed
+// connection costs none.
+func (s *addressState) penalize(now time.Duration) {
+	pause := min(minBackoff<<min(s.hung-1, 10), maxBackoff)
+	s.backoffUntil = max(s.backoffUntil, now+pause)
+	s.retryAt = now + 8*pause
 }
 
-// Known is what a report shows of an address.
+// Known is the status of one address, as reports show it.
 type Known struct {
 	Address string        `json:"address"`
 	Family  string        `json:"family"`
-	Connect time.Duration `json:"connect_ns"` // smoothed, 0 if unknown
-	Fails   int           `json:"fails"`      // connections in a row
-	Hung    int           `json:"hung"`       // calls in a row
+	Connect time.Duration `json:"connect_ns"` // smoothed connect time, 0 if unknown
+	Fails   int           `json:"fails"`      // consecutive failed connections
+	Hung    int           `json:"hung"`       // consecutive unanswered calls
 	Until   time.Duration `json:"left_alone_ns"`
 }
 
-// Known tells what the book holds, in the order of the list.
+// Known returns the status of all addresses, in the order of the list.
 func (b *Book) Known(now time.Duration) (out []Known) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.list {
-		out = append(out, Known{s.String(), s.Family.String(), s.srtt, s.fails, s.hung, max(0, s.until-now)})
+		out = append(out, Known{s.String(), s.Family.String(), s.srtt, s.failures, s.hung, max(0, s.backoffUntil-now)})
 	}
 	return out
 }
--- a/internal/addr/addr_test.go
+++ b/internal/addr/addr_test.go
@@ -23,7 +23,8 @@
 
 func TestParse(t *testing.T) {
 	for s, want := range map[string]string{"[::1]:80": "[::1]:80 ipv6", "[::ffff:127.0.0.1]:80": "127.0.0.1:80 ipv4",
-		"unix:/run/x": "unix:/run/x unix", "bank.example:80": "bank.example:80 name", "unix:x": "", "1.2.3.4": "", "a b:1": ""} {
+		"unix:/run/x": "unix:/run/x unix", "bank.example:80": "bank.example:80 name",
+		"unix:x": "", "1.2.3.4": "", "a b:1": ""} {
 		a, err := Parse(s)
 		if got := fmt.Sprintf("%v %v", a, a.Family); (err != nil) != (want == "") || err == nil && got != want {
 			t.Errorf("%s: %s, %v", s, got, err)
@@ -31,51 +32,51 @@
 	}
 }
 
-// A dead first address is left after one failure, raced beside the good one
-// when its time has come, and first again once it connects.
+// Guards against a dead first address that delays every connection, and against one that is never
+// used again after it has recovered: it is tried beside the other address after its back-off.
 func TestDeadFirst(t *testing.T) {
 	a := parse(t, "127.0.0.1:1", "[::1]:1", "127.0.0.1:1")
 	b := NewBook("e", &Families{}, a)
 	p := b.Plan(0, time.Second)
-	if len(p) != 2 || p[0].Family != IPv6 || p[1].After != usualDelay {
+	if len(p) != 2 || p[0].Family != IPv6 || p[1].After != defaultDelay {
 		t.Fatalf("at first: %+v", p)
 	}
 	v6, v4 := p[0].Address, p[1].Address
 	b.Failed(0, v6)
 	b.Connected(v4, 2*ms)
-	if p = b.Plan(500*ms, time.Second); p[0].Address != v4 || p[1].After != leastDelay {
-		t.Errorf("after its failure: %+v", p)
+	if p = b.Plan(500*ms, time.Second); p[0].Address != v4 || p[1].After != minDelay {
+		t.Errorf("after a failure: %+v", p)
 	}
 	if p = b.Plan(2*time.Second, time.Second); p[0].Address != v4 || p[1].Address != v6 || p[1].After != 0 {
 		t.Errorf("due for a trial: %+v", p)
 	}
 	if p = b.Plan(2*time.Second, time.Second); p[1].After == 0 {
-		t.Error("two trials at once")
+		t.Error("a second trial was started")
 	}
 	b.Connected(v6, ms)
 	if p = b.Plan(3*time.Second, time.Second); p[0].Address != v6 {
-		t.Errorf("back: %+v", p)
+		t.Errorf("after a trial that connected: %+v", p)
 	}
 	b.Hung(4*time.Second, v6)
 	if p = b.Plan(4*time.Second, time.Second); p[0].Address != v4 {
-		t.Errorf("after it hung: %+v", p)
+		t.Errorf("after an unanswered call: %+v", p)
 	}
 	if p = b.Plan(6*time.Second, time.Second); p[0].Address != v4 {
-		t.Errorf("a while after it hung: %+v", p)
+		t.Errorf("2 s after an unanswered call: %+v", p)
 	}
 	if p = b.Plan(13*time.Second, time.Second); p[0].Address != v6 {
-		t.Errorf("one call tries it again: %+v", p)
+		t.Errorf("not tried again by one call: %+v", p)
 	}
 	if p = b.Plan(13*time.Second, time.Second); p[0].Address != v4 {
-		t.Errorf("a second one: %+v", p)
+		t.Errorf("tried again by a second call: %+v", p)
 	}
 	b.Answered(v6)
 	if p = b.Plan(13*time.Second, time.Second); p[0].Address != v6 {
-		t.Errorf("back again: %+v", p)
+		t.Errorf("after an answered call: %+v", p)
 	}
 }
 
-// A family that is dead everywhere is learned at three endpoints, not at each.
+// Guards against a dead family that is detected at every endpoint separately instead of at three.
 func TestDeadFamily(t *testing.T) {
 	f := &Families{}
 	for i := range 30 {
@@ -90,7 +91,7 @@
 			}
 		}
 	}
-	// Back: one trial somewhere tells all endpoints.
+	// A single trial at any endpoint tests the family for all.
 	trials := 0
 	for i := range 30 {
 		b := NewBook(fmt.Sprint(i), f, parse(t, "[::1]:1", "127.0.0.1:1"))
@@ -99,44 +100,44 @@
 		}
 	}
 	if trials != 1 {
-		t.Errorf("%d trials at once", trials)
+		t.Errorf("%d trials, want 1", trials)
 	}
 	one := NewBook("x", f, parse(t, "[::1]:1"))
 	one.Connected(parse(t, "[::1]:1")[0], ms)
 	if f.Broken(IPv6) {
-		t.Error("broken although it connects")
+		t.Error("the family is broken after a successful connection")
 	}
 }
 
-// A new address is given what its family took elsewhere, no less than the least
-// for strangers; a slow family is waited for.
+// Guards against a delay for new addresses that ignores the connect times of their family: it
+// follows them, but not below its lower bound.
 func TestStrangersDelay(t *testing.T) {
 	f := &Families{}
 	other := NewBook("other", f, parse(t, "[::9]:1"))
 	plan := func() time.Duration {
 		return NewBook("e", f, parse(t, "[::1]:1", "127.0.0.1:1")).Plan(0, 10*time.Second)[1].After
 	}
-	if d := plan(); d != usualDelay {
-		t.Errorf("with nothing known: %v", d)
+	if d := plan(); d != defaultDelay {
+		t.Errorf("delay without connect times: %v", d)
 	}
 	for range 40 {
 		other.Connected(parse(t, "[::9]:1")[0], 2*ms)
 	}
-	if d := plan(); d != strangeDelay {
-		t.Errorf("with fast ones: %v", d)
+	if d := plan(); d != minUnknownDelay {
+		t.Errorf("delay with a fast family: %v", d)
 	}
 	for range 40 {
 		other.Connected(parse(t, "[::9]:1")[0], 400*ms)
 	}
 	if d := plan(); d < 400*ms {
-		t.Errorf("with slow ones: %v", d)
+		t.Errorf("delay with a slow family: %v", d)
 	}
 }
 
-// Whatever happens: a plan names each address at most once, begins one at once,
-// its moments never fall but for a trial, and none comes later than half of the
-// attempt's time.
-func TestPlans(t *testing.T) {
+// Guards against invalid plans, by random sequences of results: a plan contains each address at
+// most once, starts one at once, has non-decreasing start times except for a trial, and starts none
+// after half of the time.
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := parse(t, "127.0.0.1:1", "127.0.0.2:1", "[::1]:1", "[::2]:1", "unix:/a", "name:1")
 		b := NewBook("e", &Families{}, all)
@@ -162,24 +163,24 @@
 			within := time.Duration(rapid.IntRange(1, 5000).Draw(t, "within")) * ms
 			p := b.Plan(now, within)
 			if len(p) == 0 || p[0].After != 0 {
-				t.Fatalf("begins nothing at once: %+v", p)
+				t.Fatalf("no attempt starts at once: %+v", p)
 			}
 			seen, last, trials := map[Address]bool{}, time.Duration(0), 0
 			for i, s := range p {
 				if seen[s.Address] || s.After > within/2 {
-					t.Fatalf("%+v within %v", p, within)
+					t.Fatalf("duplicate or late attempt: %+v within %v", p, within)
 				}
 				seen[s.Address] = true
 				if i > 0 && s.After == 0 {
 					trials++
 				} else if s.After < last {
-					t.Fatalf("moments fall: %+v", p)
+					t.Fatalf("start times decrease: %+v", p)
 				} else {
 					last = s.After
 				}
 			}
 			if trials > 1 {
-				t.Fatalf("%d trials: %+v", trials, p)
+				t.Fatalf("%d trials in one plan: %+v", trials, p)
 			}
 		}
 	})
--- a/internal/addr/keep.go
+++ b/internal/addr/keep.go
@@ -6,104 +6,106 @@
 	"time"
 )
 
-// KeepSettings bound the connections kept to one endpoint.
+// KeepSettings limit the connections kept to one endpoint.
 type KeepSettings struct {
-	Idle       time.Duration // an idle connection is closed after this; 0 for never
-	Age        time.Duration // and one of this age when its call ends, each a little before or after; 0 for never
-	Most       int           // idle connections kept
-	Spare      int           // connections opened before a call asks for them, at most
-	Connecting int           // connections set up at once, handshakes included
+	Idle       time.Duration // idle time after which a connection is closed; 0 for no limit
+	Age        time.Duration // age limit, with 10 % jitter, applied when a call ends; 0 for no limit
+	Most       int           // limit on idle connections
+	Spare      int           // limit on connections opened before a call needs them
+	Connecting int           // limit on concurrent connection set-ups, handshakes included
 }
 
-// Keep decides how many connections to keep to one endpoint: which may be used
-// again, when to open one in advance, and when to wait for another instead of
-// opening one. It does no I/O and reads no clock. It is not safe for concurrent use.
+// Keep decides how many connections to keep to one endpoint: which may be reused, when to open one
+// in advance, and when to wait for another instead of opening one. It does no I/O and reads no
+// clock. It is not safe for concurrent use.
 type Keep struct {
-	set    KeepSettings
-	rand   *rand.Rand
-	peak   float64 // most calls out at once of late
-	at     time.Duration
-	well   bool          // the last call was answered
-	served time.Duration // when
-	unused int           // spares in a row that went without having carried a call
-	barred time.Duration // no spares until then
+	settings      KeepSettings
+	rand          *rand.Rand
+	peak          float64 // decaying maximum of concurrent calls
+	peakAt        time.Duration
+	lastAnswered  bool          // the last call was answered
+	lastAnswer    time.Duration // time of the last answered call
+	unusedSpares  int           // consecutive spare connections that closed without carrying a call
+	noSparesUntil time.Duration // no spare connections until then
 }
 
-// SpareTime is how long a connection that nobody waits for may take to come up.
+// SpareTime is the time-out for setting up a spare connection, which no call waits for.
 const SpareTime = 5 * time.Second
 
-// dismissal is how long an endpoint whose idle connections were to be closed gets no
-// spares: it may be one that takes few connections, idle ones counted.
-const dismissal = time.Minute
+// spareHoldOff is how long an endpoint gets no spare connections after its idle connections were
+// closed on request: it may be one that accepts few connections, idle ones included.
+const spareHoldOff = time.Minute
 
-// fade is the time in which a peak of calls falls to a third, and how long after
-// its last answer an endpoint is worth a spare, doubled down by spares that
-// nobody used.
-const fade = 10 * time.Second
+// peakDecay is the time in which the peak of concurrent calls decays to 1/e. It is also how long
+// after its last answer an endpoint gets spare connections; every spare that closes unused halves
+// that time.
+const peakDecay = 10 * time.Second
 
-// NewKeep draws ages from the seed.
+// NewKeep returns a Keep that draws the jitter of ages from the seed.
 func NewKeep(set KeepSettings, seed uint64) *Keep {
-	return &Keep{set: set, rand: rand.New(rand.NewPCG(seed, 11))}
+	return &Keep{settings: set, rand: rand.New(rand.NewPCG(seed, 11))}
 }
 
-// Called takes in that so many calls are out now.
-func (k *Keep) Called(now time.Duration, out int) { k.peak = math.Max(k.now(now), float64(out)) }
+// Called records the number of concurrent calls after a call was added.
+func (k *Keep) Called(now time.Duration, out int) {
+	k.peak = math.Max(k.decayedPeak(now), float64(out))
+}
 
-func (k *Keep) now(now time.Duration) float64 {
-	if now > k.at {
-		k.peak *= math.Exp(-float64(now-k.at) / float64(fade))
-		k.at = now
+// decayedPeak returns the peak of concurrent calls, decayed to now.
+func (k *Keep) decayedPeak(decayedPeak time.Duration) float64 {
+	if decayedPeak > k.peakAt {
+		k.peak *= math.Exp(-float64(decayedPeak-k.peakAt) / float64(peakDecay))
+		k.peakAt = decayedPeak
 	}
 	return k.peak
 }
 
-// Ended takes in a call's end; well if it was answered.
+// Ended records the end of a call, and whether it was answered.
 func (k *Keep) Ended(now time.Duration, well bool) {
-	if k.well = well; well {
-		k.served = now
+	if k.lastAnswered = well; well {
+		k.lastAnswer = now
 	}
 }
 
-// Spent takes in a connection that was closed, and whether it had carried a call.
+// Spent records that a connection was closed, and whether it had carried a call.
 func (k *Keep) Spent(used bool) {
 	if used {
-		k.unused = 0
+		k.unusedSpares = 0
 	} else {
-		k.unused = min(k.unused+1, 10)
+		k.unusedSpares = min(k.unusedSpares+1, 10)
 	}
 }
 
-// Dismissed takes in that the idle connections were closed because the decision
-// module said so.
-func (k *Keep) Dismissed(now time.Duration) { k.barred = now + dismissal }
+// Dismissed records that the decision module had the idle connections closed.
+func (k *Keep) Dismissed(now time.Duration) { k.noSparesUntil = now + spareHoldOff }
 
-// Life draws how old a connection may get: within a tenth of the setting, so that
-// connections opened together do not all end together. 0 for no end.
+// Life draws the maximum age of a connection, within 10 % of the setting, so that connections
+// opened together are not all closed together. 0 means no limit.
 func (k *Keep) Life() time.Duration {
-	return time.Duration(float64(k.set.Age) * (0.9 + 0.2*k.rand.Float64()))
+	return time.Duration(float64(k.settings.Age) * (0.9 + 0.2*k.rand.Float64()))
 }
 
-// Fresh tells whether an idle connection may be used again.
+// Fresh reports whether an idle connection is within its age and idle limits.
 func (k *Keep) Fresh(now, born, life, since time.Duration) bool {
-	return (life <= 0 || now-born < life) && (k.set.Idle <= 0 || now-since < k.set.Idle)
+	return (life <= 0 || now-born < life) && (k.settings.Idle <= 0 || now-since < k.settings.Idle)
 }
 
-// Kept tells whether there is room for one more idle connection.
-func (k *Keep) Kept(idle int) bool { return idle < k.set.Most }
+// Kept reports whether one more idle connection may be kept.
+func (k *Keep) Kept(idle int) bool { return idle < k.settings.Most }
 
-// Dials tells whether a call that found no idle connection opens one now, or
-// waits for one that is being set up or used.
+// Dials reports whether a call that found no idle connection opens one, rather than waiting for one
+// that is being set up or in use.
 func (k *Keep) Dials(connecting int) bool {
-	return k.set.Connecting <= 0 || connecting < k.set.Connecting
+	return k.settings.Connecting <= 0 || connecting < k.settings.Connecting
 }
 
-// Spares is how many connections to open in advance: so that the peak of late
-// calls would find one, while the endpoint is well and its spares get used. An
-// endpoint that failed gets none: a cold one must not meet connections before calls.
+// Spares returns how many connections to open in advance, so that calls up to the recent peak find
+// one, while the endpoint answers and its spares are used. An endpoint whose last call failed gets
+// none: a cold endpoint must not get connections before it gets calls.
 func (k *Keep) Spares(now time.Duration, out, idle, connecting int) int {
-	if !k.well || now < k.barred || now-k.served > fade>>k.unused {
+	if !k.lastAnswered || now < k.noSparesUntil || now-k.lastAnswer > peakDecay>>k.unusedSpares {
 		return 0
 	}
-	want := int(math.Ceil(k.now(now)-0.5)) - out - idle - connecting
-	return max(0, min(want, k.set.Spare-idle-connecting, k.set.Most-idle, k.set.Connecting-connecting))
+	want := int(math.Ceil(k.decayedPeak(now)-0.5)) - out - idle - connecting
+	return max(0, min(want, k.settings.Spare-idle-connecting, k.settings.Most-idle, k.settings.Connecting-connecting))
 }
--- a/internal/addr/keep_test.go
+++ b/internal/addr/keep_test.go
@@ -7,47 +7,47 @@
 	"pgregory.net/rapid"
 )
 
-// A spare replaces a connection that went while calls come; none while the last
-// call failed, none long after the last, and ever fewer if nobody uses them.
+// Guards against a missing spare connection while calls arrive, and against needless ones: after a
+// failed call, long after the last call, or while spares close unused.
 func TestSpares(t *testing.T) {
 	k := NewKeep(KeepSettings{Most: 8, Spare: 2, Connecting: 4}, 1)
 	k.Called(0, 3)
 	if n := k.Spares(0, 0, 0, 0); n != 0 {
-		t.Errorf("%d before any answer", n)
+		t.Errorf("%d spares before any answer", n)
 	}
 	k.Ended(0, true)
 	if n := k.Spares(0, 0, 0, 0); n != 2 {
-		t.Errorf("%d after a peak of three", n)
+		t.Errorf("%d spares after a peak of three calls, want 2", n)
 	}
 	if n := k.Spares(0, 2, 1, 0); n != 0 {
-		t.Errorf("%d with three open", n)
+		t.Errorf("%d spares with three open connections", n)
 	}
 	k.Ended(0, false)
 	if n := k.Spares(0, 0, 0, 0); n != 0 {
-		t.Errorf("%d after a failure", n)
+		t.Errorf("%d spares after a failed call", n)
 	}
 	k.Ended(0, true)
 	for range 4 {
 		k.Spent(false)
 	}
 	if n := k.Spares(time.Second, 0, 0, 0); n != 0 {
-		t.Errorf("%d after four that nobody used", n)
+		t.Errorf("%d spares after four that closed unused", n)
 	}
 	k.Spent(true)
 	if n := k.Spares(time.Second, 0, 0, 0); n == 0 {
-		t.Error("none once they are used again")
+		t.Error("no spares after one was used")
 	}
 	k.Dismissed(time.Second)
 	if n := k.Spares(time.Second, 0, 0, 0); n != 0 {
-		t.Errorf("%d after the module had them closed", n)
+		t.Errorf("%d spares after the idle connections were closed on request", n)
 	}
-	k.barred = 0
+	k.noSparesUntil = 0
 	if n := k.Spares(11*time.Second, 0, 0, 0); n != 0 {
-		t.Errorf("%d long after the last answer", n)
+		t.Errorf("%d spares 11 s after the last answer", n)
 	}
 }
 
-// No bound is ever passed, and ages differ.
+// Guards against connections beyond the limits, and against equal ages of connections.
 func TestKeepBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := KeepSettings{Idle: time.Second, Age: time.Minute, Most: rapid.IntRange(0, 5).Draw(t, "most"),
@@ -87,7 +87,7 @@
 			}
 		}
 		if a := k.Life(); a < 54*time.Second || a > 66*time.Second || a == k.Life() {
-			t.Fatalf("life %v", a)
+			t.Fatalf("age limit %v", a)
 		}
 	})
 }
--- a/internal/addr/names.go
+++ b/internal/addr/names.go
@@ -9,102 +9,103 @@
 	"time"
 )
 
-// Endpoint is one endpoint as a list has it, with the addresses to reach it.
+// Endpoint is one endpoint of the endpoint list, with its addresses.
 type Endpoint struct {
 	Host    string // its name, or its only address
 	Partner int
-	// Secure endpoints prove who they are, so that an address which another
-	// partner has too does no harm.
+	// Secure endpoints authenticate by TLS, so that an address shared with another partner does no
+	// harm.
 	Secure bool
 	Addrs  []Address
 }
 
-// NamesSettings bound what a resolver may cause.
+// NamesSettings limit the effect of a resolver's answers.
 type NamesSettings struct {
-	Least, Most time.Duration // a TTL below or above counts as these; Least is above 0
-	Stale       time.Duration // how long past its TTL an answer serves while the resolver fails (RFC 8767)
-	Each        int           // addresses of a name that are used
-	Asking      int           // names asked for at once
+	Least, Most time.Duration // bounds on the TTL of an answer; Least is above 0
+	Stale       time.Duration // how long an expired answer is used while the resolver fails (RFC 8767)
+	Each        int           // limit on the addresses used per name
+	Asking      int           // limit on concurrent queries
 }
 
-// DefaultNames are settings that fit most installations.
-var DefaultNames = NamesSettings{Least: time.Second, Most: 10 * time.Minute, Stale: 24 * time.Hour, Each: 16, Asking: 16}
+// DefaultNames are the settings that fit most installations.
+var DefaultNames = NamesSettings{Least: time.Second, Most: 10 * time.Minute, Stale: 24 * time.Hour,
+	Each: 16, Asking: 16}
 
-// Answer is what a resolver said of a name.
+// Answer is a resolver's answer to the query for a name.
 type Answer struct {
 	Addrs  []netip.Addr
 	TTL    time.Duration
-	Failed bool // no answer came; with false and no addresses the name has none
+	Failed bool // no answer came; false without addresses means that the name has none
 }
 
-// name is one name that is to be resolved.
-type name struct {
-	addrs  []netip.Addr
-	until  time.Duration // the answer counts until then
-	next   time.Duration // ask then
-	fails  int           // answers in a row that failed
-	empty  time.Duration // since when the answers have been empty; 0 for never
-	asking bool
-	users  []int // endpoints, indices
+// nameState is the state of one host name.
+type nameState struct {
+	addrs      []netip.Addr
+	expires    time.Duration // the answer expires then
+	nextQuery  time.Duration // time of the next query
+	failures   int           // consecutive failed queries
+	emptySince time.Duration // since when answers have been empty; 0 while they are not
+	querying   bool
+	endpoints  []int // indices of the endpoints that use the name
 }
 
-// Conflict is an address that a name stands for and that is not used, because
-// another partner has it.
+// Conflict is a resolved address that is not used because it belongs to another partner.
 type Conflict struct {
 	Host    string
 	Address Address
-	Partner int // who has it
+	Partner int // the partner that has the address
 }
 
-// Names decides what the names in an endpoint list stand for: when each is asked
-// for, how long an answer counts, what of it is believed and used. It does no
-// I/O, reads no clock, and draws by chance from a seed only. It is not safe for
-// concurrent use.
+// Names keeps the addresses of the host names in an endpoint list: it schedules the queries,
+// expires answers, and decides which addresses of an answer are accepted and used. It does no I/O,
+// reads no clock, and draws random numbers from a seed only. It is not safe for concurrent use.
 type Names struct {
-	set   NamesSettings
-	rand  *rand.Rand
-	list  []Endpoint
-	names map[string]*name
-	// claims tell which partner an address without proof belongs to. Those that
-	// a list spells out come first; among names the first one holds.
-	claims map[Address]claim
-	held   [][]Address // by endpoint: what its names claimed
-	asking int
-	// Conflicts are those in force, at most mostConflicts of them.
+	settings NamesSettings
+	rand     *rand.Rand
+	list     []Endpoint
+	names    map[string]*nameState
+	// Owner of each address used without authentication. Addresses that the list contains literally
+	// take precedence; among resolved ones the first claim counts.
+	claims      map[Address]claim
+	claimed     [][]Address // by endpoint: the addresses claimed for its names
+	outstanding int
+	// Conflicts are the current conflicts, at most maxConflicts of them.
 	Conflicts []Conflict
 }
 
 type claim struct {
+	// claim records which partner owns an address.
 	partner int
 	listed  bool
 	users   int
 }
 
 const (
-	mostConflicts = 1000
-	// doubt is how long a name that had addresses must have none before that is
-	// believed: an empty answer is also what a broken zone transfer looks like.
-	doubt = 3 * time.Second
-	// again after an answer that failed, doubling up to mostAgain (RFC 8767, 5, has 30 s).
-	again     = time.Second
-	mostAgain = 30 * time.Second
+	maxConflicts = 1000
+	// emptyConfirmation is how long a name that had addresses must resolve to none before that is
+	// accepted: a broken zone transfer gives empty answers as well.
+	emptyConfirmation = 3 * time.Second
+	// Back-off after a failed query, doubling from queryBackoff to maxQueryBackoff (RFC 8767, 5,
+	// has 30 s).
+	queryBackoff    = time.Second
+	maxQueryBackoff = 30 * time.Second
 )
 
-// NewNames draws from the seed.
+// NewNames returns a Names that draws its random numbers from the seed.
 func NewNames(set NamesSettings, seed uint64) *Names {
-	return &Names{set: set, rand: rand.New(rand.NewPCG(seed, 7)), names: map[string]*name{}, claims: map[Address]claim{}}
+	return &Names{settings: set, rand: rand.New(rand.NewPCG(seed, 7)), names: map[string]*nameState{},
+		claims: map[Address]claim{}}
 }
 
-// Set takes in a whole list. It returns the addresses of each endpoint that
-// needs a book: one with several, or with a name. What is known of names that
-// stay is kept.
+// Set replaces the endpoint list. It returns the addresses of each endpoint that needs a Book,
+// which is one with several addresses or with a host name. The state of names that remain is kept.
 func (n *Names) Set(now time.Duration, list []Endpoint) map[string][]Address {
 	n.list = list
 	clear(n.claims)
-	n.held = make([][]Address, len(list))
+	n.claimed = make([][]Address, len(list))
 	n.Conflicts = nil
 	old := n.names
-	n.names = map[string]*name{}
+	n.names = map[string]*nameState{}
 	for i, e := range list {
 		for _, a := range e.Addrs {
 			if a.Family != Name {
@@ -120,20 +121,20 @@
 			k := n.names[host]
 			if k == nil {
 				if k = old[host]; k == nil {
-					k = &name{next: now}
+					k = &nameState{nextQuery: now}
 				}
-				k.users = nil
+				k.endpoints = nil
 				n.names[host] = k
 			}
-			if len(k.users) == 0 || k.users[len(k.users)-1] != i {
-				k.users = append(k.users, i)
+			if len(k.endpoints) == 0 || k.endpoints[len(k.endpoints)-1] != i {
+				k.endpoints = append(k.endpoints, i)
 			}
 		}
 	}
-	n.asking = 0
+	n.outstanding = 0
 	for _, k := range n.names {
-		if k.asking {
-			n.asking++
+		if k.querying {
+			n.outstanding++
 		}
 	}
 	out := map[string][]Address{}
@@ -145,8 +146,8 @@
 	return out
 }
 
-// expand replaces the names of an endpoint by what they stand for, and claims
-// those addresses for its partner.
+// expand replaces the host names of an endpoint by their addresses, and claims those for its
+// partner.
 func (n *Names) expand(i int) []Address {
 	e := n.list[i]
 	n.release(i)
@@ -163,13 +164,13 @@
 				at.Family = IPv4
 			}
 			if c, ok := n.claims[at]; ok && c.partner != e.Partner && !e.Secure {
-				if len(n.Conflicts) < mostConflicts {
+				if len(n.Conflicts) < maxConflicts {
 					n.Conflicts = append(n.Conflicts, Conflict{e.Host, at, c.partner})
 				}
 				continue
 			} else if !e.Secure {
 				n.claims[at] = claim{e.Partner, c.listed, c.users + 1}
-				n.held[i] = append(n.held[i], at)
+				n.claimed[i] = append(n.claimed[i], at)
 			}
 			out = append(out, at)
 		}
@@ -177,9 +178,9 @@
 	return out
 }
 
-// release takes back what an endpoint's names claimed, and its conflicts.
+// release gives up the addresses claimed for an endpoint, and removes its conflicts.
 func (n *Names) release(i int) {
-	for _, at := range n.held[i] {
+	for _, at := range n.claimed[i] {
 		c := n.claims[at]
 		if c.users--; c.users <= 0 && !c.listed {
 			delete(n.claims, at)
@@ -187,94 +188,96 @@
 			n.claims[at] = c
 		}
 	}
-	n.held[i] = nil
+	n.claimed[i] = nil
 	n.Conflicts = slices.DeleteFunc(n.Conflicts, func(x Conflict) bool { return n.list[i].Host == x.Host })
 }
 
-// Due are the names to ask for now, the longest due first, and when to look
-// again at the latest; below 0 where an answer must come first.
+// Due returns the names to query now, the longest overdue first, and when to call it again at the
+// latest. The time is negative if nothing is due before an outstanding query ends.
 func (n *Names) Due(now time.Duration) (ask []string, next time.Duration) {
 	next = -1
 	for host, k := range n.names {
 		switch {
-		case k.asking:
-		case k.next <= now:
+		case k.querying:
+		case k.nextQuery <= now:
 			ask = append(ask, host)
-		case next < 0 || k.next < next:
-			next = k.next
+		case next < 0 || k.nextQuery < next:
+			next = k.nextQuery
 		}
 	}
-	slices.SortFunc(ask, func(x, y string) int { return cmp.Or(cmp.Compare(n.names[x].next, n.names[y].next), cmp.Compare(x, y)) })
-	ask = ask[:min(len(ask), max(0, n.set.Asking-n.asking))]
+	slices.SortFunc(ask, func(x, y string) int {
+		return cmp.Or(cmp.Compare(n.names[x].nextQuery, n.names[y].nextQuery), cmp.Compare(x, y))
+	})
+	ask = ask[:min(len(ask), max(0, n.settings.Asking-n.outstanding))]
 	for _, host := range ask {
-		n.names[host].asking = true
+		n.names[host].querying = true
 	}
-	n.asking += len(ask)
+	n.outstanding += len(ask)
 	return ask, next
 }
 
-// Answered takes in what became of asking for a name, and returns the addresses
-// of the endpoints for which that changes something.
+// Answered records the result of a query, and returns the addresses of the endpoints that it
+// changes.
 func (n *Names) Answered(now time.Duration, host string, a Answer) map[string][]Address {
 	k := n.names[host]
-	if k == nil || !k.asking {
+	if k == nil || !k.querying {
 		return nil
 	}
-	k.asking = false
-	n.asking--
+	k.querying = false
+	n.outstanding--
 	var next []netip.Addr
 	switch {
 	case a.Failed:
-		k.fails++
-		k.next = now + n.blur(min(again<<min(k.fails-1, 10), mostAgain))
-		if now < k.until+n.set.Stale {
+		k.failures++
+		k.nextQuery = now + n.jitter(min(queryBackoff<<min(k.failures-1, 10), maxQueryBackoff))
+		if now < k.expires+n.settings.Stale {
 			return nil
 		}
-		// Too old to be believed any more.
+		// The answer is older than the limit for stale ones: drop it.
 	case len(a.Addrs) == 0:
-		k.fails = 0
-		if k.empty == 0 {
-			k.empty = max(now, 1)
+		k.failures = 0
+		if k.emptySince == 0 {
+			k.emptySince = max(now, 1)
 		}
-		if len(k.addrs) > 0 && now-k.empty < doubt {
-			k.next = now + n.blur(doubt/2)
+		if len(k.addrs) > 0 && now-k.emptySince < emptyConfirmation {
+			k.nextQuery = now + n.jitter(emptyConfirmation/2)
 			return nil
 		}
-		k.until, k.next = now, now+n.blur(min(max(a.TTL, doubt), mostAgain))
+		k.expires, k.nextQuery = now, now+n.jitter(min(max(a.TTL, emptyConfirmation), maxQueryBackoff))
 	default:
-		ttl := min(max(a.TTL, n.set.Least), n.set.Most)
-		k.fails, k.empty, k.until = 0, 0, now+ttl
-		k.next = now + n.blur(ttl) // before it runs out, so that no call ever waits for an answer
+		ttl := min(max(a.TTL, n.settings.Least), n.settings.Most)
+		k.failures, k.emptySince, k.expires = 0, 0, now+ttl
+		k.nextQuery = now + n.jitter(ttl) // before the answer expires, so that no call waits for a query
 		next = n.pick(k.addrs, a.Addrs)
 	}
-	barred := func(i int) bool {
+	inConflict := func(i int) bool {
 		return slices.ContainsFunc(n.Conflicts, func(x Conflict) bool { return n.list[i].Host == x.Host })
 	}
-	if slices.Equal(next, k.addrs) && !slices.ContainsFunc(k.users, barred) {
+	if slices.Equal(next, k.addrs) && !slices.ContainsFunc(k.endpoints, inConflict) {
 		return nil
 	}
 	k.addrs = next
-	for _, i := range k.users {
-		n.release(i) // all, before one of them claims anew
+	for _, i := range k.endpoints {
+		n.release(i) // all claims, before the first endpoint claims again
 	}
 	out := map[string][]Address{}
-	for _, i := range k.users {
+	for _, i := range k.endpoints {
 		out[n.list[i].Host] = n.expand(i)
 	}
 	return out
 }
 
-// blur draws a time between four fifths of one and all of it, so that neither
-// names nor relays come in step.
-func (n *Names) blur(d time.Duration) time.Duration {
+// jitter draws a time between 80 % and 100 % of d, so that neither names nor relays query in
+// lockstep.
+func (n *Names) jitter(d time.Duration) time.Duration {
 	return d - time.Duration(n.rand.Float64()*float64(d)/5)
 }
 
-// pick chooses which addresses of an answer are used: those that were used
-// before stay, so that connections do; others are drawn by chance, so that the
-// relays of a fleet spread over them; families take turns.
+// pick selects which addresses of an answer to use. Addresses already in use stay, so that their
+// connections do; others are drawn at random, so that the relays of a fleet spread over them. The
+// families alternate.
 func (n *Names) pick(old, all []netip.Addr) []netip.Addr {
-	var by [2][]netip.Addr
+	var perFamily [2][]netip.Addr
 	seen := map[netip.Addr]bool{}
 	for _, ip := range all {
 		if ip = ip.Unmap(); !ip.IsValid() || ip.IsMulticast() || ip.IsUnspecified() || seen[ip] {
@@ -285,17 +288,19 @@
 		if ip.Is4() {
 			f = 1
 		}
-		by[f] = append(by[f], ip)
+		perFamily[f] = append(perFamily[f], ip)
 	}
 	var out []netip.Addr
-	for _, l := range by {
-		slices.SortFunc(l, netip.Addr.Compare) // servers rotate answers; that is no news
+	for _, l := range perFamily {
+		slices.SortFunc(l, netip.Addr.Compare) // servers rotate their answers; another order is no change
 		n.rand.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
-		slices.SortStableFunc(l, func(x, y netip.Addr) int { return cmp.Compare(place(old, x), place(old, y)) })
+		slices.SortStableFunc(l, func(x, y netip.Addr) int {
+			return cmp.Compare(indexOrLen(old, x), indexOrLen(old, y))
+		})
 	}
-	for i := 0; len(out) < n.set.Each && i < max(len(by[0]), len(by[1])); i++ {
-		for _, l := range by {
-			if i < len(l) && len(out) < n.set.Each {
+	for i := 0; len(out) < n.settings.Each && i < max(len(perFamily[0]), len(perFamily[1])); i++ {
+		for _, l := range perFamily {
+			if i < len(l) && len(out) < n.settings.Each {
 				out = append(out, l[i])
 			}
 		}
@@ -303,25 +308,26 @@
 	return out
 }
 
-func place(list []netip.Addr, ip netip.Addr) int {
+// indexOrLen returns the index of ip in the list, or the length of the list if it is not there.
+func indexOrLen(list []netip.Addr, ip netip.Addr) int {
 	if i := slices.Index(list, ip); i >= 0 {
 		return i
 	}
 	return len(list)
 }
 
-// Resolved is what a report shows of a name.
+// Resolved is the status of one host name, as reports show it.
 type Resolved struct {
 	Name  string        `json:"name"`
 	Addrs []netip.Addr  `json:"addresses"`
-	Left  time.Duration `json:"ttl_left_ns"` // below 0: served past its time
+	Left  time.Duration `json:"ttl_left_ns"` // negative while an expired answer is used
 	Fails int           `json:"fails"`
 }
 
-// Known tells of every name, in their order.
+// Known returns the status of all names, sorted by name.
 func (n *Names) Known(now time.Duration) (out []Resolved) {
 	for host, k := range n.names {
-		out = append(out, Resolved{host, k.addrs, k.until - now, k.fails})
+		out = append(out, Resolved{host, k.addrs, k.expires - now, k.failures})
 	}
 	slices.SortFunc(out, func(x, y Resolved) int { return cmp.Compare(x.Name, y.Name) })
 	return out
--- a/internal/addr/names_test.go
+++ b/internal/addr/names_test.go
@@ -16,6 +16,8 @@
 	return out
 }
 
+// ask marks the names that are due as queried, and fails unless host is among them.
+
 func ask(t interface{ Fatalf(string, ...any) }, n *Names, now time.Duration, host string) {
 	due, _ := n.Due(now)
 	for _, d := range due {
@@ -26,8 +28,8 @@
 	t.Fatalf("%v: %s is not due, %v is", now, host, due)
 }
 
-// TTLs are obeyed with bounds; an answer serves on while the resolver fails, and
-// an empty one must be told twice before it is believed.
+// Guards against TTLs that are not applied or not limited, and against addresses that are lost
+// while the resolver fails or after a single empty answer.
 func TestNamesTTL(t *testing.T) {
 	n := NewNames(NamesSettings{Least: time.Second, Most: time.Minute, Stale: time.Minute, Each: 4, Asking: 4}, 1)
 	e := Endpoint{Host: "bank:1", Addrs: parse(t, "bank.example:80", "127.0.0.9:80")}
@@ -52,21 +54,21 @@
 	}
 	ask(t, n, 15*time.Second, "bank.example")
 	if got := n.Answered(15*time.Second, "bank.example", Answer{}); len(got["bank:1"]) != 1 {
-		t.Fatalf("a second one: %v", got)
+		t.Fatalf("a second empty answer: %v", got)
 	}
 	ask(t, n, 18*time.Second, "bank.example")
 	n.Answered(18*time.Second, "bank.example", Answer{Addrs: ips("127.0.0.1"), TTL: time.Hour})
-	ask(t, n, 79*time.Second, "bank.example") // an hour is more than a minute
+	ask(t, n, 79*time.Second, "bank.example") // the TTL of an hour is limited to a minute
 	n.Answered(79*time.Second, "bank.example", Answer{Failed: true})
 	ask(t, n, 140*time.Second, "bank.example")
 	if got := n.Answered(140*time.Second, "bank.example", Answer{Failed: true}); len(got["bank:1"]) != 1 {
-		t.Fatalf("past its stale time: %v", got)
+		t.Fatalf("past the limit for stale answers: %v", got)
 	}
 }
 
-// A name that gives a hundred addresses is used with a few of each family, which
-// stay while they are told; one that stands for another partner's address is not
-// used there, unless the endpoint proves who it is.
+// Guards against an answer with a hundred addresses that is used whole or makes the addresses in
+// use change, and against a name that resolves to an address of another partner, which only an
+// authenticated endpoint may use.
 func TestNamesBelieved(t *testing.T) {
 	n := NewNames(DefaultNames, 1)
 	secure := Endpoint{Host: "c:1", Partner: 2, Secure: true, Addrs: parse(t, "c.example:80")}
@@ -75,7 +77,8 @@
 	n.Due(0)
 	var many []netip.Addr
 	for i := range 100 {
-		many = append(many, netip.AddrFrom4([4]byte{127, 1, 0, byte(i + 1)}), netip.MustParseAddr(fmt.Sprintf("fd00::%x", i+1)))
+		many = append(many, netip.AddrFrom4([4]byte{127, 1, 0, byte(i + 1)}),
+			netip.MustParseAddr(fmt.Sprintf("fd00::%x", i+1)))
 	}
 	first := n.Answered(0, "a.example", Answer{Addrs: many, TTL: time.Second})["a:1"]
 	six := 0
@@ -94,23 +97,25 @@
 	n.Due(4 * time.Second)
 	got := n.Answered(4*time.Second, "a.example", Answer{Addrs: ips("127.0.0.7", "127.0.0.8"), TTL: time.Second})
 	if fmt.Sprint(got["a:1"]) != "[127.0.0.8:80]" || len(n.Conflicts) != 1 || n.Conflicts[0].Partner != 1 {
-		t.Errorf("another's address: %v, %v", got, n.Conflicts)
+		t.Errorf("an address of another partner: %v, %v", got, n.Conflicts)
 	}
-	if got := n.Answered(4*time.Second, "c.example", Answer{Addrs: ips("127.0.0.7"), TTL: time.Second}); len(got["c:1"]) != 1 {
-		t.Errorf("with proof: %v", got)
+	if got := n.Answered(4*time.Second, "c.example",
+		Answer{Addrs: ips("127.0.0.7"), TTL: time.Second}); len(got["c:1"]) != 1 {
+		t.Errorf("an authenticated endpoint: %v", got)
 	}
 }
 
-// Whatever resolvers say: never more addresses than allowed, never two partners
-// without proof at one address, never more names asked for than allowed, and no
-// name is forgotten.
+// Guards, by random answers, against more addresses or concurrent queries than configured, against
+// an address used by two partners without authentication, and against names that are never queried
+// again.
 func TestNamesAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := NamesSettings{Least: time.Second, Most: time.Minute, Stale: time.Minute, Each: 3, Asking: 2}
 		n := NewNames(set, 1)
 		var list []Endpoint
 		for i := range 5 {
-			list = append(list, Endpoint{Host: fmt.Sprintf("e%d:1", i), Partner: i % 3, Addrs: parse(t, fmt.Sprintf("n%d.example:80", i%4))})
+			list = append(list, Endpoint{Host: fmt.Sprintf("e%d:1", i), Partner: i % 3,
+				Addrs: parse(t, fmt.Sprintf("n%d.example:80", i%4))})
 		}
 		now := time.Duration(0)
 		held := n.Set(now, list)
@@ -119,15 +124,17 @@
 			now += time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * ms
 			due, next := n.Due(now)
 			if out = append(out, due...); len(out) > set.Asking {
-				t.Fatalf("%d asked for at once", len(out))
+				t.Fatalf("%d concurrent queries", len(out))
 			}
 			if len(out) == 0 && next < 0 {
-				t.Fatal("nothing is asked for and nothing will be")
+				t.Fatal("no query is outstanding or scheduled")
 			}
 			if len(out) > 0 && rapid.Bool().Draw(t, "answer") {
-				a := Answer{TTL: time.Duration(rapid.IntRange(0, 90).Draw(t, "ttl")) * time.Second, Failed: rapid.Bool().Draw(t, "failed")}
+				a := Answer{TTL: time.Duration(rapid.IntRange(0, 90).Draw(t, "ttl")) * time.Second,
+					Failed: rapid.Bool().Draw(t, "failed")}
 				for range rapid.IntRange(0, 5).Draw(t, "n") {
-					a.Addrs = append(a.Addrs, netip.AddrFrom4([4]byte{127, 0, 0, byte(rapid.IntRange(1, 6).Draw(t, "ip"))}))
+					a.Addrs = append(a.Addrs,
+						netip.AddrFrom4([4]byte{127, 0, 0, byte(rapid.IntRange(1, 6).Draw(t, "ip"))}))
 				}
 				for host, l := range n.Answered(now, out[0], a) {
 					held[host] = l
@@ -140,7 +147,7 @@
 			owner := map[Address]int{}
 			for _, e := range list {
 				if len(held[e.Host]) > set.Each {
-					t.Fatalf("%s has %v", e.Host, held[e.Host])
+					t.Fatalf("%s has too many addresses: %v", e.Host, held[e.Host])
 				}
 				for _, a := range held[e.Host] {
 					if p, ok := owner[a]; ok && p != e.Partner {
--- a/internal/addr/scale_test.go
+++ b/internal/addr/scale_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// many endpoints with four addresses each: a name, both families, a Unix socket.
+// many returns endpoints with four addresses each: a name, one of each family, a Unix socket.
 func many(b *testing.B, n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, Endpoint{Host: fmt.Sprintf("e%d:443", i), Partner: i % 500, Addrs: parse(b,
@@ -18,8 +18,8 @@
 	return list
 }
 
-// Ten thousand endpoints with four addresses each: a list taken in, all names
-// resolved, a book for each, and a race planned at each.
+// Measures the memory per endpoint and the time to set a list of ten thousand endpoints with four
+// addresses each, resolve all names, create a Book for each, and plan a race at each.
 func BenchmarkTenThousand(b *testing.B) {
 	list := many(b, 10000)
 	var before, after runtime.MemStats
