--- a/internal/resolve/resolve.go
+++ b/internal/resolve/resolve.go
@@ -1,6 +1,6 @@
-// Package resolve asks for the addresses of names: by DNS servers that are named
-// (RFC 1035, TTLs obeyed), or by the system, which tells no TTL. What is asked
-// when, and what is believed, decides addr.Names.
+// Package resolve looks up the addresses of host names, either at configured DNS servers (RFC
+// 1035), whose TTLs it passes on, or through the system's resolver, which reports no TTL. It does
+// not decide when a name is queried or which answers are accepted; addr.Names does.
 package resolve
 
 import (
@@ -19,16 +19,17 @@
 	"basaltcross.example/basaltcross/internal/addr"
 )
 
-// Resolver tells the addresses of a name. An error means that none came; a name
-// without addresses is no error.
+// Resolver looks up the addresses of a host name and their TTL. It returns an error if no answer
+// came; a name that has no addresses is no error.
 type Resolver interface {
 	Look(ctx context.Context, name string) ([]netip.Addr, time.Duration, error)
 }
 
-// System asks as the system is set up. It knows no TTLs: TTL stands for them.
+// System resolves names through the resolver of the operating system. That reports no TTLs; TTL is
+// returned instead.
 type System struct{ TTL time.Duration }
 
-// Look asks the system.
+// Look queries the system's resolver.
 func (s System) Look(ctx context.Context, name string) ([]netip.Addr, time.Duration, error) {
 	ips, err := net.DefaultResolver.LookupNetIP(ctx, "ip", name)
 	if no := (*net.DNSError)(nil); errors.As(err, &no) && no.IsNotFound {
@@ -40,35 +41,35 @@
 	return ips, s.TTL, nil
 }
 
-// Servers asks recursive DNS servers, one after the other until one answers.
+// Servers queries recursive DNS servers, one after the other until one answers.
 type Servers struct {
-	Addrs   []string // host:port
-	Timeout time.Duration
+	Addrs   []string      // host:port of each server
+	Timeout time.Duration // of one query over one transport
 }
 
-// mostTTL is a TTL that no record exceeds (RFC 2181, 8).
-const mostTTL = math.MaxInt32 * time.Second
+// maxTTL is the largest TTL that a record can have (RFC 2181, 8).
+const maxTTL = math.MaxInt32 * time.Second
 
-// Look asks for A and AAAA records. Where one kind fails and the other has
-// addresses, those count: a broken server for one family is no reason to go without both.
+// Look queries A and AAAA records concurrently. If one query fails and the other returns addresses,
+// those are used: a server that fails for one family must not make the endpoint unreachable.
 func (s Servers) Look(ctx context.Context, name string) ([]netip.Addr, time.Duration, error) {
-	type part struct {
+	type result struct {
 		ips []netip.Addr
 		ttl time.Duration
 		err error
 	}
-	parts := make(chan part, 2)
+	results := make(chan result, 2)
 	for _, kind := range []uint16{dns.TypeA, dns.TypeAAAA} {
 		go func() {
-			ips, ttl, err := s.ask(ctx, name, kind)
-			parts <- part{ips, ttl, err}
+			ips, ttl, err := s.query(ctx, name, kind)
+			results <- result{ips, ttl, err}
 		}()
 	}
 	var out []netip.Addr
 	var err error
-	ttl := mostTTL
+	ttl := maxTTL
 	for range 2 {
-		p := <-parts
+		p := <-results
 		if p.err != nil {
 			err = p.err
 			continue
@@ -78,16 +79,18 @@
 	if err != nil && len(out) == 0 {
 		return nil, 0, fmt.Errorf("resolve: %s: %w", name, err)
 	}
+	// query asks each server for records of one type until one answers.
 	return out, ttl, nil
 }
 
-func (s Servers) ask(ctx context.Context, name string, kind uint16) (ips []netip.Addr, ttl time.Duration, err error) {
+func (s Servers) query(ctx context.Context, name string, kind uint16) (
+	ips []netip.Addr, ttl time.Duration, err error) {
 	q := new(dns.Msg)
 	q.SetQuestion(dns.Fqdn(name), kind)
 	q.SetEdns0(1232, false)
 	for _, at := range s.Addrs {
 		var r *dns.Msg
-		for _, network := range []string{"udp", "tcp"} { // TCP where the answer was cut off (RFC 7766)
+		for _, network := range []string{"udp", "tcp"} { // TCP if the answer is truncated (RFC 7766)
 			q.Id = dns.Id()
 			c := &dns.Client{Net: network, Timeout: s.Timeout, UDPSize: 1232}
 			if r, _, err = c.ExchangeContext(ctx, q, at); err != nil || !r.Truncated {
@@ -97,29 +100,29 @@
 		if err != nil {
 			continue
 		}
-		if ips, ttl, err = read(q, r); err == nil {
+		if ips, ttl, err = parseAnswer(q, r); err == nil {
 			return ips, ttl, nil
 		}
 	}
 	if err == nil {
-		err = errors.New("no server to ask")
+		err = errors.New("no DNS server is configured")
 	}
 	return nil, 0, err
 }
 
-// read takes the addresses from an answer, along its aliases; its TTL is the
-// least of all records on the way, or that of the SOA where there are none (RFC 2308, 5).
-func read(q, r *dns.Msg) (ips []netip.Addr, ttl time.Duration, err error) {
+// parseAnswer extracts the addresses from an answer, following CNAME records. The TTL is the lowest
+// of all records on the way, or that of the SOA record if there are no addresses (RFC 2308, 5).
+func parseAnswer(q, r *dns.Msg) (ips []netip.Addr, ttl time.Duration, err error) {
 	switch {
 	case r.Rcode != dns.RcodeSuccess && r.Rcode != dns.RcodeNameError:
-		return nil, 0, fmt.Errorf("answer %s", dns.RcodeToString[r.Rcode])
+		return nil, 0, fmt.Errorf("server answered %s", dns.RcodeToString[r.Rcode])
 	case len(r.Question) != 1 || r.Question[0].Qtype != q.Question[0].Qtype ||
 		dns.CanonicalName(r.Question[0].Name) != dns.CanonicalName(q.Question[0].Name):
-		return nil, 0, errors.New("an answer to another question")
+		return nil, 0, errors.New("the answer does not match the question")
 	}
-	ttl = mostTTL
+	ttl = maxTTL
 	owner := dns.CanonicalName(q.Question[0].Name)
-	for range 16 { // aliases in a row
+	for range 16 { // limit on the chain of CNAME records
 		next := ""
 		for _, rr := range r.Answer {
 			h := rr.Header()
@@ -157,19 +160,19 @@
 	return ips, ttl, nil
 }
 
-// Sink takes the addresses of endpoints: of all that need more than their own,
-// or of those for which they changed.
+// Sink receives resolved addresses: those of all endpoints that have more than the address in their
+// name, or those of the endpoints that changed.
 type Sink interface {
 	Addresses(all map[string][]addr.Address)
 	Changed(some map[string][]addr.Address)
 }
 
-// Follower keeps the addresses of a list's names up to date.
+// Follower keeps the addresses of the host names in an endpoint list up to date.
 type Follower struct {
 	resolver Resolver
 	timeout  time.Duration
 	epoch    time.Time
-	to       Sink
+	sink     Sink
 	report   func(name string, err error)
 
 	mu    sync.Mutex
@@ -177,28 +180,30 @@
 	wake  chan struct{}
 }
 
-// New makes a follower; report is told of names that could not be looked up.
-func New(r Resolver, set addr.NamesSettings, timeout time.Duration, to Sink, report func(name string, err error)) *Follower {
-	return &Follower{resolver: r, timeout: timeout, epoch: time.Now(), to: to, report: report,
+// New returns a Follower. report is called for each name whose query failed.
+func New(r Resolver, set addr.NamesSettings, timeout time.Duration, sink Sink,
+	report func(name string, err error)) *Follower {
+	return &Follower{resolver: r, timeout: timeout, epoch: time.Now(), sink: sink, report: report,
 		names: addr.NewNames(set, rand.Uint64()), wake: make(chan struct{}, 1)}
 }
 
-// Set takes in a whole list.
+// Set replaces the endpoint list.
 func (f *Follower) Set(list []addr.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.to.Addresses(f.names.Set(time.Since(f.epoch), list)) // under the lock: news must not overtake each other
-	f.nudge()
+	f.sink.Addresses(f.names.Set(time.Since(f.epoch), list)) // under the lock, so that updates keep their order
+	f.wakeUp()
 }
 
-func (f *Follower) nudge() {
+// wakeUp makes Run look for due names without waiting for its timer.
+func (f *Follower) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run asks for names until ctx ends.
+// Run queries names as they become due, until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
@@ -207,10 +212,10 @@
 	for {
 		f.mu.Lock()
 		now := time.Since(f.epoch)
-		ask, next := f.names.Due(now)
+		due, next := f.names.Due(now)
 		f.mu.Unlock()
-		for _, name := range ask {
-			wait.Go(func() { f.look(ctx, name) })
+		for _, name := range due {
+			wait.Go(func() { f.refresh(ctx, name) })
 		}
 		sleep := time.Hour
 		if next >= 0 {
@@ -226,22 +231,25 @@
 	}
 }
 
-func (f *Follower) look(ctx context.Context, name string) {
-	within, cancel := context.WithTimeout(ctx, f.timeout)
-	ips, ttl, err := f.resolver.Look(within, name)
+func (f *Follower) refresh(ctx context.Context, name string) {
+	// refresh queries one name and passes on the addresses that changed.
+	queryCtx, cancel := context.WithTimeout(ctx, f.timeout)
+	ips, ttl, err := f.resolver.Look(queryCtx, name)
 	cancel()
 	if err != nil && ctx.Err() == nil {
 		f.report(name, err)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if news := f.names.Answered(time.Since(f.epoch), name, addr.Answer{Addrs: ips, TTL: ttl, Failed: err != nil}); len(news) > 0 {
-		f.to.Changed(news)
+	if changed := f.names.Answered(time.Since(f.epoch), name,
+		addr.Answer{Addrs: ips, TTL: ttl, Failed: err != nil}); len(changed) > 0 {
+		f.sink.Changed(changed)
 	}
-	f.nudge()
+	f.wakeUp()
 }
 
-// Known reports every name, and addresses that are left out as another partner's.
+// Known returns the status of every name, and the addresses that are not used because they belong
+// to another partner.
 func (f *Follower) Known() ([]addr.Resolved, []addr.Conflict) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/resolve/resolve_test.go
+++ b/internal/resolve/resolve_test.go
@@ -30,8 +30,8 @@
 	return out
 }
 
-// Aliases, both families, the least TTL on the way, a cut answer, no addresses,
-// a loop of aliases, a server that fails before one that answers.
+// Guards against wrong addresses or TTLs: CNAME records, both families, the lowest TTL of a chain,
+// truncated answers, no addresses, a CNAME loop, and a failing server before one that answers.
 func TestServers(t *testing.T) {
 	d := server(t)
 	d.Set("a.example", standin.Zone{Alias: "b.example", TTL: 7})
@@ -44,7 +44,7 @@
 	for _, c := range []struct {
 		name string
 		want []netip.Addr
-		ttl  time.Duration // 0: not looked at
+		ttl  time.Duration // 0: not checked
 		fail bool
 	}{
 		{"a.example", ips("127.0.0.1", "127.0.0.2", "::1"), 7 * time.Second, false},
@@ -60,19 +60,21 @@
 	}
 }
 
-// sink passes news on.
+// sink forwards the addresses that it receives.
 type sink chan map[string][]addr.Address
 
 func (s sink) Addresses(all map[string][]addr.Address) { s <- all }
 func (s sink) Changed(some map[string][]addr.Address)  { s <- some }
 
-// A name that moves is followed within its TTL; while the server is mute, what
-// was known stays, and is asked for again without a spin.
+// Guards against a changed name that is not followed within its TTL, and against addresses that are
+// lost while the server does not answer: they stay, and the name is queried again without a busy
+// loop.
 func TestFollower(t *testing.T) {
 	d := server(t)
 	d.Set("bank.example", standin.Zone{Addrs: ips("127.0.0.1"), TTL: 1})
 	news := make(sink, 100)
-	f := New(Servers{Addrs: []string{d.Addr}, Timeout: 100 * time.Millisecond}, addr.DefaultNames, 200*time.Millisecond, news,
+	f := New(Servers{Addrs: []string{d.Addr}, Timeout: 100 * time.Millisecond}, addr.DefaultNames,
+		200*time.Millisecond, news,
 		func(string, error) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -87,16 +89,16 @@
 			}
 			return n["bank:1"][0].String()
 		case <-time.After(20 * time.Second):
-			t.Fatal("no news")
+			t.Fatal("no update within 20 s")
 			return ""
 		}
 	}
 	if next() != "" || next() != "127.0.0.1:80" {
-		t.Fatal("not learned")
+		t.Fatal("the first address was not reported")
 	}
 	d.Set("bank.example", standin.Zone{Addrs: ips("127.0.0.2"), TTL: 1})
 	if next() != "127.0.0.2:80" {
-		t.Fatal("not followed")
+		t.Fatal("the changed address was not reported")
 	}
 	d.Set("bank.example", standin.Zone{Mute: true})
 	asked := d.Asked("bank.example")
@@ -104,11 +106,11 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if known, _ := f.Known(); len(known) != 1 || len(known[0].Addrs) != 1 || len(news) > 0 {
-		t.Errorf("while mute: %+v, %d news", known, len(news))
+		t.Errorf("without answers: %+v, %d updates", known, len(news))
 	}
 	d.Set("bank.example", standin.Zone{Addrs: ips("127.0.0.3"), TTL: 1})
 	if next() != "127.0.0.3:80" {
-		t.Error("not back")
+		t.Error("the new address was not reported once the server answered again")
 	}
 	cancel()
 	<-done
