--- a/internal/partner/believe.go
+++ b/internal/partner/believe.go
@@ -10,111 +10,113 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// begin takes in that a call goes out on the connection, and tells it to whoever traces; under mu.
-func (cn *conn) begin(k *call) {
-	c := cn.pool.c
-	rested := cn.life.Begin(c.now())
+// beginCall records that k goes out on the connection, and traces it. The caller holds cn.mu.
+func (cn *conn) beginCall(k *call) {
+	c := cn.pool.caller
+	rested := cn.state.Begin(c.now())
 	if c.opt.Trace == nil {
 		return
 	}
-	with := cn.place() + " rested " + rested.Round(time.Microsecond).String()
-	for _, name := range k.names() {
+	with := cn.label() + " rested " + rested.Round(time.Microsecond).String()
+	for _, name := range k.messageNames() {
 		c.opt.Trace.Step(name, "call", with)
 	}
 }
 
-// believe decides how far the answer that was read is believed of a call; followed tells that
-// more bytes came behind it; under mu.
-func (cn *conn) believe(k *call, followed bool) lifecycle.Belief {
-	conduct := &cn.pool.c.conduct
+// attribute decides how certain it is that the response just read answers k. followed reports
+// whether more bytes were received behind it. The caller holds cn.mu.
+func (cn *conn) attribute(k *call, followed bool) lifecycle.Belief {
+	conduct := &cn.pool.caller.conduct
 	if conduct.Off {
 		return lifecycle.Own
 	}
-	names, foreign := cn.resp.names(k)
-	belief := cn.life.Believe(lifecycle.PeerAnswer{Written: cn.written(), Names: names, Foreign: foreign, Followed: followed,
-		FirstOnly: cn.spent()})
+	names, foreign := cn.resp.matchMessages(k)
+	belief := cn.state.Believe(lifecycle.PeerAnswer{Written: cn.allSent(), Names: names, Foreign: foreign,
+		Followed: followed, FirstOnly: cn.firstCallOnly()})
 	switch belief {
 	case lifecycle.Nobodys:
 		breach := lifecycle.AnswerEarly
 		if foreign {
 			breach = lifecycle.AnswerForeign
 		}
-		cn.refuse(breach, k)
+		cn.reportBreach(breach, k)
 	case lifecycle.Doubtful:
-		cn.refuse(lifecycle.AnswerDoubtful, k)
+		cn.reportBreach(lifecycle.AnswerDoubtful, k)
 	case lifecycle.Own, lifecycle.Likely:
 	}
 	return belief
 }
 
-// believeLast is believe of an answer behind which none can come any more; under mu.
-func (cn *conn) believeLast(k *call) lifecycle.Belief {
-	belief := cn.believe(k, false)
-	if belief == lifecycle.Nobodys && cn.written() {
+// attributeLast is attribute for a response after which no further one can follow. The caller holds
+// cn.mu.
+func (cn *conn) attributeLast(k *call) lifecycle.Belief {
+	belief := cn.attribute(k, false)
+	if belief == lifecycle.Nobodys && cn.allSent() {
 		return lifecycle.Doubtful
 	}
 	return belief
 }
 
-// written tells whether the kernel has all bytes of the calls so far.
-func (cn *conn) written() bool { return cn.sent.Load() >= cn.size.Load() }
+// allSent reports whether all bytes of the calls so far have been written to the socket.
+func (cn *conn) allSent() bool { return cn.sent.Load() >= cn.queued.Load() }
 
-// spent tells whether the conduct of the peer allows no second call on a connection.
-func (cn *conn) spent() bool {
-	c := cn.pool.c
+// firstCallOnly reports whether the peer's conduct limits its connections to one call each.
+func (cn *conn) firstCallOnly() bool {
+	c := cn.pool.caller
 	return c.conduct.Rule(c.now(), cn.host, cn.pool.partner, lifecycle.Repeats).FirstOnly
 }
 
-// believed is how far an answer is believed, how long what rests on it waits, and how long it may turn
-// out to be another's.
-type believed struct {
+// attribution is how certain it is that a response answers its call, how long anything that depends
+// on it has to wait, and how long it may still turn out to answer another call.
+type attribution struct {
 	belief          lifecycle.Belief
 	wait, unsettled time.Duration
 }
 
-// answered takes in a call's answer; under mu.
-func (cn *conn) answered(k *call, belief lifecycle.Belief) believed {
-	c := cn.pool.c
+// recordAnswer records that k was answered. The caller holds cn.mu.
+func (cn *conn) recordAnswer(k *call, belief lifecycle.Belief) attribution {
+	c := cn.pool.caller
 	now := c.now()
 	if belief == lifecycle.Own || belief == lifecycle.Likely {
-		c.conduct.Took(now, cn.host, now-k.wrote)
+		c.conduct.Took(now, cn.host, now-k.writtenAt)
 	}
-	served := len(k.Several) == 0 && cn.resp.says >= http.StatusOK && cn.resp.says < http.StatusMultipleChoices
+	served := len(k.Several) == 0 && cn.resp.firstStatus >= http.StatusOK &&
+		cn.resp.firstStatus < http.StatusMultipleChoices
 	doubted := func() {
-		cn.refuse(lifecycle.AnswerRetracted, k)
+		cn.reportBreach(lifecycle.AnswerRetracted, k)
 		if k.Doubted != nil {
 			k.Doubted()
 		}
 	}
-	wait, unsettled := cn.life.Answered(now, c.conduct.Usual(cn.host), belief, served, doubted)
-	return believed{belief, wait, unsettled}
+	wait, unsettled := cn.state.Answered(now, c.conduct.Usual(cn.host), belief, served, doubted)
+	return attribution{belief, wait, unsettled}
 }
 
-// unasked takes in bytes that no call asked for: the connection is closed, the peer is doubted,
-// and so are the last answers on the connection. A wait that the bytes tell is heeded: they may be the
-// own answer of a call that a copy had ended.
-func (cn *conn) unasked(b []byte) {
-	c := cn.pool.c
-	if wait := c.waitIn(b); wait > 0 && c.opt.Waits != nil {
+// unsolicited handles bytes that no call asked for: it closes the connection, distrusts the peer,
+// and retracts the last answers on the connection. A wait that the bytes announce is applied: they
+// may be the real answer to a call that was ended by a duplicate of an earlier answer.
+func (cn *conn) unsolicited(b []byte) {
+	c := cn.pool.caller
+	if wait := c.longestWaitIn(b); wait > 0 && c.opt.Waits != nil {
 		c.opt.Waits(cn.host, cn.pool.partner, wait)
 	}
 	cn.mu.Lock()
-	if cn.life.Phase() == lifecycle.PeerDoubted {
+	if cn.state.Phase() == lifecycle.PeerDoubted {
 		cn.mu.Unlock()
 		return
 	}
 	now := c.now()
-	doubted, late := cn.life.Strayed(now)
+	doubted, late := cn.state.Strayed(now)
 	cn.mu.Unlock()
-	cn.refuse(lifecycle.BytesUnasked, nil)
-	_ = cn.nb.Close()
+	cn.reportBreach(lifecycle.BytesUnasked, nil)
+	_ = cn.sock.Close()
 	if !c.conduct.Off {
-		cn.broke(now, late, doubted)
+		cn.distrust(now, late, doubted)
 	}
 }
 
-// waitIn is the longest wait that whole answers among some bytes tell.
-func (c *Caller) waitIn(b []byte) (longest time.Duration) {
+// longestWaitIn returns the longest wait announced by the complete responses in b.
+func (c *Caller) longestWaitIn(b []byte) (longest time.Duration) {
 	now := time.Now()
 	for len(b) > 0 {
 		r := response{}
@@ -124,34 +126,36 @@
 		if err != nil || !r.Done() {
 			return longest
 		}
-		wait := waitMs(r.wait)
+		wait := parseWaitMs(r.wait)
 		if c.opt.Hook == nil && (r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable) {
-			wait, _ = retryWait(r.retry, now)
+			wait, _ = retryWait(r.retryAfter, now)
 		}
 		longest, b = max(longest, wait), rest
 	}
 	return longest
 }
 
-// remember keeps the answers of a connection that ended which served their calls: the peer may have been
-// silent on them, so that nothing there told whose they were.
-func (p *pool) remember(now time.Duration, all []func()) {
-	p.recent.Lock()
-	defer p.recent.Unlock()
+// rememberServed keeps the answers of a closed connection that reported success. The peer may not
+// have sent anything after them, so the connection did not show whether they answered their own
+// calls.
+func (p *pool) rememberServed(now time.Duration, all []func()) {
+	p.servedMu.Lock()
+	defer p.servedMu.Unlock()
 	for _, doubted := range all {
-		p.served = append(p.served, likely{now, doubted})
+		p.served = append(p.served, servedAnswer{now, doubted})
 	}
 	old := 0
-	for old < len(p.served) && (now-p.served[old].at > lifecycle.LongestDoubt || len(p.served)-old > mostServed) {
+	for old < len(p.served) && (now-p.served[old].at > lifecycle.LongestDoubt ||
+		len(p.served)-old > maxServedAnswers) {
 		old++
 	}
 	p.served = p.served[old:]
 }
 
-// forgetServed takes out the likely answers of late.
-func (p *pool) forgetServed(now time.Duration) (doubted []func()) {
-	p.recent.Lock()
-	defer p.recent.Unlock()
+// takeServed removes and returns the recent answers that rememberServed kept.
+func (p *pool) takeServed(now time.Duration) (doubted []func()) {
+	p.servedMu.Lock()
+	defer p.servedMu.Unlock()
 	for _, a := range p.served {
 		if now-a.at <= lifecycle.LongestDoubt {
 			doubted = append(doubted, a.doubted)
@@ -161,104 +165,106 @@
 	return doubted
 }
 
-// broke takes in that the peer sent what no call asked for, so late, and tells what is doubted: on
-// this connection, and of this peer's others; of all peers' where it is no fault of one.
-func (cn *conn) broke(now, late time.Duration, doubted []func()) {
-	c := cn.pool.c
+// distrust records that the peer sent bytes that no call asked for, and how late after the last
+// answer. It retracts the answers on this connection and on the peer's other connections, or those
+// of all peers if the fault is not one peer's alone.
+func (cn *conn) distrust(now, late time.Duration, doubted []func()) {
+	c := cn.pool.caller
 	pools := []*pool{cn.pool}
 	if c.conduct.Saw(now, cn.host, cn.pool.partner, late) {
 		pools = c.allPools()
 	}
 	for _, p := range pools {
-		doubted = append(doubted, p.retract(now)...)
+		doubted = append(doubted, p.closeUsedIdle(now)...)
 	}
-	tellAll(doubted)
+	notifyAll(doubted)
 }
 
-// retract closes the idle connections that were used, and returns what is doubted of them and of
-// those that have ended of late.
-func (p *pool) retract(now time.Duration) []func() {
-	doubted := p.forgetServed(now)
-	for _, cn := range p.drain((*conn).used) {
+// closeUsedIdle closes the idle connections that have carried a call. It returns the callbacks for
+// the doubtful answers on them and on recently closed connections.
+func (p *pool) closeUsedIdle(now time.Duration) []func() {
+	doubted := p.takeServed(now)
+	for _, cn := range p.removeIdle((*conn).used) {
 		cn.mu.Lock()
-		doubted = append(doubted, cn.life.Retract(now)...)
+		doubted = append(doubted, cn.state.Retract(now)...)
 		cn.mu.Unlock()
-		_ = cn.nb.Close()
+		_ = cn.sock.Close()
 	}
 	return doubted
 }
 
-// retire closes a connection of which nothing more is wanted, once its last answer is settled.
-func (cn *conn) retire() {
+// closeWhenSettled closes a connection that is not needed any more, once its last answer is
+// settled.
+func (cn *conn) closeWhenSettled() {
 	cn.mu.Lock()
-	after := cn.life.Unsettled(cn.pool.c.now())
+	after := cn.state.Unsettled(cn.pool.caller.now())
 	cn.mu.Unlock()
-	if after > 0 && !cn.pool.c.conduct.Off {
-		time.AfterFunc(after, func() { _ = cn.nb.Close() })
+	if after > 0 && !cn.pool.caller.conduct.Off {
+		time.AfterFunc(after, func() { _ = cn.sock.Close() })
 		return
 	}
-	_ = cn.nb.Close()
+	_ = cn.sock.Close()
 }
 
-func retireAll(conns []*conn) {
+func closeAllWhenSettled(conns []*conn) {
 	for _, cn := range conns {
-		cn.retire()
+		cn.closeWhenSettled()
 	}
 }
 
-// peerEnded closes a connection of which a look found that the peer has ended it.
-func (cn *conn) peerEnded() {
+// closedByPeer closes a connection that was found to be closed by the peer.
+func (cn *conn) closedByPeer() {
 	cn.mu.Lock()
-	doubted := cn.life.Broke(cn.pool.c.now())
+	doubted := cn.state.Broke(cn.pool.caller.now())
 	cn.mu.Unlock()
-	_ = cn.nb.Close()
-	if !cn.pool.c.conduct.Off {
-		tellAll(doubted)
+	_ = cn.sock.Close()
+	if !cn.pool.caller.conduct.Off {
+		notifyAll(doubted)
 	}
 }
 
-// retracted is what is doubted of a connection that ended. Of one that this side ends the rest is
-// remembered; under mu.
-func (cn *conn) retracted() []func() {
-	now := cn.pool.c.now()
+// doubtedAtClose returns the callbacks for the answers that the end of the connection makes
+// doubtful. If this side closed it, the pool remembers the other answers. The caller holds cn.mu.
+func (cn *conn) doubtedAtClose() []func() {
+	now := cn.pool.caller.now()
 	switch {
-	case cn.life.Turn() < 2 || cn.pool.c.conduct.Off:
+	case cn.state.Turn() < 2 || cn.pool.caller.conduct.Off:
 		return nil
-	case cn.spent():
-		return cn.life.Retract(now)
-	case cn.nb.EndedByPeer():
-		return cn.life.Broke(now)
+	case cn.firstCallOnly():
+		return cn.state.Retract(now)
+	case cn.sock.EndedByPeer():
+		return cn.state.Broke(now)
 	}
-	cn.pool.remember(now, cn.life.Left())
+	cn.pool.rememberServed(now, cn.state.Left())
 	return nil
 }
 
-func tellAll(doubted []func()) {
-	for _, tell := range doubted {
-		tell()
+func notifyAll(doubted []func()) {
+	for _, notify := range doubted {
+		notify()
 	}
 }
 
-// used tells whether the connection has carried a call.
+// used reports whether the connection has carried a call.
 func (cn *conn) used() bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	return cn.life.Turn() > 0
+	return cn.state.Turn() > 0
 }
 
-// place names the connection and the turn on it.
-func (cn *conn) place() string { return fmt.Sprintf("%d turn %d", cn.number, cn.life.Turn()) }
+// label names the connection and the turn on it, which is the number of its last call.
+func (cn *conn) label() string { return fmt.Sprintf("%d turn %d", cn.number, cn.state.Turn()) }
 
-func (cn *conn) refuse(breach lifecycle.PeerBreach, k *call) {
-	r := lifecycle.PeerRefusal{Breach: breach, Peer: cn.host, Connection: cn.number, Turn: cn.life.Turn()}
+func (cn *conn) reportBreach(breach lifecycle.PeerBreach, k *call) {
+	r := lifecycle.PeerRefusal{Breach: breach, Peer: cn.host, Connection: cn.number, Turn: cn.state.Turn()}
 	if k != nil {
-		r.Message = k.names()[0]
+		r.Message = k.messageNames()[0]
 	}
-	cn.pool.c.conduct.Refuse(r)
+	cn.pool.caller.conduct.Refuse(r)
 }
 
-// names are those of the messages of a call.
-func (k *call) names() []string {
+// messageNames returns the names of the messages in the call.
+func (k *call) messageNames() []string {
 	if len(k.Several) == 0 {
 		return []string{k.Name}
 	}
@@ -269,7 +275,7 @@
 	return all
 }
 
-// bears tells what a call's messages bear.
+// bears returns whether the messages of the call may be repeated.
 func (k *call) bears() lifecycle.Bears {
 	if k.Once {
 		return lifecycle.Once
@@ -277,9 +283,9 @@
 	return lifecycle.Repeats
 }
 
-// names tells whether an answer names the messages of a call, all of them and no others; foreign
-// that it names others.
-func (r *response) names(k *call) (names, foreign bool) {
+// matchMessages reports whether a response names the messages of the call, all of them and no
+// others; foreign reports whether it names any other.
+func (r *response) matchMessages(k *call) (matchMessages, foreign bool) {
 	if !r.hook || !r.Done() || r.status != http.StatusOK {
 		return false, false
 	}
@@ -289,7 +295,7 @@
 	if json.Unmarshal(r.content, &ends) != nil || len(ends) == 0 {
 		return false, false
 	}
-	own := k.names()
+	own := k.messageNames()
 	for _, end := range ends {
 		if !slices.Contains(own, end.ID) {
 			return false, end.ID != ""
--- a/internal/partner/believe_test.go
+++ b/internal/partner/believe_test.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	served     = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	turnedAway = "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"
+	servedResponse  = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	refusedResponse = "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n"
 )
 
-// list is the answer to a call with several messages.
+// list returns a response to a call with several messages, all in the same state.
 func list(state string, ids ...string) string {
 	text := "["
 	for i, id := range ids {
@@ -33,22 +33,22 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
 
-// scripted is a host whose answers to the calls of each connection are given; more says what is written
-// unasked once it is told to go on.
+// scripted is a host that sends the given responses on each connection, one per request, the last
+// one repeatedly. What is sent to unasked is written to the connections.
 type scripted struct {
 	addr        string
 	connections atomic.Int64
-	more        chan string
+	unasked     chan string
 	written     chan struct{}
 }
 
-func script(t *testing.T, answers ...string) *scripted {
+func startScripted(t *testing.T, answers ...string) *scripted {
 	t.Helper()
-	s := &scripted{more: make(chan string), written: make(chan struct{}, 16)}
+	s := &scripted{unasked: make(chan string), written: make(chan struct{}, 16)}
 	s.addr = peer(t, func(conn net.Conn, r *bufio.Reader) {
 		s.connections.Add(1)
 		go func() {
-			for text := range s.more {
+			for text := range s.unasked {
 				_, _ = io.WriteString(conn, text)
 				s.written <- struct{}{}
 			}
@@ -59,12 +59,13 @@
 			}
 		}
 	})
-	t.Cleanup(func() { close(s.more) })
+	t.Cleanup(func() { close(s.unasked) })
 	return s
 }
 
-// doubtful sends one call, and returns its end and where it is told that this was another's.
-func doubtful(t *testing.T, c *Caller, name string, several ...core.Item) (core.Ending, chan string) {
+// sendDoubtable sends one call, and returns its end and a channel that receives its name if its
+// answer is retracted.
+func sendDoubtable(t *testing.T, c *Caller, name string, several ...core.Item) (core.Ending, chan string) {
 	t.Helper()
 	ended, doubted := make(chan core.Ending, 1), make(chan string, 1)
 	c.Send(core.Call{ID: "m", Name: name, Host: "h", Body: []byte("body"), Patient: 10 * time.Second, Several: several,
@@ -73,91 +74,97 @@
 	case e := <-ended:
 		return e, doubted
 	case <-time.After(20 * time.Second):
-		t.Fatal("no ending")
+		t.Fatal("the call did not end within 20 s")
 		return core.Ending{}, nil
 	}
 }
 
-// Guards against an answer that stays believed though bytes come behind it that nobody asked for, and against a
-// host that sent them and is trusted as before.
+// Guards against an answer that stays valid although unsolicited bytes follow it, which shows that
+// the answer may have belonged to an earlier call, and against a host that sent such bytes and is
+// trusted as before.
 func TestBytesNobodyAskedForRetractTheLastAnswer(t *testing.T) {
-	host := script(t, served, turnedAway)
+	host := startScripted(t, servedResponse, refusedResponse)
 	c := hookCaller(t, host.addr)
 	waits := make(chan time.Duration, 1)
 	c.opt.Waits = func(_ string, _ int, wait time.Duration) { waits <- wait }
-	first, _ := doubtful(t, c, "first")
-	c.conduct.Took(c.now(), "h", time.Minute) // the second answer is not confirmed before the bytes come
-	second, doubted := doubtful(t, c, "second")
-	if first.Outcome != choice.Served || first.Unconfirmed != 0 || second.Outcome != choice.Refused || second.Unconfirmed == 0 {
-		t.Fatalf("%+v, then %+v", first, second)
+	first, _ := sendDoubtable(t, c, "first")
+	// A usual answer time of a minute: the second answer is still unconfirmed when the bytes come.
+	c.conduct.Took(c.now(), "h", time.Minute)
+	second, doubted := sendDoubtable(t, c, "second")
+	if first.Outcome != choice.Served || first.Unconfirmed != 0 ||
+		second.Outcome != choice.Refused || second.Unconfirmed == 0 {
+		t.Fatalf("first call ended with %+v, second with %+v", first, second)
 	}
-	host.more <- "HTTP/1.1 429 T\r\nX-RateLimit-Wait-Ms: 250\r\nContent-Length: 0\r\n\r\n"
+	host.unasked <- "HTTP/1.1 429 T\r\nX-RateLimit-Wait-Ms: 250\r\nContent-Length: 0\r\n\r\n"
 	if name := <-doubted; name != "second" {
-		t.Errorf("%s is doubted", name)
+		t.Errorf("the answer to %s is retracted, want second", name)
 	}
-	if wait := <-waits; wait != 250*time.Millisecond { // it may be the own answer of the second call
-		t.Errorf("%s is heeded, want 250ms", wait)
+	if wait := <-waits; wait != 250*time.Millisecond { // the bytes may be the real answer to the second call
+		t.Errorf("a wait of %s is applied, want 250ms", wait)
 	}
-	until(t, "closed", func() bool { return c.Connections("h") == 0 })
+	waitFor(t, "closed", func() bool { return c.Connections("h") == 0 })
 	for i := range 3 {
-		if e, _ := doubtful(t, c, "later"); e.Outcome != choice.Served || e.Unconfirmed != 0 {
-			t.Errorf("call %d after it: %+v", i, e)
+		if e, _ := sendDoubtable(t, c, "later"); e.Outcome != choice.Served || e.Unconfirmed != 0 {
+			t.Errorf("call %d after the unsolicited bytes: %+v", i, e)
 		}
 	}
 	if n := host.connections.Load(); n != 4 {
-		t.Errorf("%d connections, want one for each call once the host is doubted", n)
+		t.Errorf("%d connections, want one for each call to a distrusted host", n)
 	}
 	if counts := c.Refusals(); counts[lifecycle.BytesUnasked] != 1 || counts[lifecycle.AnswerRetracted] != 1 {
 		t.Errorf("counted %v", counts)
 	}
 }
 
-// Guards against a call that goes out on a connection behind a refusal which may have been another's.
+// Guards against a call that goes out on a connection right after a refusal that may have belonged
+// to another call.
 func TestConnectionBehindARefusalIsSetAside(t *testing.T) {
-	host := script(t, served, turnedAway, served)
+	host := startScripted(t, servedResponse, refusedResponse, servedResponse)
 	c := hookCaller(t, host.addr)
-	doubtful(t, c, "first")
+	sendDoubtable(t, c, "first")
 	c.conduct.Took(c.now(), "h", time.Minute)
-	doubtful(t, c, "refused")
-	if e, _ := doubtful(t, c, "next"); e.Outcome != choice.Served || host.connections.Load() != 2 {
-		t.Errorf("%+v over %d connections, want a second one", e, host.connections.Load())
+	sendDoubtable(t, c, "refused")
+	if e, _ := sendDoubtable(t, c, "next"); e.Outcome != choice.Served || host.connections.Load() != 2 {
+		t.Errorf("%+v over %d connections, want Served over 2", e, host.connections.Load())
 	}
 }
 
-// Guards against the answer to another call with several messages that ends this one.
+// Guards against a call with several messages that ends by the answer to another such call.
 func TestAnswerThatNamesOtherMessagesIsSkipped(t *testing.T) {
-	host := script(t, list("delivered", "a", "b"), list("delivered", "a", "b")+list("refused", "c", "d"))
+	host := startScripted(t, list("delivered", "a", "b"), list("delivered", "a", "b")+list("refused", "c", "d"))
 	c := hookCaller(t, host.addr)
-	if e, _ := doubtful(t, c, "", core.Item{ID: "a"}, core.Item{ID: "b"}); e.Each[0].Outcome != choice.Served {
+	if e, _ := sendDoubtable(t, c, "", core.Item{ID: "a"}, core.Item{ID: "b"}); e.Each[0].Outcome != choice.Served {
 		t.Fatalf("%+v", e)
 	}
-	e, _ := doubtful(t, c, "", core.Item{ID: "c"}, core.Item{ID: "d"})
-	if len(e.Each) != 2 || e.Each[0].Outcome != choice.Refused || e.Each[1].Outcome != choice.Refused || e.Unconfirmed != 0 {
-		t.Errorf("%+v, want both refused", e)
+	e, _ := sendDoubtable(t, c, "", core.Item{ID: "c"}, core.Item{ID: "d"})
+	if len(e.Each) != 2 || e.Each[0].Outcome != choice.Refused || e.Each[1].Outcome != choice.Refused ||
+		e.Unconfirmed != 0 {
+		t.Errorf("%+v, want both messages refused", e)
 	}
 	if counts := c.Refusals(); counts[lifecycle.AnswerForeign] != 1 {
 		t.Errorf("counted %v", counts)
 	}
 }
 
-// Guards against an answer that was there before its call was written: bytes stand on the connection when the next
-// call should get it, or the host is known to send such.
+// Guards against an answer taken for that of a call although it was there before: further bytes
+// follow the answer, or the host is known to send duplicates.
 func TestAnswersOfADoubtedHostAreBelievedOnFirstCallsOnly(t *testing.T) {
-	host := script(t, served, served+turnedAway)
+	host := startScripted(t, servedResponse, servedResponse+refusedResponse)
 	c := hookCaller(t, host.addr)
-	doubtful(t, c, "first")
-	e, _ := doubtful(t, c, "second")
+	sendDoubtable(t, c, "first")
+	e, _ := sendDoubtable(t, c, "second")
 	if e.Outcome != choice.Doubted {
-		t.Errorf("an answer with bytes behind it: %+v", e)
+		t.Errorf("an answer followed by further bytes: %+v", e)
 	}
-	if e, _ := doubtful(t, c, "third"); e.Outcome != choice.Served || host.connections.Load() != 2 {
-		t.Errorf("%+v over %d connections", e, host.connections.Load())
+	if e, _ := sendDoubtable(t, c, "third"); e.Outcome != choice.Served || host.connections.Load() != 2 {
+		t.Errorf("third call: %+v over %d connections", e, host.connections.Load())
 	}
 }
 
-// Guards against an answer to a later call that is believed although it came before that call was written: a second copy.
+// Guards against an answer that is accepted for a later call on a connection although it came
+// before that call was written: it is a duplicate of an earlier answer.
 func TestAnswerBeforeItsCallIsWrittenIsNobodysOnAUsedConnection(t *testing.T) {
-	const large = 32 << 20 // no socket takes it at once
+	const large = 32 << 20 // larger than any socket buffer
 	over := make(chan struct{})
 	defer close(over)
 	for _, platform := range []bool{true, false} {
@@ -165,7 +172,7 @@
 			if request(r) != nil {
 				return
 			}
-			_, _ = io.WriteString(conn, served)
+			_, _ = io.WriteString(conn, servedResponse)
 			if _, err := r.Peek(1); err != nil {
 				return
 			}
@@ -181,9 +188,10 @@
 			}
 			c.Addresses(map[string][]addr.Address{"h": {a}})
 		}
-		doubtful(t, c, "first")
+		sendDoubtable(t, c, "first")
 		ended := make(chan core.Ending, 1)
-		c.Send(core.Call{ID: "m", Name: "large", Host: "h", Body: make([]byte, large), Patient: 10 * time.Second, End: func(e core.Ending) { ended <- e }})
+		c.Send(core.Call{ID: "m", Name: "large", Host: "h", Body: make([]byte, large),
+			Patient: 10 * time.Second, End: func(e core.Ending) { ended <- e }})
 		e := <-ended
 		if e.Outcome != want.Outcome || e.Wait != want.Wait {
 			t.Errorf("platform %v: %+v, want %+v", platform, e, want)
--- a/internal/partner/call.go
+++ b/internal/partner/call.go
@@ -12,87 +12,86 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// call is one attempt. Its state goes from waiting for a connection to written
-// to ended.
+// call is one call to a host. It waits for a connection, is written, and ends.
 type call struct {
 	core.Call
-	caller *Caller
-	pool   *pool
-	began  time.Time
-	dial   *dialing // begun for it, nil for none; under pool.mu
-	mu     sync.Mutex
-	conn   *conn
-	life   lifecycle.Call
-	wrote  time.Duration // when it went out, by the caller's clock; under conn.mu
+	caller    *Caller
+	pool      *pool
+	began     time.Time
+	dial      *dialing // set up for this call, nil if none was; under pool.mu
+	mu        sync.Mutex
+	conn      *conn
+	state     lifecycle.Call
+	writtenAt time.Duration // when it was written, on the Caller's clock; under conn.mu
 }
 
-// Send begins an attempt: on a kept connection, else on the first one that comes
-// up or free, within the attempt's own time-out. Its End is called once unless
-// Abort or Recall came first.
+// Send starts a call on an idle connection, or else on the first one that is established or becomes
+// idle within the call's time-out. The call's End is called once, unless Abort or Recall ended the
+// call before.
 func (c *Caller) Send(in core.Call) core.Attempt {
 	k := &call{Call: in, caller: c, began: time.Now()}
 	k.pool = c.pool(in.Host, in.Partner)
-	if cn := k.pool.take(k); cn != nil && !k.write(cn) {
-		k.pool.give(cn)
+	if cn := k.pool.acquire(k); cn != nil && !k.write(cn) {
+		k.pool.release(cn)
 	}
 	return k
 }
 
-// write hands the request to the kernel; false if the attempt was ended, or got
-// another connection, before this one came.
+// write writes the request to the socket. It returns false if the call was already over, or had
+// another connection.
 func (k *call) write(cn *conn) bool {
-	request := k.request() // one write: the engine's Writev loses buffers after a partial one
+	request := k.request() // a single write: the engine's Writev loses buffers after a partial write
 	k.mu.Lock()
-	may, late := k.life.MayWrite(time.Since(k.began), k.Within)
+	may, late := k.state.MayWrite(time.Since(k.began), k.Within)
 	if !may {
 		k.mu.Unlock()
-		if late { // a repeat might take effect again by now
-			k.end(unready, nil)
+		if late { // past the window in which the host recognises a repeat: it might take effect again
+			k.end(notTried, nil)
 		}
 		return false
 	}
 	cn.mu.Lock()
-	if cn.gone.Load() || cn.call != nil {
+	if cn.removed.Load() || cn.call != nil {
 		cn.mu.Unlock()
 		k.mu.Unlock()
-		_ = cn.nb.Close()
-		k.end(lostUnsent, nil)
+		_ = cn.sock.Close()
+		k.end(closedUnsent, nil)
 		return true
 	}
 	cn.call = k
-	k.wrote = k.caller.now()
-	cn.begin(k)
+	k.writtenAt = k.caller.now()
+	cn.beginCall(k)
 	cn.resp.reset(k.caller.opt.Limits)
 	cn.resp.hook = k.caller.opt.Hook != nil
-	cn.resp.keeps = cn.resp.hook && (len(k.Several) > 0 || cn.life.Turn() > 1)
-	if cn.sec == nil { // else the TLS layer counts its records
-		cn.size.Add(int64(len(request)))
+	cn.resp.keepContent = cn.resp.hook && (len(k.Several) > 0 || cn.state.Turn() > 1)
+	if cn.tls == nil { // with TLS, each TLS record is counted when it is written
+		cn.queued.Add(int64(len(request)))
 	}
 	cn.mu.Unlock()
 	k.conn = cn
-	cn.bill.Store(&bill{k.Class, k.Partner, k.Zone, k.Passed})
+	cn.account.Store(&account{k.Class, k.Partner, k.Zone, k.Passed})
 	if t := k.caller.opt.Traffic; t != nil {
 		t.Call(k.Class, k.Partner, k.Zone)
 	}
 	k.mu.Unlock()
-	// From here on the answer may come at any moment, on the connection's goroutine.
+	// From here on the response may arrive at any moment, on the connection's goroutine.
 	if n, err := k.send(cn, request); err != nil {
 		cn.drop(k)
-		if n <= 0 { // nothing went out before the error
-			k.end(lostUnsent, nil)
+		if n <= 0 { // nothing was sent before the error
+			k.end(closedUnsent, nil)
 		} else {
-			k.end(cn.lost(), nil)
+			k.end(cn.closeEvent(), nil)
 		}
 	}
 	return true
 }
 
-// send writes a request, and nothing of it once a repeat might take effect again.
+// send writes a request, but nothing of it past the window in which the host recognises a repeat.
 func (k *call) send(cn *conn, request []byte) (int, error) {
-	if k.Within == 0 || cn.sec != nil {
-		return cn.out.Write(request)
+	if k.Within == 0 || cn.tls != nil {
+		return cn.writer.Write(request)
 	}
-	return cn.nb.WriteBy(request, k.began.Add(k.Within))
+	return cn.sock.WriteBy(request, k.began.Add(k.Within))
 }
 
 func (k *call) request() []byte {
@@ -102,8 +101,8 @@
 	return append(k.head(), k.Body...)
 }
 
-// head is the request's start line and fields. Names and values come from the
-// checked configuration, but for the key and the identity, which are cleaned.
+// head returns the request line and the header fields. Names and values come from the validated
+// configuration, except the key and the identity, which are escaped.
 func (k *call) head() []byte {
 	t := &k.caller.opt.Targets[k.Partner]
 	host := t.Host
@@ -130,8 +129,8 @@
 	return append(b, "\r\n"...)
 }
 
-// appendValue writes text as a field value; what may not stand in one, or in a
-// quoted string, is written as %XX.
+// appendValue appends text as a field value. Bytes that are not allowed in one, or in a quoted
+// string, are written as %XX.
 func appendValue(b []byte, text string) []byte {
 	for i := range len(text) {
 		if c := text[i]; c <= ' ' || c >= 0x7f || c == '"' || c == '\\' || c == '%' {
@@ -143,42 +142,42 @@
 	return b
 }
 
-// end reports an attempt's outcome, if nothing else ended it before.
-func (k *call) end(s seen, r *response) { k.endBelieved(s, r, believed{belief: lifecycle.Own}) }
+// end reports the outcome of the call, unless it has already ended.
+func (k *call) end(ev event, r *response) { k.endWith(ev, r, attribution{belief: lifecycle.Own}) }
 
-// endBelieved is end of an attempt that was answered, as far as the answer is believed.
-func (k *call) endBelieved(s seen, r *response, how believed) {
+// endWith is end for a call that was answered, with the attribution of its answer.
+func (k *call) endWith(ev event, r *response, attr attribution) {
 	k.mu.Lock()
-	first := k.life.MayEnd()
+	first := k.state.MayEnd()
 	k.mu.Unlock()
 	if !first {
 		return
 	}
-	k.pool.ended(k, s)
+	k.pool.callEnded(k, ev)
 	now := time.Now()
-	e := k.ending(s, r, now)
+	e := k.ending(ev, r, now)
 	e.Took = now.Sub(k.began)
-	e.Unconfirmed, e.Unsettled = how.wait, how.unsettled
-	k.disbelieve(&e, how.belief)
+	e.Unconfirmed, e.Unsettled = attr.wait, attr.unsettled
+	k.discount(&e, attr.belief)
 	k.End(e)
 }
 
-// ending reads what an attempt's end says.
-func (k *call) ending(s seen, r *response, now time.Time) (e core.Ending) {
+// ending maps what happened to the call to the Ending for the core.
+func (k *call) ending(ev event, r *response, now time.Time) (e core.Ending) {
 	if r == nil {
 		r = &response{}
 	}
 	if h := k.caller.opt.Hook; h != nil {
-		return h.ending(s, r, &k.Call)
+		return h.ending(ev, r, &k.Call)
 	}
-	e.Outcome, e.Wait = outcome(s, r.status, r.retry, k.caller.opt.Targets[k.Partner].Promises, now)
+	e.Outcome, e.Wait = outcome(ev, r.status, r.retryAfter, k.caller.opt.Targets[k.Partner].Promises, now)
 	return e
 }
 
-// disbelieve takes back what an answer says as far as it is not believed. A wait is heeded all the
-// same: the answer may be the call's own. In the platform's form a call begins once its last byte has
-// arrived; a partner may act on a part.
-func (k *call) disbelieve(e *core.Ending, belief lifecycle.Belief) {
+// discount replaces the outcome of an answer that may not be the call's own. Its wait is kept,
+// because it may be the call's own after all. In the platform's format a host does not run a call
+// before it has received its last byte; a partner may act on part of a request.
+func (k *call) discount(e *core.Ending, belief lifecycle.Belief) {
 	instead := choice.Doubted
 	switch belief {
 	case lifecycle.Own, lifecycle.Likely:
@@ -192,41 +191,42 @@
 	*e = core.Ending{Outcome: instead, Took: e.Took, Wait: e.Wait}
 }
 
-// Abort ends an attempt; its connection is closed.
+// Abort ends the call and closes its connection. If a status line of 200 has already decided the
+// outcome, the call ends by that, and Abort returns false for ok.
 func (k *call) Abort() (started, ok bool) {
 	k.mu.Lock()
-	if cn := k.conn; cn != nil && !k.life.Ended() {
-		if belief, told := cn.told(k); told {
+	if cn := k.conn; cn != nil && !k.state.Ended() {
+		if belief, told := cn.sawOK(k); told {
 			k.mu.Unlock()
-			k.endBelieved(nonsense, &response{says: http.StatusOK}, believed{belief: belief})
+			k.endWith(malformed, &response{firstStatus: http.StatusOK}, attribution{belief: belief})
 			cn.drop(k)
 			return true, false
 		}
 	}
-	first := k.life.MayEnd()
-	cn, wrote := k.conn, k.life.Written()
+	first := k.state.MayEnd()
+	cn, wrote := k.conn, k.state.Written()
 	k.mu.Unlock()
 	if !first {
 		return wrote, false
 	}
 	if cn != nil {
-		k.pool.ended(k, lost)
+		k.pool.callEnded(k, closedSent)
 		cn.drop(k)
-		cn.hung(k.caller)
+		cn.markHung(k.caller)
 	} else {
-		k.pool.ended(k, unready)
+		k.pool.callEnded(k, notTried)
 	}
 	return wrote, true
 }
 
-// Recall ends an attempt that has not reached the kernel.
+// Recall ends the call unless it has been written.
 func (k *call) Recall() bool {
 	k.mu.Lock()
-	recalled := !k.life.Written() && k.life.MayEnd()
+	recalled := !k.state.Written() && k.state.MayEnd()
 	k.mu.Unlock()
 	if !recalled {
 		return false
 	}
-	k.pool.ended(k, unready)
+	k.pool.callEnded(k, notTried)
 	return true
 }
--- a/internal/partner/caller.go
+++ b/internal/partner/caller.go
@@ -1,6 +1,7 @@
-// Package partner calls partners' endpoints: HTTP/1.1 over non-blocking
-// sockets, a pool of kept connections per endpoint, and one table from what
-// happened on a socket to what the decision module is told.
+// Package partner calls partners' endpoints by HTTP/1.1 over non-blocking sockets. It keeps a pool
+// of connections per endpoint, races the addresses of an endpoint when it connects, and maps what
+// happened on a socket to an outcome for the decision module. It does not decide what is called
+// when, and it never repeats a request.
 package partner
 
 import (
@@ -18,78 +19,81 @@
 	"basaltcross.example/basaltcross/internal/zone"
 )
 
-// Target says how calls for one partner look.
+// Target is the form of the calls to one partner.
 type Target struct {
 	Path     string
-	Host     string // Host field; empty for the endpoint's address
-	Promises bool   // a refusal never ran
-	// TLS makes the configuration of one connection; nil for none.
+	Host     string // value of the Host field; empty for the endpoint's address
+	Promises bool   // a message whose call was refused has not run
+	// TLS returns the configuration for one connection; nil for plain TCP.
 	TLS func() *tls.Config
 }
 
-// Options of a Caller.
+// Options are the options of a Caller.
 type Options struct {
-	Name     string   // of the relay, as Via tells it (RFC 9110, 7.6.3)
-	Targets  []Target // by partner
-	Hook     *Hook    // calls take the platform's form, and Targets are not used; nil for the usual one
-	Classes  []string // names by class
+	Name     string   // name of the relay in the Via field (RFC 9110, 7.6.3)
+	Targets  []Target // indexed by partner
+	Hook     *Hook    // the platform's call format, used instead of Targets; nil for the usual one
+	Classes  []string // indexed by class
 	Limits   http1.Limits
-	Keep     addr.KeepSettings // connections of each endpoint
-	Sessions int               // TLS sessions kept to resume, over all addresses
-	Dial     time.Duration     // a connection that is not up by then is none; 0 for no such time
-	// Descriptors bounds the connections kept to all endpoints together, with those in
-	// use: past it one is closed when its call ends; 0 for no bound.
+	Keep     addr.KeepSettings // limits on the pool of each endpoint
+	Sessions int               // limit on cached TLS sessions, over all addresses
+	Dial     time.Duration     // time-out for setting up a connection; 0 for none
+	// Descriptors is the limit on the open connections to all endpoints together, those in use
+	// included. Past it a connection is closed when its call ends; 0 for no limit.
 	Descriptors int
 	// Traffic counts bytes by class, partner and zone; may be nil.
 	Traffic *zone.Table
-	// Dialed counts connections by family and what became of them: won, lost
-	// (closed unused), failed, left; may be nil.
+	// Dialed counts connection attempts by family and result: won, lost (established after another
+	// and closed unused), failed, left (cancelled), ours (out of local resources); may be nil.
 	Dialed func(family, result string)
-	// Failed is told of TLS handshakes that failed; may be nil.
+	// Failed is called for each TLS handshake that failed; may be nil.
 	Failed func(host string, err error)
-	// Refused is told what was refused of a peer, or of a connection to one; it must not block.
-	// May be nil.
+	// Refused is called for each protocol breach of a peer, and for each connection that was
+	// refused because of one. It must not block; may be nil.
 	Refused func(lifecycle.PeerRefusal)
-	// Waits is told of waits in answers that no call asked for; it must not block. May be nil.
+	// Waits is called with the wait announced by an unsolicited response. It must not block; may be
+	// nil.
 	Waits func(host string, partner int, wait time.Duration)
-	// Trace takes each call's connection, turn on it and rest before it.
+	// Trace records each call's connection, its turn on it, and how long the connection had been
+	// idle.
 	Trace lifecycle.Trace
-	// TrustPeers believes every answer and uses every connection again, for tests that must fail.
+	// TrustPeers accepts every answer and reuses every connection, for tests that must fail.
 	TrustPeers bool
 }
 
-// Caller holds the connections to all endpoints.
+// Caller calls hosts and owns the connections to all endpoints.
 type Caller struct {
-	opt     Options
-	engine  *engine.Engine
-	mu      sync.Mutex
-	pools   map[string]*pool
-	books   map[string]*addr.Book // of endpoints with addresses of their own
-	news    chan struct{}         // closed when addresses change
-	barred  map[string]bool       // endpoints that are not to be called: no spares there
-	fams    addr.Families
-	tls     *sessions
-	epoch   time.Time
-	open    atomic.Int64  // connections of all pools
-	opened  atomic.Uint64 // since the start
-	conduct lifecycle.Conduct
-	stop    chan struct{}
-	ctx     context.Context // ends with Close
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
+	opt              Options
+	engine           *engine.Engine
+	mu               sync.Mutex
+	pools            map[string]*pool
+	books            map[string]*addr.Book // of endpoints whose addresses were set
+	addressesChanged chan struct{}         // closed and replaced when addresses change
+	excluded         map[string]bool       // endpoints that take no new calls and get no spare connections
+	families         addr.Families
+	sessions         *sessions
+	epoch            time.Time
+	open             atomic.Int64  // open connections of all pools
+	openedTotal      atomic.Uint64 // connections opened since the start
+	conduct          lifecycle.Conduct
+	stop             chan struct{}
+	ctx              context.Context // cancelled by Close
+	cancel           context.CancelFunc
+	done             sync.WaitGroup
 }
 
-// bill says who is charged with a connection's bytes.
-type bill struct {
+// account names who is charged for a connection's bytes.
+type account struct {
 	class, partner, zone int
 	passed               *atomic.Int64
 }
 
-// count books bytes of a connection: to the call that it carries, else to none.
+// count adds bytes of a connection to the account of the call that it carries, or else to its
+// default account.
 func (c *Caller) count(cn *conn, n int, out bool) {
-	b := cn.bill.Load()
+	b := cn.account.Load()
 	if b == nil {
-		b = &cn.home
+		b = &cn.defaultAccount
 	} else if b.passed != nil {
 		b.passed.Add(int64(n))
 	}
@@ -100,31 +104,32 @@
 	}
 }
 
-// counted counts the bytes of a TLS handshake.
-type counted struct {
+// countedConn counts the bytes of a TLS handshake.
+type countedConn struct {
 	net.Conn
-	c  *Caller
-	cn *conn
+	caller *Caller
+	conn   *conn
 }
 
-func (k counted) Unwrap() net.Conn { return k.Conn }
+func (k countedConn) Unwrap() net.Conn { return k.Conn }
 
-func (k counted) Read(b []byte) (int, error) {
+func (k countedConn) Read(b []byte) (int, error) {
 	n, err := k.Conn.Read(b)
-	k.c.count(k.cn, n, false)
+	k.caller.count(k.conn, n, false)
 	return n, err
 }
 
-func (k counted) Write(b []byte) (int, error) {
+func (k countedConn) Write(b []byte) (int, error) {
 	n, err := k.Conn.Write(b)
-	k.c.count(k.cn, n, true)
+	k.caller.count(k.conn, n, true)
 	return n, err
 }
 
-// New starts the engine of the connections.
+// New returns a Caller whose connections are served by an engine of its own.
 func New(opt Options) (*Caller, error) {
-	c := &Caller{opt: opt, pools: map[string]*pool{}, books: map[string]*addr.Book{}, news: make(chan struct{}),
-		barred: map[string]bool{}, epoch: time.Now(), stop: make(chan struct{}), tls: newSessions(opt.Sessions)}
+	c := &Caller{opt: opt, pools: map[string]*pool{}, books: map[string]*addr.Book{},
+		addressesChanged: make(chan struct{}), excluded: map[string]bool{}, epoch: time.Now(),
+		stop: make(chan struct{}), sessions: newSessions(opt.Sessions)}
 	c.conduct.Refused, c.conduct.Off = opt.Refused, opt.TrustPeers
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	var err error
@@ -142,10 +147,10 @@
 	return c, nil
 }
 
-// Refusals counts what was refused of peers, by breach.
+// Refusals returns the number of refusals by kind of breach.
 func (c *Caller) Refusals() map[lifecycle.PeerBreach]int { return c.conduct.Counts() }
 
-// Close ends all connections.
+// Close closes all connections and stops the engine.
 func (c *Caller) Close() {
 	close(c.stop)
 	c.cancel()
--- a/internal/partner/choose.go
+++ b/internal/partner/choose.go
@@ -8,91 +8,92 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// looked is what a look at an idle connection finds.
-type looked int
+// peekResult is what was found on an idle connection before its reuse.
+type peekResult int
 
 const (
-	ready   looked = iota
-	ended          // the peer closed
-	unasked        // bytes that no call asked for
-	unread         // TLS records wait to be read: not now
+	peekReady       peekResult = iota
+	peekClosed                 // closed by the peer
+	peekUnsolicited            // bytes that no call asked for
+	peekTLSRecords             // TLS records have to be read first
 )
 
-// peek looks whether the peer closed a connection that idles, or sent something, which the engine
-// may not have noticed yet: a request into a closed one would be lost, and may have run.
-func (cn *conn) peek() looked {
-	switch found := cn.nb.Peek(); {
+// peek checks an idle connection for bytes or a close by the peer that the engine may not have
+// handled yet. A request on a half-closed connection would be lost, and may have run.
+func (cn *conn) peek() peekResult {
+	switch found := cn.sock.Peek(); {
 	case found == engine.Nothing:
-		return ready
-	case found == engine.Bytes && cn.sec != nil:
-		return unread
+		return peekReady
+	case found == engine.Bytes && cn.tls != nil:
+		return peekTLSRecords
 	case found == engine.Bytes:
-		return unasked
+		return peekUnsolicited
 	}
-	return ended
+	return peekClosed
 }
 
-// refused are idle connections that a look has turned down.
-type refused struct {
-	old   []*conn // too old
-	ended []*conn // by the peer
+// rejected are idle connections that were found unusable.
+type rejected struct {
+	expired []*conn // past their age or idle limit
+	closed  []*conn // closed by the peer
 }
 
-// end closes them; not under the pool's lock.
-func (r *refused) end() {
-	retireAll(r.old)
-	for _, cn := range r.ended {
-		cn.peerEnded()
+// closeAll closes the connections. The caller must not hold the pool's lock.
+func (r *rejected) closeAll() {
+	closeAllWhenSettled(r.expired)
+	for _, cn := range r.closed {
+		cn.closedByPeer()
 	}
 }
 
-// choose takes the idle connection out on which a call goes, nil if there is none; under mu.
-func (p *pool) choose(k *call) (found *conn, turned refused) {
-	now := p.c.now()
+// takeIdle removes the idle connection that k goes out on from the pool, nil if there is none. The
+// caller holds p.mu.
+func (p *pool) takeIdle(k *call) (found *conn, unusable rejected) {
+	now := p.caller.now()
 	rule := p.rule(now, k)
 	var later []*conn
 	for found == nil {
-		i := p.best(now, rule)
+		i := p.bestIdle(now, rule)
 		if i < 0 {
 			break
 		}
 		cn := p.idle[i]
 		p.idle = slices.Delete(p.idle, i, i+1)
-		if cn.nb.IsClosed() || !p.keep.Fresh(now, cn.born, cn.lasts, cn.since) {
-			turned.old = append(turned.old, cn)
+		if cn.sock.IsClosed() || !p.policy.Fresh(now, cn.established, cn.maxAge, cn.idleSince) {
+			unusable.expired = append(unusable.expired, cn)
 			continue
 		}
 		switch cn.peek() {
-		case ready:
+		case peekReady:
 			found = cn
-		case ended:
-			turned.ended = append(turned.ended, cn)
-		case unasked: // its goroutine reads what they say, and closes it
-		case unread:
+		case peekClosed:
+			unusable.closed = append(unusable.closed, cn)
+		case peekUnsolicited: // the connection's goroutine reads the bytes and closes it
+		case peekTLSRecords:
 			later = append(later, cn)
 		}
 	}
 	if found == nil {
-		p.tellReuse(now, k, rule)
+		p.reportNoReuse(now, k, rule)
 	}
 	p.idle = append(p.idle, later...)
-	return found, turned
+	return found, unusable
 }
 
-// rule is what the peer's conduct allows for a call.
+// rule returns what the peer's conduct allows for a call.
 func (p *pool) rule(now time.Duration, k *call) lifecycle.PeerRule {
-	return p.c.conduct.Rule(now, p.host, p.partner, k.bears())
+	return p.caller.conduct.Rule(now, p.host, p.partner, k.bears())
 }
 
-// best is the place of the idle connection that a call should go out on: the one used last among
-// those whose answers are confirmed, else the one that has rested longest; below 0 for none;
-// under mu.
-func (p *pool) best(now time.Duration, rule lifecycle.PeerRule) int {
+// bestIdle returns the index of the idle connection that a call should go out on: the most recently
+// used one whose answers are confirmed, or else the one that has been idle longest; negative if
+// there is none. The caller holds p.mu.
+func (p *pool) bestIdle(now time.Duration, rule lifecycle.PeerRule) int {
 	longest := -1
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		cn := p.idle[i]
 		cn.mu.Lock()
-		may, confirmed := cn.life.MayCarry(now, rule), cn.life.Confirmed(now)
+		may, confirmed := cn.state.MayCarry(now, rule), cn.state.Confirmed(now)
 		cn.mu.Unlock()
 		switch {
 		case may != lifecycle.CarryNow:
@@ -105,37 +106,40 @@
 	return longest
 }
 
-// tellReuse tells that idle connections were there and may not carry a call; under mu.
-func (p *pool) tellReuse(now time.Duration, k *call, rule lifecycle.PeerRule) {
+// reportNoReuse reports that there are idle connections and none may carry the call. The caller
+// holds p.mu.
+func (p *pool) reportNoReuse(now time.Duration, k *call, rule lifecycle.PeerRule) {
 	if len(p.idle) == 0 {
 		return
 	}
 	cn := p.idle[len(p.idle)-1]
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	switch cn.life.MayCarry(now, rule) {
+	switch cn.state.MayCarry(now, rule) {
 	case lifecycle.CarryNow:
 	case lifecycle.CarryLater:
-		cn.refuse(lifecycle.ReuseUnrested, k)
+		cn.reportBreach(lifecycle.ReuseUnrested, k)
 	case lifecycle.CarryNever:
-		cn.refuse(lifecycle.ReuseForbidden, k)
+		cn.reportBreach(lifecycle.ReuseForbidden, k)
 	}
 }
 
-// next is the first call that waits and may go out on a connection, nil for none; under mu.
-func (p *pool) next(now time.Duration, cn *conn) *call {
+// nextWaiting returns the first waiting call that may go out on the connection, nil if there is
+// none. The caller holds p.mu.
+func (p *pool) nextWaiting(now time.Duration, cn *conn) *call {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	for _, k := range p.waiting {
-		if cn.life.MayCarry(now, p.rule(now, k)) == lifecycle.CarryNow {
+		if cn.state.MayCarry(now, p.rule(now, k)) == lifecycle.CarryNow {
 			return k
 		}
 	}
 	return nil
 }
 
-// unwait takes a call off those that wait, and tells whether it was there; under mu.
-func (p *pool) unwait(k *call) bool {
+// removeWaiting removes a call from the waiting ones, and reports whether it was among them. The
+// caller holds p.mu.
+func (p *pool) removeWaiting(k *call) bool {
 	i := slices.Index(p.waiting, k)
 	if i < 0 {
 		return false
@@ -144,8 +148,9 @@
 	return true
 }
 
-// awaitRest looks again when the first of the idle connections has rested, if a call waits; under mu.
-func (p *pool) awaitRest(now time.Duration) {
+// scheduleRested makes waiting calls try again once the first idle connection has rested. The
+// caller holds p.mu.
+func (p *pool) scheduleRested(now time.Duration) {
 	if len(p.waiting) == 0 {
 		return
 	}
@@ -153,36 +158,36 @@
 	soonest := time.Duration(-1)
 	for _, cn := range p.idle {
 		cn.mu.Lock()
-		if cn.life.MayCarry(now, rule) == lifecycle.CarryLater {
-			if after := cn.life.RestsUntil(rule) - now; soonest < 0 || after < soonest {
+		if cn.state.MayCarry(now, rule) == lifecycle.CarryLater {
+			if after := cn.state.RestsUntil(rule) - now; soonest < 0 || after < soonest {
 				soonest = after
 			}
 		}
 		cn.mu.Unlock()
 	}
 	if soonest >= 0 {
-		time.AfterFunc(soonest, p.rested)
+		time.AfterFunc(soonest, p.serveRested)
 	}
 }
 
-// rested has calls that wait go out on connections whose rest is over.
-func (p *pool) rested() {
+// serveRested sends waiting calls on connections that have rested.
+func (p *pool) serveRested() {
 	p.mu.Lock()
 	waiting := slices.Clone(p.waiting)
 	p.mu.Unlock()
 	for _, k := range waiting {
 		p.mu.Lock()
 		var found *conn
-		var turned refused
+		var unusable rejected
 		if slices.Contains(p.waiting, k) {
-			if found, turned = p.choose(k); found != nil {
-				p.unwait(k)
+			if found, unusable = p.takeIdle(k); found != nil {
+				p.removeWaiting(k)
 			}
 		}
 		p.mu.Unlock()
-		turned.end()
+		unusable.closeAll()
 		if found != nil && !k.write(found) {
-			p.give(found)
+			p.release(found)
 		}
 	}
 }
--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -13,217 +13,222 @@
 	"basaltcross.example/basaltcross/internal/secure"
 )
 
-// conn is one connection; it carries one call at a time.
+// conn is one connection. It carries one call at a time.
 type conn struct {
-	pool   *pool
-	host   string
-	number uint64 // of the caller's connections
-	nb     *engine.Conn
-	out    io.Writer
-	sec    *secure.Conn // nil without TLS
-	addr   addr.Address
-	book   *addr.Book // nil where the endpoint has one address
-	mu     sync.Mutex
-	life   lifecycle.PeerConn
-	call   *call
-	tail   bool // the rest of an answer is still to come, its call has ended
-	gone   atomic.Bool
-	resp   response
-	// Since when it stands, how old it may get, since when it idles; under pool.mu.
-	born, lasts, since time.Duration
-	// Bytes for the socket so far, and those of them that the kernel has.
-	size, sent atomic.Int64
-	bill       atomic.Pointer[bill]
-	home       bill // of what no class is charged with
+	pool        *pool
+	host        string
+	number      uint64 // sequence number among the Caller's connections
+	sock        *engine.Conn
+	writer      io.Writer
+	tls         *secure.Conn // nil without TLS
+	addr        addr.Address
+	book        *addr.Book // nil for an endpoint that is its own address
+	mu          sync.Mutex
+	state       lifecycle.PeerConn
+	call        *call
+	readingRest bool // the call has ended, the rest of its response is still to be read
+	removed     atomic.Bool
+	resp        response
+	// Time when it was established, age limit, and time when it became idle; under pool.mu.
+	established, maxAge, idleSince time.Duration
+	// Bytes handed to the socket so far, and those of them that the kernel has accepted.
+	queued, sent   atomic.Int64
+	account        atomic.Pointer[account]
+	defaultAccount account // account of bytes that belong to no call
 }
 
-// drop takes an attempt off its connection and closes that.
+// drop detaches k from the connection and closes it.
 func (cn *conn) drop(k *call) {
 	cn.mu.Lock()
 	if cn.call == k {
 		cn.call = nil
 	}
 	cn.mu.Unlock()
-	_ = cn.nb.Close()
+	_ = cn.sock.Close()
 }
 
-// told tells whether the answer to a call that carries one message has begun with
-// a 200 in the platform's form, and how far that line is believed, whatever becomes of the rest.
-func (cn *conn) told(k *call) (belief lifecycle.Belief, told bool) {
+// sawOK reports whether the response to a call with a single message, in the platform's format, has
+// begun with status 200, and the attribution of that status line. What follows the line is not
+// considered.
+func (cn *conn) sawOK(k *call) (belief lifecycle.Belief, sawOK bool) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	if cn.call != k || !cn.resp.hook || len(k.Several) > 0 || cn.resp.says != http.StatusOK {
+	if cn.call != k || !cn.resp.hook || len(k.Several) > 0 || cn.resp.firstStatus != http.StatusOK {
 		return lifecycle.Nobodys, false
 	}
-	return cn.believeLast(k), true
+	return cn.attributeLast(k), true
 }
 
-// lost is how a call ends whose connection broke.
-func (cn *conn) lost() seen {
-	if cn.sec == nil && cn.sent.Load() < cn.size.Load() {
-		return lostPart
+// closeEvent returns the event that ends a call whose connection broke.
+func (cn *conn) closeEvent() event {
+	if cn.tls == nil && cn.sent.Load() < cn.queued.Load() {
+		return closedPartial
 	}
-	return lost
+	return closedSent
 }
 
-// tailTime is how long the rest of an answer may take whose first line told all:
-// within it the connection may still be used again.
-const tailTime = 200 * time.Millisecond
+// restTimeout is how long the rest of a response may take after its status line ended the call. If
+// it arrives by then, the connection may be reused.
+const restTimeout = 200 * time.Millisecond
 
-// finish has the rest of an answer read without its call.
-func (cn *conn) finish() {
-	time.AfterFunc(tailTime, func() {
+// boundRest closes the connection unless the rest of the response arrives within restTimeout.
+func (cn *conn) boundRest() {
+	time.AfterFunc(restTimeout, func() {
 		cn.mu.Lock()
-		late := cn.tail && cn.call == nil
+		late := cn.readingRest && cn.call == nil
 		cn.mu.Unlock()
 		if late {
-			_ = cn.nb.Close()
+			_ = cn.sock.Close()
 		}
 	})
 }
 
-// Data takes in what the socket gave.
+// Data handles bytes read from the socket.
 func (cn *conn) Data(b []byte) {
-	c := cn.pool.c
+	c := cn.pool.caller
 	c.count(cn, len(b), false)
-	if cn.sec != nil {
-		cn.sec.Data(b)
+	if cn.tls != nil {
+		cn.tls.Data(b)
 	} else {
-		cn.data(c, b)
+		cn.handleData(c, b)
 	}
 }
 
-// Closed takes in the end of the connection.
+// Closed handles the end of the connection.
 func (cn *conn) Closed() {
-	if cn.sec != nil {
-		cn.sec.End()
+	if cn.tls != nil {
+		cn.tls.End()
 	}
-	cn.closed()
+	cn.handleClose()
 }
 
-// data takes in what the socket gave; it runs on the connection's goroutine.
-func (cn *conn) data(c *Caller, b []byte) {
+// handleData handles decrypted bytes. It runs on the connection's goroutine.
+func (cn *conn) handleData(c *Caller, b []byte) {
 	for more := true; more; {
 		cn.mu.Lock()
 		switch k := cn.call; {
 		case k != nil:
-			b, more = cn.dataFor(k, b)
-		case cn.tail:
-			cn.dataBehind(b)
+			b, more = cn.readResponse(k, b)
+		case cn.readingRest:
+			cn.readRest(b)
 			more = false
 		default:
 			cn.mu.Unlock()
-			cn.unasked(b)
+			cn.unsolicited(b)
 			more = false
 		}
 	}
 }
 
-// dataBehind takes in the rest of an answer whose call has ended; it takes over mu.
-func (cn *conn) dataBehind(b []byte) {
+// readRest reads the rest of a response whose call has ended. It is called with cn.mu held and
+// unlocks it.
+func (cn *conn) readRest(b []byte) {
 	rest, err := cn.resp.feed(b)
 	whole := cn.resp.Done()
-	keep := err == nil && whole && cn.resp.keep
+	keep := err == nil && whole && cn.resp.reusable
 	if whole || err != nil {
-		cn.tail = false
+		cn.readingRest = false
 	}
 	cn.mu.Unlock()
 	switch {
 	case err == nil && len(rest) > 0:
-		cn.unasked(rest)
+		cn.unsolicited(rest)
 	case keep:
-		cn.pool.give(cn)
+		cn.pool.release(cn)
 	case whole || err != nil:
-		_ = cn.nb.Close()
+		_ = cn.sock.Close()
 	}
 }
 
-// dataFor takes in data while a call is out; it takes over mu. more tells that what is left of
-// the data follows an answer that was not this call's.
-func (cn *conn) dataFor(k *call, b []byte) (rest []byte, more bool) {
+// readResponse reads the response to k. more reports whether rest follows a response that was not
+// k's. It is called with cn.mu held and unlocks it.
+func (cn *conn) readResponse(k *call, b []byte) (rest []byte, more bool) {
 	rest, err := cn.resp.feed(b)
-	r := cn.resp // what it says, not its parser, is used further
+	r := cn.resp // a copy: its fields are used below, its parser is not
 	if err != nil {
-		cn.spoilt(k, &r)
+		cn.endMalformed(k, &r)
 		return nil, false
 	}
 	if !cn.resp.Done() {
-		if r.hook && r.says == http.StatusOK && len(k.Several) == 0 && cn.written() {
-			cn.saysAll(k, &r)
+		if r.hook && r.firstStatus == http.StatusOK && len(k.Several) == 0 && cn.allSent() {
+			cn.endAtStatusLine(k, &r)
 			return nil, false
 		}
 		cn.mu.Unlock()
 		return nil, false
 	}
-	belief := cn.believe(k, len(rest) > 0)
+	belief := cn.attribute(k, len(rest) > 0)
 	if belief == lifecycle.Nobodys {
-		return cn.passOver(k, &r, rest)
+		return cn.skipForeign(k, &r, rest)
 	}
-	how := cn.answered(k, belief)
-	cn.bill.Store(nil)
+	attr := cn.recordAnswer(k, belief)
+	cn.account.Store(nil)
 	if cn.book != nil {
 		cn.book.Answered(cn.addr)
 	}
 	cn.call = nil
-	what, keep := answered, cn.resp.keep && belief != lifecycle.Doubtful
-	if !cn.written() {
-		what, keep = early, false
+	what, keep := answered, cn.resp.reusable && belief != lifecycle.Doubtful
+	if !cn.allSent() {
+		what, keep = answeredEarly, false
 	}
 	cn.mu.Unlock()
 	switch {
 	case len(rest) > 0:
-		cn.unasked(rest)
+		cn.unsolicited(rest)
 	case keep:
-		cn.pool.give(cn) // first, so that the next call finds it
+		cn.pool.release(cn) // before the call ends, so that the next call finds the connection
 	default:
-		_ = cn.nb.Close() // what is not confirmed is told with the end of the connection
+		_ = cn.sock.Close() // unconfirmed answers are retracted when the connection has closed
 	}
-	k.endBelieved(what, &r, how)
+	k.endWith(what, &r, attr)
 	return nil, false
 }
 
-// spoilt ends a call whose answer is none; it takes over mu.
-func (cn *conn) spoilt(k *call, r *response) {
-	belief := cn.believeLast(k)
+// endMalformed ends a call whose response is malformed. It is called with cn.mu held and unlocks
+// it.
+func (cn *conn) endMalformed(k *call, r *response) {
+	belief := cn.attributeLast(k)
 	cn.call = nil
 	cn.mu.Unlock()
-	_ = cn.nb.Close()
-	k.endBelieved(nonsense, r, believed{belief: belief})
+	_ = cn.sock.Close()
+	k.endWith(malformed, r, attribution{belief: belief})
 }
 
-// saysAll ends a call by the first line of its answer; the rest is read without it. It takes over mu.
-func (cn *conn) saysAll(k *call, r *response) {
-	belief := cn.believeLast(k)
-	how := cn.answered(k, belief)
-	cn.call, cn.tail = nil, true
+// endAtStatusLine ends a call by the status line of its response, the rest of which is read without
+// the call. It is called with cn.mu held and unlocks it.
+func (cn *conn) endAtStatusLine(k *call, r *response) {
+	belief := cn.attributeLast(k)
+	attr := cn.recordAnswer(k, belief)
+	cn.call, cn.readingRest = nil, true
 	cn.mu.Unlock()
-	cn.finish()
-	k.endBelieved(nonsense, r, how)
+	cn.boundRest()
+	k.endWith(malformed, r, attr)
 }
 
-// passOver leaves an answer that is not the call's own. One that names other messages is skipped,
-// for the call's own names its messages as well; behind one that came before the call was written
-// nothing can be told apart. It takes over mu.
-func (cn *conn) passOver(k *call, r *response, rest []byte) (left []byte, more bool) {
-	c := cn.pool.c
+// skipForeign skips a response that is not the call's own. One that names other messages is
+// skipped, since the call's own response names its messages as well. After one that was received
+// before the call was written, the responses cannot be told apart, and the call ends. It is called
+// with cn.mu held and unlocks it.
+func (cn *conn) skipForeign(k *call, r *response, rest []byte) (left []byte, more bool) {
+	c := cn.pool.caller
 	now := c.now()
-	if !cn.written() {
+	if !cn.allSent() {
 		cn.call = nil
 		cn.mu.Unlock()
-		_ = cn.nb.Close()
-		k.endBelieved(early, r, believed{belief: lifecycle.Nobodys})
+		_ = cn.sock.Close()
+		k.endWith(answeredEarly, r, attribution{belief: lifecycle.Nobodys})
 		return nil, false
 	}
-	doubted := cn.life.Retract(now)
+	doubted := cn.state.Retract(now)
 	cn.resp.reset(c.opt.Limits)
-	cn.resp.hook, cn.resp.keeps = true, true
+	cn.resp.hook, cn.resp.keepContent = true, true
 	cn.mu.Unlock()
-	cn.broke(now, 0, doubted)
+	cn.distrust(now, 0, doubted)
 	return rest, len(rest) > 0
 }
 
-// closed takes in the end of a connection.
-func (cn *conn) closed() {
+// handleClose handles the end of the connection.
+func (cn *conn) handleClose() {
 	cn.mu.Lock()
 	k := cn.call
 	cn.call = nil
@@ -231,24 +236,24 @@
 	whole := k != nil && r.AtClose()
 	final := *r
 	belief := lifecycle.Own
-	if k != nil && final.says != 0 {
-		belief = cn.believeLast(k)
+	if k != nil && final.firstStatus != 0 {
+		belief = cn.attributeLast(k)
 	}
-	doubted := cn.retracted()
-	cn.life.Closed()
+	doubted := cn.doubtedAtClose()
+	cn.state.Closed()
 	cn.mu.Unlock()
-	cn.leave()
-	tellAll(doubted)
+	cn.removeFromPool()
+	notifyAll(doubted)
 	switch {
 	case k == nil:
-	case whole: // content that runs to the close is whole by it
-		k.endBelieved(answered, &final, believed{belief: belief})
+	case whole: // content delimited by the close is complete now
+		k.endWith(answered, &final, attribution{belief: belief})
 	default:
-		if final.hook && final.says == http.StatusOK && len(k.Several) == 0 {
-			k.endBelieved(nonsense, &final, believed{belief: belief})
+		if final.hook && final.firstStatus == http.StatusOK && len(k.Several) == 0 {
+			k.endWith(malformed, &final, attribution{belief: belief})
 			return
 		}
-		cn.hung(k.caller)
-		k.end(cn.lost(), nil)
+		cn.markHung(k.caller)
+		k.end(cn.closeEvent(), nil)
 	}
 }
--- a/internal/partner/connect.go
+++ b/internal/partner/connect.go
@@ -10,9 +10,9 @@
 	"basaltcross.example/basaltcross/internal/secure"
 )
 
-// connect sets up one connection: the race of its addresses, then TLS, then the
-// engine. It never carries a byte of a request, so an address whose handshake
-// fails may be followed by another; with others left it gets half of the time.
+// connect sets up one connection: it races the addresses, does the TLS handshake, and hands the
+// connection to the engine. No byte of a request is sent, so an address whose handshake fails may
+// be followed by another. The handshake gets half of the time while other addresses are left.
 func (c *Caller) connect(ctx context.Context, p *pool, all time.Duration) (*conn, error) {
 	book := c.book(p.host)
 	end := time.Now().Add(all)
@@ -22,7 +22,8 @@
 		if err != nil {
 			return nil, err
 		}
-		cn := &conn{pool: p, host: p.host, number: c.opened.Add(1), home: bill{class: -1, partner: p.partner}, addr: at, book: book}
+		cn := &conn{pool: p, host: p.host, number: c.openedTotal.Add(1),
+			defaultAccount: account{class: -1, partner: p.partner}, addr: at, book: book}
 		var cfg func() *tls.Config
 		if c.opt.Hook == nil {
 			cfg = c.opt.Targets[p.partner].TLS
@@ -31,8 +32,8 @@
 			return c.plain(cn, raw)
 		}
 		within, last := book.Handshake(tries, left)
-		shake, cancel := context.WithTimeout(ctx, within)
-		err = c.secure(shake, cn, raw, cfg())
+		handshakeCtx, cancel := context.WithTimeout(ctx, within)
+		err = c.secure(handshakeCtx, cn, raw, cfg())
 		cancel()
 		if err == nil {
 			return cn, nil
@@ -46,9 +47,9 @@
 		if last || ctx.Err() != nil {
 			return cn, err
 		}
-		if cn.gone.Swap(true) { // it left the pool by itself; the next one stands for it
+		if cn.removed.Swap(true) { // it left its pool when it closed: count the next one again
 			p.mu.Lock()
-			p.opened(1)
+			p.addOpen(1)
 			p.mu.Unlock()
 		}
 	}
@@ -56,11 +57,11 @@
 
 func (c *Caller) plain(cn *conn, raw net.Conn) (*conn, error) {
 	_, err := c.engine.Adopt(raw, func(nb *engine.Conn) engine.Handler {
-		cn.nb, cn.out = nb, nb
+		cn.sock, cn.writer = nb, nb
 		return cn
 	})
 	if err != nil {
-		return cn, errOurs
+		return cn, errLocal
 	}
 	return cn, nil
 }
@@ -69,12 +70,12 @@
 	if t.ServerName == "" {
 		t.ServerName, _, _ = net.SplitHostPort(cn.host)
 	}
-	t.ClientSessionCache = c.tls.of(cn.pool.partner, t.RootCAs, cn.host+" "+cn.addr.String())
-	return secure.Client(ctx, counted{raw, c, cn}, t, c.engine, func(nb *engine.Conn, b []byte) (int, error) {
-		cn.size.Add(int64(len(b)))
+	t.ClientSessionCache = c.sessions.of(cn.pool.partner, t.RootCAs, cn.host+" "+cn.addr.String())
+	return secure.Client(ctx, countedConn{raw, c, cn}, t, c.engine, func(nb *engine.Conn, b []byte) (int, error) {
+		cn.queued.Add(int64(len(b)))
 		return nb.Write(b)
 	}, func(nb *engine.Conn, s *secure.Conn) engine.Handler {
-		cn.nb, cn.out, cn.sec = nb, s, s
+		cn.sock, cn.writer, cn.tls = nb, s, s
 		return cn
-	}, func(b []byte) { cn.data(c, b) })
+	}, func(b []byte) { cn.handleData(c, b) })
 }
--- a/internal/partner/hard_test.go
+++ b/internal/partner/hard_test.go
@@ -23,7 +23,7 @@
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// serve accepts on a listener and runs the script for each connection.
+// serve accepts connections on a listener and runs the script for each of them.
 func serve(t *testing.T, l net.Listener, script func(c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	t.Cleanup(func() { _ = l.Close() })
@@ -33,7 +33,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if err != nil { // out of descriptors, which one test brings about
+			if err != nil { // out of file descriptors, which TestOutOfDescriptors causes
 				time.Sleep(time.Millisecond)
 				continue
 			}
@@ -58,14 +58,15 @@
 	}
 }
 
-// tlsPair are configurations of a server and of the caller that trusts it.
+// tlsPair returns the TLS configurations of a server and of a client that trusts it.
 func tlsPair(t *testing.T) (server, client *tls.Config) {
 	t.Helper()
 	a, err := keys.NewAuthority("test", time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cert, key, err := a.Issue(t.TempDir(), "server", time.Now().Add(-time.Minute), time.Now().Add(time.Hour), "bank.example")
+	cert, key, err := a.Issue(t.TempDir(), "server", time.Now().Add(-time.Minute), time.Now().Add(time.Hour),
+		"bank.example")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +74,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &tls.Config{Certificates: []tls.Certificate{pair}}, &tls.Config{RootCAs: a.Pool(), ServerName: "bank.example"}
+	return &tls.Config{Certificates: []tls.Certificate{pair}},
+		&tls.Config{RootCAs: a.Pool(), ServerName: "bank.example"}
 }
 
 func secureCaller(t *testing.T, client *tls.Config, keep addr.KeepSettings) *Caller {
@@ -91,24 +93,25 @@
 	return c
 }
 
-// until waits for something that happens on other goroutines.
-func until(t *testing.T, what string, f func() bool) {
+// until waits for a condition that other goroutines bring about.
+func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never came: ", what)
+			t.Fatal("did not happen within 20 s: ", what)
 		}
 	}
 }
 
-// An address whose handshake fails is followed by another in the same attempt,
-// for no byte of the request went out; so is one that never shakes hands.
+// Guards against a call that fails because the TLS handshake fails, or never ends, at one address
+// although another works. No byte of the request has been sent, so the same attempt may use the
+// other one.
 func TestHandshakeFallsBack(t *testing.T) {
 	server, client := tlsPair(t)
 	good := serve(t, tls.NewListener(listen(t, "tcp", "127.0.0.1:0"), server), answers)
 	alert := serve(t, listen(t, "tcp", "[::1]:0"), func(c net.Conn, r *bufio.Reader) {
 		_, _ = r.Peek(5)
-		_, _ = c.Write([]byte{21, 3, 3, 0, 2, 2, 40}) // fatal, handshake_failure (RFC 8446, 6)
+		_, _ = c.Write([]byte{21, 3, 3, 0, 2, 2, 40}) // fatal alert, handshake_failure (RFC 8446, 6)
 	})
 	silent := serve(t, listen(t, "tcp", "[::1]:0"), func(c net.Conn, r *bufio.Reader) { _, _ = r.ReadBytes(0) })
 	c := secureCaller(t, client, addr.KeepSettings{Most: 4, Connecting: 4})
@@ -123,7 +126,8 @@
 	}
 }
 
-// A connection that comes up after its attempt was ended carries nothing of it.
+// Guards against a request that is written to a connection established after the call was aborted
+// or recalled.
 func TestTooLate(t *testing.T) {
 	server, client := tlsPair(t)
 	gate, shaking := make(chan struct{}), make(chan struct{}, 4)
@@ -140,7 +144,7 @@
 		}
 	})
 	c := secureCaller(t, client, addr.KeepSettings{Most: 4, Connecting: 4})
-	end := func(core.Ending) { t.Error("an ending after its end") }
+	end := func(core.Ending) { t.Error("End was called after Abort or Recall") }
 	first := c.Send(core.Call{Host: at, Patient: time.Minute, End: end})
 	second := c.Send(core.Call{Host: at, Patient: time.Minute, End: end})
 	<-shaking
@@ -149,17 +153,17 @@
 		t.Errorf("abort: %v, %v", started, was)
 	}
 	if !second.Recall() {
-		t.Error("no recall")
+		t.Error("Recall failed")
 	}
 	close(gate)
-	until(t, "the end of both", func() bool { return c.Connections(at) == 0 })
+	waitFor(t, "both connections are closed", func() bool { return c.Connections(at) == 0 })
 	if n := requests.Load(); n != 0 {
 		t.Errorf("%d requests", n)
 	}
 }
 
-// Two addresses that connect together: one carries the request, the other is
-// closed without a byte.
+// Guards against a request that is sent twice when two addresses connect at the same time: the
+// connection that loses is closed without a byte.
 func TestBothConnect(t *testing.T) {
 	var unused, used atomic.Int64
 	script := func(c net.Conn, r *bufio.Reader) {
@@ -175,20 +179,21 @@
 	for i := range 20 {
 		host := fmt.Sprint("e", i)
 		c.Addresses(map[string][]addr.Address{host: addresses(t, six, four)})
-		c.book(host).Failed(-time.Minute, addresses(t, six)[0]) // due for a trial: begun beside the other
+		// Due for a trial: started together with the other address.
+		c.book(host).Failed(-time.Minute, addresses(t, six)[0])
 		if e := do(t, c, host, nil); e.Outcome != choice.Served {
 			t.Fatalf("outcome %d", e.Outcome)
 		}
 	}
-	until(t, "twenty uses", func() bool { return used.Load() == 20 })
-	until(t, "losers that closed", func() bool { return unused.Load() > 0 })
+	waitFor(t, "20 requests", func() bool { return used.Load() == 20 })
+	waitFor(t, "a connection closed unused", func() bool { return unused.Load() > 0 })
 	if used.Load() != 20 {
 		t.Errorf("%d requests", used.Load())
 	}
 }
 
-// An address that answers only each third connection: what was written there is
-// never written again by the caller.
+// Guards against a request that is written a second time after it was written to a connection that
+// closed without an answer. The address answers every third connection only.
 func TestEachThird(t *testing.T) {
 	var n, requests atomic.Int64
 	odd := serve(t, listen(t, "tcp", "127.0.0.1:0"), func(c net.Conn, r *bufio.Reader) {
@@ -206,12 +211,12 @@
 		outcomes[do(t, c, "e", nil).Outcome]++
 	}
 	if requests.Load() != 30 || outcomes[choice.Served] != 10 || outcomes[choice.Reset] != 20 {
-		t.Errorf("%d requests, outcomes %v", requests.Load(), outcomes)
+		t.Errorf("%d requests, want 30; outcomes %v", requests.Load(), outcomes)
 	}
 }
 
-// While descriptors are out, nothing is held against addresses; an attempt goes
-// on as soon as there is one, and else ends as not sent.
+// Guards against addresses that are penalised while this process is out of file descriptors. A call
+// proceeds as soon as there is a descriptor, and ends as not sent otherwise.
 func TestOutOfDescriptors(t *testing.T) {
 	good := serve(t, listen(t, "tcp", "127.0.0.1:0"), answers)
 	c := secureCaller(t, nil, addr.KeepSettings{Most: 0, Connecting: 4})
@@ -222,36 +227,36 @@
 	}
 	back := func() { _ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was) }
 	defer back()
-	// No new descriptor, whichever number is free: connections of earlier tests may still close.
+	// No new descriptor, whatever its number: connections of earlier tests may still close.
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: 1, Max: was.Max}); err != nil {
-		t.Skip("no limit can be set: ", err)
+		t.Skip("the limit on descriptors cannot be set: ", err)
 	}
 	ended := make(chan core.Ending, 2)
 	send := func(within time.Duration) {
 		c.Send(core.Call{Host: "e", Patient: within, End: func(e core.Ending) { ended <- e }})
 	}
 	ending := func() core.Ending {
-		until(t, "an ending", func() bool { return len(ended) > 0 })
+		waitFor(t, "the end of the call", func() bool { return len(ended) > 0 })
 		return <-ended
 	}
 	send(100 * time.Millisecond)
 	if e := ending(); e.Outcome != choice.NotSent {
-		t.Errorf("without any: outcome %d", e.Outcome)
+		t.Errorf("without descriptors: outcome %d", e.Outcome)
 	}
 	send(time.Minute)
 	back()
 	if e := ending(); e.Outcome != choice.Served {
-		t.Errorf("with some again: outcome %d", e.Outcome)
+		t.Errorf("with descriptors again: outcome %d", e.Outcome)
 	}
 	for _, k := range c.Known()["e"] {
 		if k.Fails > 0 && k.Address == good {
-			t.Errorf("held against %+v", k)
+			t.Errorf("a failure was recorded: %+v", k)
 		}
 	}
 }
 
-// A kept connection that the peer closed is not used, even where the engine had
-// no time to notice: its goroutine is held up here by the end of its first call.
+// Guards against a call on a half-closed idle connection whose close the engine has not handled
+// yet. The End of the first call blocks the connection's goroutine to bring that about.
 func TestHalfClosedNoticed(t *testing.T) {
 	closing, closed := make(chan struct{}), make(chan struct{})
 	var n atomic.Int64
@@ -275,7 +280,7 @@
 	}
 	close(closing)
 	<-closed
-	time.Sleep(10 * time.Millisecond) // the FIN's way over loopback
+	time.Sleep(10 * time.Millisecond) // for the FIN to arrive over loopback
 	ended := make(chan core.Ending, 1)
 	c.Send(core.Call{Host: at, Patient: time.Minute, End: func(e core.Ending) { ended <- e }})
 	if e := <-ended; e.Outcome != choice.Served {
@@ -284,11 +289,12 @@
 	close(release)
 }
 
-// Handshakes in flight are bounded: calls past the bound wait, and take what comes
-// up or free first. Sessions are resumed at the address that gave them, and at no other.
+// Guards against more concurrent handshakes than configured: further calls wait for any connection
+// that is established or becomes idle. Guards against a TLS session that is resumed at another
+// address than the one that issued it.
 func TestHandshakesBoundedAndResumed(t *testing.T) {
 	server, client := tlsPair(t)
-	server.SetSessionTicketKeys([][32]byte{{1}}) // both addresses could resume each other's
+	server.SetSessionTicketKeys([][32]byte{{1}}) // each address could decrypt the other's tickets
 	var now, most, resumed, fresh atomic.Int64
 	server.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		most.Store(max(most.Load(), now.Add(1)))
@@ -300,7 +306,7 @@
 		if request(r) != nil {
 			return
 		}
-		if c.(*tls.Conn).ConnectionState().DidResume { // counted before the answer is heard
+		if c.(*tls.Conn).ConnectionState().DidResume { // counted before the answer can be received
 			resumed.Add(1)
 		} else {
 			fresh.Add(1)
@@ -322,9 +328,9 @@
 	}
 	wait.Wait()
 	if most.Load() > 2 {
-		t.Errorf("%d handshakes at once", most.Load())
+		t.Errorf("%d concurrent handshakes, the limit is 2", most.Load())
 	}
-	setUp := func() bool { // calls may all have been served while the second connection was on its way
+	setUp := func() bool { // the calls may all end while the second connection is still being set up
 		c.mu.Lock()
 		p := c.pools["e"]
 		c.mu.Unlock()
@@ -334,23 +340,23 @@
 	}
 	for end := time.Now().Add(20 * time.Second); !setUp(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("connections that never come up")
+			t.Fatal("connections are still being set up after 20 s")
 		}
 	}
 	c.CloseIdle("e")
 	before := resumed.Load()
 	if do(t, c, "e", nil); resumed.Load() != before+1 {
-		t.Errorf("%d resumed, %d not", resumed.Load(), fresh.Load())
+		t.Errorf("%d sessions resumed, %d not", resumed.Load(), fresh.Load())
 	}
 	c.Addresses(map[string][]addr.Address{"e": addresses(t, two, "127.0.0.1:1")})
 	before = fresh.Load()
 	if do(t, c, "e", nil); fresh.Load() != before+1 {
-		t.Error("the other address's session was resumed")
+		t.Error("the session of another address was resumed")
 	}
 }
 
-// A connection that the peer closes while calls come is replaced before a call
-// asks; none is to an endpoint that drains.
+// Guards against a call that has to wait for a connection because the peer closes its idle ones: a
+// spare is opened in advance. A draining endpoint gets none.
 func TestSpareOpened(t *testing.T) {
 	var conns, requests atomic.Int64
 	let := make(chan struct{}, 10)
@@ -364,20 +370,20 @@
 	})
 	c := secureCaller(t, nil, addr.KeepSettings{Most: 4, Spare: 1, Connecting: 4})
 	do(t, c, at, nil)
-	let <- struct{}{} // the peer closes its connection
-	until(t, "a spare", func() bool { return conns.Load() == 2 })
+	let <- struct{}{} // the server closes the connection
+	waitFor(t, "a spare connection", func() bool { return conns.Load() == 2 })
 	if requests.Load() != 1 {
 		t.Errorf("%d requests", requests.Load())
 	}
 	c.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: at, State: choice.Draining}}})
-	until(t, "the spare's end", func() bool { return c.Connections(at) == 0 })
+	waitFor(t, "the spare connection is closed", func() bool { return c.Connections(at) == 0 })
 	if conns.Load() != 2 {
 		t.Errorf("%d connections", conns.Load())
 	}
 }
 
-// A large request over TLS over a Unix socket whose reader is slow arrives whole;
-// a socket file that is replaced serves on; an age ends connections.
+// Guards against a large request that is cut off by a slow reader, over TLS on a Unix socket, and
+// against calls that fail after the socket file was replaced.
 func TestUnixSocket(t *testing.T) {
 	server, client := tlsPair(t)
 	path := filepath.Join(t.TempDir(), "s")
@@ -385,7 +391,7 @@
 	script := func(c net.Conn, _ *bufio.Reader) {
 		conns.Add(1)
 		r := bufio.NewReaderSize(c, 4096)
-		time.Sleep(20 * time.Millisecond) // the socket's buffer fills
+		time.Sleep(20 * time.Millisecond) // until the socket buffer is full
 		for request(r) == nil {
 			got.Add(1)
 			fmt.Fprint(c, ok)
@@ -399,24 +405,24 @@
 	if e := do(t, c, "e", body); e.Outcome != choice.Served || got.Load() != 1 {
 		t.Fatalf("outcome %d, %d requests", e.Outcome, got.Load())
 	}
-	_ = l.Close() // its file goes; another comes
+	_ = l.Close() // removes the socket file; a new one is created
 	serve(t, tls.NewListener(listen(t, "unix", path), server), script)
 	c.CloseIdle("e")
 	if e := do(t, c, "e", body); e.Outcome != choice.Served || got.Load() != 2 {
 		t.Fatalf("outcome %d, %d requests", e.Outcome, got.Load())
 	}
 	_ = os.Remove(path)
-	if err := os.Mkdir(path, 0o700); err != nil { // no socket
+	if err := os.Mkdir(path, 0o700); err != nil { // a directory instead of a socket
 		t.Fatal(err)
 	}
 	c.CloseIdle("e")
 	if e := do(t, c, "e", nil); e.Outcome != choice.NoConnection {
-		t.Errorf("a folder: outcome %d", e.Outcome)
+		t.Errorf("a directory: outcome %d", e.Outcome)
 	}
 }
 
-// An endpoint whose names are being looked up has no address yet: its calls wait
-// for one, within their time.
+// Guards against calls that fail while the names of their endpoint are being resolved: they wait
+// for an address, within their time-out.
 func TestWaitsForAddress(t *testing.T) {
 	good := serve(t, listen(t, "tcp", "127.0.0.1:0"), answers)
 	c := secureCaller(t, nil, addr.KeepSettings{Most: 4, Connecting: 4})
@@ -439,6 +445,6 @@
 	}
 	c.Send(core.Call{Host: "never", Patient: 50 * time.Millisecond, End: func(e core.Ending) { ended <- e }})
 	if e := <-ended; e.Outcome != choice.NoConnection {
-		t.Errorf("never: outcome %d", e.Outcome)
+		t.Errorf("without an address: outcome %d", e.Outcome)
 	}
 }
--- a/internal/partner/hook.go
+++ b/internal/partner/hook.go
@@ -12,30 +12,30 @@
 	"basaltcross.example/basaltcross/internal/core"
 )
 
-// Hook is the platform's form of calls, in place of Targets: POST /hook with one
-// message, /hook/batch with several.
+// Hook is the platform's call format, which replaces Targets: POST /hook with one message, POST
+// /hook/batch with several.
 type Hook struct {
-	Host    string   // Host field
-	Columns []string // fields of a load report in answers; nil where they hold none
+	Host    string   // value of the Host field
+	Columns []string // keys of the load report in responses, in order; nil for none
 }
 
-// Fields of the platform's calls and answers.
+// Header fields of the platform's requests and responses.
 const (
-	fieldID     = "X-Txn"
-	fieldLeft   = "X-Remaining-Ms"
-	fieldWait   = "X-RateLimit-Wait-Ms"
-	fieldSlots  = "X-Over-Slots"
-	fieldReport = "X-Pressure"
+	fieldID        = "X-Txn"
+	fieldRemaining = "X-Remaining-Ms"
+	fieldWait      = "X-RateLimit-Wait-Ms"
+	fieldSlots     = "X-Over-Slots"
+	fieldReport    = "X-Pressure"
 )
 
-// item is one message of a call that carries several; its body goes in Base64.
+// item is one message of a call that carries several. Its body is encoded in Base64.
 type item struct {
 	ID   string `json:"id"`
 	Key  string `json:"key"`
 	Body []byte `json:"body"`
 }
 
-// request writes a whole call. Ids and keys were checked when they came.
+// request returns a complete request. Names and keys were validated when the message was received.
 func (h *Hook) request(c *core.Call, left time.Duration) []byte {
 	path, body := "/hook", c.Body
 	if len(c.Several) > 0 {
@@ -50,7 +50,7 @@
 			}
 		}
 		path = "/hook/batch"
-		body, _ = json.Marshal(items) // of strings and bytes: it cannot fail
+		body, _ = json.Marshal(items) // cannot fail for strings and bytes
 	}
 	b := make([]byte, 0, 256+len(body))
 	b = append(append(append(b, "POST "...), path...), " HTTP/1.1\r\nHost: "...)
@@ -58,7 +58,7 @@
 	if len(c.Several) == 0 {
 		b = append(append(b, "\r\n"+fieldID+": "...), c.Name...)
 	}
-	b = strconv.AppendInt(append(b, "\r\n"+fieldLeft+": "...), max(1, left.Milliseconds()), 10)
+	b = strconv.AppendInt(append(b, "\r\n"+fieldRemaining+": "...), max(1, left.Milliseconds()), 10)
 	b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(body)), 10)
 	b = append(b, "\r\n"...)
 	if len(c.Several) == 0 {
@@ -67,7 +67,7 @@
 	return append(append(b, "\r\n"...), body...)
 }
 
-// idempotencyKey is the value of that field among header lines.
+// idempotencyKey returns the value of the Idempotency-Key field among header lines.
 func idempotencyKey(head []byte) string {
 	for line := range strings.SplitSeq(string(head), "\r\n") {
 		if name, value, _ := strings.Cut(line, ":"); strings.EqualFold(name, "Idempotency-Key") {
@@ -77,54 +77,57 @@
 	return ""
 }
 
-// ending is the one table from what happened on a socket to what the decision
-// module is told, for the platform's calls.
+// ending maps what happened on a socket to the Ending of a call in the platform's format.
 //
-//	seen          status               outcome          reason
-//	noConnection  -                    NoConnection     it never came up
-//	unready       -                    NotSent          nothing was tried: no word on the host
-//	lostUnsent    -                    NoConnection     the kernel got no byte of the call
-//	lostPart      -                    NoConnection     a call begins once its last byte has arrived, and that was not written
-//	lost          -                    Reset            it may have run
-//	nonsense      first line 200, one  Served           of one message that line is true, whatever follows
-//	nonsense      any other            Error            somebody answered; it has run, or may have
-//	answered      200, one             Served
-//	answered      200, several         each its own     as the body says; what it does not name may have run: Error
-//	answered      429                  Refused          it never ran; the wait is told, or 0
-//	answered      503, over slots      NotSent          this relay had all its slots taken; no word on the host
-//	answered      503                  Refused          it never ran
-//	answered      504                  NotSent, spent   it has had all its attempts; its end is owed
-//	answered      410                  NotSent, over    it is withdrawn or out of time; nothing is owed
-//	answered      400, 413, several    NotSent          none of them has run; the relay's own fault
-//	answered      any other            Error            it may have run
+//	event          status                outcome         reason
+//	noConnection   -                     NoConnection    no connection was established
+//	notTried       -                     NotSent         says nothing about the host
+//	closedUnsent   -                     NoConnection    no byte of the call reached the kernel
+//	closedPartial  -                     NoConnection    a call runs once its last byte has arrived,
+//	                                                     and that was not written
+//	closedSent     -                     Reset           it may have run
+//	malformed      status line 200, one  Served          for one message the status line counts,
+//	                                                     whatever follows it
+//	malformed      any other             Error           a server answered; it has run, or may have
+//	answered       200, one              Served
+//	answered       200, several          one for each    as the content says; a message that it does not
+//	                                                     name may have run: Error
+//	answered       429                   Refused         it has not run; wait as announced, or 0
+//	answered       503, over slots       NotSent         all slots of this relay were in use; says nothing
+//	                                                     about the host
+//	answered       503                   Refused         it has not run
+//	answered       504                   NotSent, Spent  its attempts are used up; its notice is still due
+//	answered       410                   NotSent, Over   it was cancelled or has expired; no notice is due
+//	answered       400, 413, several     NotSent         none of them has run; the fault is this relay's
+//	answered       any other             Error           it may have run
 //
-// An early answer, whole before the call was written, is an answer. A wait told
-// with any of them is heeded.
-func (h *Hook) ending(s seen, r *response, c *core.Call) core.Ending {
+// answeredEarly, a complete response before the call was written, counts as answered. A wait that
+// any of the responses announces is applied.
+func (h *Hook) ending(ev event, r *response, c *core.Call) core.Ending {
 	several := len(c.Several) > 0
-	switch s {
-	case unready:
+	switch ev {
+	case notTried:
 		return core.Ending{Outcome: choice.NotSent}
-	case noConnection, lostUnsent, lostPart:
+	case noConnection, closedUnsent, closedPartial:
 		return core.Ending{Outcome: choice.NoConnection}
-	case lost:
+	case closedSent:
 		return core.Ending{Outcome: choice.Reset}
-	case nonsense:
-		if r.says == http.StatusOK && !several {
+	case malformed:
+		if r.firstStatus == http.StatusOK && !several {
 			return core.Ending{Outcome: choice.Served}
 		}
 		return core.Ending{Outcome: choice.Error}
 	}
-	e := core.Ending{Outcome: choice.Error, Wait: waitMs(r.wait), Report: h.report(r.report)}
+	e := core.Ending{Outcome: choice.Error, Wait: parseWaitMs(r.wait), Report: h.parseReport(r.loadReport)}
 	switch r.status {
 	case http.StatusOK:
 		if e.Outcome = choice.Served; several {
-			h.each(&e, r.content, c)
+			h.readEach(&e, r.content, c)
 		}
 	case http.StatusTooManyRequests:
 		e.Outcome = choice.Refused
 	case http.StatusServiceUnavailable:
-		if e.Outcome = choice.Refused; r.slots {
+		if e.Outcome = choice.Refused; r.overSlots {
 			e.Outcome = choice.NotSent
 		}
 	case http.StatusGatewayTimeout:
@@ -139,8 +142,8 @@
 	return e
 }
 
-// each reads the ends of the messages in a call that carried several.
-func (h *Hook) each(e *core.Ending, content []byte, c *core.Call) {
+// readEach sets the outcome of each message in a call that carried several.
+func (h *Hook) readEach(e *core.Ending, content []byte, c *core.Call) {
 	var ends []struct {
 		ID    string `json:"id"`
 		State string `json:"state"`
@@ -169,20 +172,20 @@
 	}
 }
 
-// waitMs reads a told wait; what cannot be read is none.
-func waitMs(v string) time.Duration {
+// parseWaitMs parses a wait in milliseconds; an invalid one counts as none.
+func parseWaitMs(v string) time.Duration {
 	ms, err := strconv.ParseFloat(v, 64)
 	if v == "" || err != nil || !(ms > 0) {
 		return 0
 	}
-	if ms > float64(longestWait.Milliseconds()) {
-		return longestWait
+	if ms > float64(maxWait.Milliseconds()) {
+		return maxWait
 	}
 	return time.Duration(math.Ceil(ms * float64(time.Millisecond)))
 }
 
-// report reads a load report; one that cannot be read is none.
-func (h *Hook) report(v string) []float64 {
+// parseReport parses a load report; an invalid one counts as none.
+func (h *Hook) parseReport(v string) []float64 {
 	if len(h.Columns) == 0 || v == "" {
 		return nil
 	}
@@ -201,14 +204,14 @@
 	return row
 }
 
-// field takes one header field of an answer.
+// hookField handles one header field of the platform's format.
 func (r *response) hookField(name, value string) {
 	switch {
 	case strings.EqualFold(name, fieldWait):
 		r.wait = value
 	case strings.EqualFold(name, fieldSlots):
-		r.slots = value == "1"
+		r.overSlots = value == "1"
 	case strings.EqualFold(name, fieldReport):
-		r.report = value
+		r.loadReport = value
 	}
 }
--- a/internal/partner/hook_test.go
+++ b/internal/partner/hook_test.go
@@ -18,11 +18,12 @@
 	"basaltcross.example/basaltcross/internal/http1"
 )
 
-// hookCaller calls one host, named h, in the platform's form.
+// hookCaller returns a Caller of one host, named h, in the platform's format.
 func hookCaller(t *testing.T, at string) *Caller {
 	t.Helper()
-	c, err := New(Options{Name: "r", Hook: &Hook{Host: "n0", Columns: []string{"x0", "x1"}}, Limits: http1.Limits{Header: 1024, Body: 4096},
-		Keep: addr.KeepSettings{Most: 4, Idle: time.Minute, Connecting: 8}})
+	c, err := New(Options{Name: "r", Hook: &Hook{Host: "n0", Columns: []string{"x0", "x1"}},
+		Limits: http1.Limits{Header: 1024, Body: 4096},
+		Keep:   addr.KeepSettings{Most: 4, Idle: time.Minute, Connecting: 8}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,13 +36,14 @@
 	return c
 }
 
-func hook(t *testing.T, c *Caller, patient time.Duration, several ...core.Item) core.Ending {
+func callHook(t *testing.T, c *Caller, patient time.Duration, several ...core.Item) core.Ending {
 	t.Helper()
 	ended := make(chan core.Ending, 2)
+	// hook makes one call, with a time-out, and returns its end.
 	call := core.Call{ID: "m", Name: "name-1", Host: "h", Body: []byte("body"), Patient: patient, Several: several,
 		End: func(e core.Ending) { ended <- e }}
 	a := c.Send(call)
-	go func() { // as the core's time-out does
+	go func() { // the core aborts calls on time-out like this
 		time.Sleep(patient)
 		if _, ok := a.Abort(); ok {
 			ended <- core.Ending{Outcome: choice.Timeout}
@@ -51,12 +53,13 @@
 	case e := <-ended:
 		return e
 	case <-time.After(20 * time.Second):
-		t.Fatal("no ending")
+		t.Fatal("the call did not end within 20 s")
 		return core.Ending{}
 	}
 }
 
-// answering answers every call with a text, and leaves the connection open.
+// answering returns the address of a host that answers every call with the text and leaves the
+// connection open.
 func answering(t *testing.T, text string) string {
 	return peer(t, func(conn net.Conn, r *bufio.Reader) {
 		for request(r) == nil {
@@ -67,44 +70,54 @@
 	})
 }
 
-// The table, on sockets that stay open: what is spoilt costs one attempt and the
-// connection, a first line of 200 to one message is true, and nothing waits for the
-// rest of an answer that has told all.
+// Guards against wrong outcomes, and against waiting for the rest of a response that has already
+// decided the outcome. The server leaves the connection open. A malformed response costs one
+// attempt and the connection; a status line of 200 counts for a single message.
 func TestHookOutcomes(t *testing.T) {
-	const long = 30 * time.Second // nothing here may wait for it
+	const long = 30 * time.Second // no case may wait this long
 	for _, c := range []struct {
 		name, answer string
 		want         core.Ending
 	}{
 		{"delivered", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.Served}},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.Error}},
-		{"turned away", "HTTP/1.1 429 T\r\nX-RateLimit-Wait-Ms: 250\r\nContent-Length: 0\r\n\r\n",
+		{"refused", "HTTP/1.1 429 T\r\nX-RateLimit-Wait-Ms: 250\r\nContent-Length: 0\r\n\r\n",
 			core.Ending{Outcome: choice.Refused, Wait: 250 * time.Millisecond}},
-		{"turned away, wait unreadable", "HTTP/1.1 429 T\r\nX-RateLimit-Wait-Ms: soon\r\nContent-Length: 0\r\n\r\n",
+		{"refused, wait invalid", "HTTP/1.1 429 T\r\nX-RateLimit-Wait-Ms: soon\r\nContent-Length: 0\r\n\r\n",
 			core.Ending{Outcome: choice.Refused}},
-		{"full", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.Refused}},
-		{"slots", "HTTP/1.1 503 U\r\nX-Over-Slots: 1\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.NotSent}},
+		{"refused, no wait", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.Refused}},
+		{"slots", "HTTP/1.1 503 U\r\nX-Over-Slots: 1\r\nContent-Length: 0\r\n\r\n",
+			core.Ending{Outcome: choice.NotSent}},
 		{"spent", "HTTP/1.1 504 G\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.NotSent, Spent: true}},
 		{"over", "HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.NotSent, Over: true}},
 		{"report", "HTTP/1.1 200 OK\r\nX-Pressure: {\"x0\":0.5,\"x1\":25}\r\nContent-Length: 0\r\n\r\n",
 			core.Ending{Outcome: choice.Served, Report: []float64{0.5, 25}}},
-		{"report unreadable", "HTTP/1.1 200 OK\r\nX-Pressure: {\"x0\":\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.Served}},
-		{"interim in front", "HTTP/1.1 102 P\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n",
+		{"report invalid", "HTTP/1.1 200 OK\r\nX-Pressure: {\"x0\":\r\nContent-Length: 0\r\n\r\n",
+			core.Ending{Outcome: choice.Served}},
+		{"interim responses first",
+			"HTTP/1.1 102 P\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n",
 			core.Ending{Outcome: choice.Refused}},
-		{"noise", "\x00\x01\x02\x03\x04\x05\x06 noise\r\n\r\n", core.Ending{Outcome: choice.Error}},
-		{"spoilt head after 200", "HTTP/1.1 200 OK\r\nno field\r\n\r\n", core.Ending{Outcome: choice.Served}},
-		{"spoilt head after 500", "HTTP/1.1 500 E\r\nno field\r\n\r\n", core.Ending{Outcome: choice.Error}},
-		{"spoilt head after 429", "HTTP/1.1 429 T\r\nX-RateLimit-Wait-Ms: 10\r\nno field\r\n\r\n", core.Ending{Outcome: choice.Error}},
-		{"head that ends nowhere after 200", "HTTP/1.1 200 OK\r\nX: y\r\n", core.Ending{Outcome: choice.Served}},
-		{"endless head after 200", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 1000), core.Ending{Outcome: choice.Served}},
-		{"endless head after 500", "HTTP/1.1 500 E\r\n" + strings.Repeat("X: y\r\n", 1000), core.Ending{Outcome: choice.Error}},
-		{"3 GB after 200", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxxxxxx", core.Ending{Outcome: choice.Served}},
-		{"3 GB after 500", "HTTP/1.1 500 E\r\nContent-Length: 3000000000\r\n\r\nxxxxxxxx", core.Ending{Outcome: choice.Error}},
-		{"length too long after 200", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nx", core.Ending{Outcome: choice.Served}},
-		{"two lengths after 200", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx", core.Ending{Outcome: choice.Served}},
+		{"no HTTP", "\x00\x01\x02\x03\x04\x05\x06 noise\r\n\r\n", core.Ending{Outcome: choice.Error}},
+		{"malformed head after 200", "HTTP/1.1 200 OK\r\nno field\r\n\r\n", core.Ending{Outcome: choice.Served}},
+		{"malformed head after 500", "HTTP/1.1 500 E\r\nno field\r\n\r\n", core.Ending{Outcome: choice.Error}},
+		{"malformed head after 429", "HTTP/1.1 429 T\r\nX-RateLimit-Wait-Ms: 10\r\nno field\r\n\r\n",
+			core.Ending{Outcome: choice.Error}},
+		{"unfinished head after 200", "HTTP/1.1 200 OK\r\nX: y\r\n", core.Ending{Outcome: choice.Served}},
+		{"endless head after 200", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 1000),
+			core.Ending{Outcome: choice.Served}},
+		{"endless head after 500", "HTTP/1.1 500 E\r\n" + strings.Repeat("X: y\r\n", 1000),
+			core.Ending{Outcome: choice.Error}},
+		{"3 GB after 200", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxxxxxx",
+			core.Ending{Outcome: choice.Served}},
+		{"3 GB after 500", "HTTP/1.1 500 E\r\nContent-Length: 3000000000\r\n\r\nxxxxxxxx",
+			core.Ending{Outcome: choice.Error}},
+		{"incomplete content after 200", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nx",
+			core.Ending{Outcome: choice.Served}},
+		{"two lengths after 200", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nx",
+			core.Ending{Outcome: choice.Served}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e := hook(t, hookCaller(t, answering(t, c.answer)), long)
+			e := callHook(t, hookCaller(t, answering(t, c.answer)), long)
 			e.Took = 0
 			if fmt.Sprint(e) != fmt.Sprint(c.want) {
 				t.Errorf("%+v, want %+v", e, c.want)
@@ -113,16 +126,17 @@
 	}
 }
 
-// An answer whose length is told too long, and which is no 200, ends with the
-// attempt's time; one that begins late with a 200 is served even then.
+// Guards against a call that hangs because its response announces more content than it sends: if it
+// is not a 200, the call ends by its time-out.
 func TestHookUnfinishedAnswers(t *testing.T) {
-	if e := hook(t, hookCaller(t, answering(t, "HTTP/1.1 500 E\r\nContent-Length: 9\r\n\r\nx")), 100*time.Millisecond); e.Outcome != choice.Timeout {
-		t.Errorf("%+v, want a time-out", e)
+	if e := callHook(t, hookCaller(t, answering(t, "HTTP/1.1 500 E\r\nContent-Length: 9\r\n\r\nx")),
+		100*time.Millisecond); e.Outcome != choice.Timeout {
+		t.Errorf("%+v, want Timeout", e)
 	}
 }
 
-// Bytes behind an answer end the connection's reuse and spoil no later call, come
-// they with it or after it.
+// Guards against bytes after a response that are taken for the response to the next call, whether
+// they arrive with the response or after it. The connection must not be reused.
 func TestHookBytesNobodyAskedFor(t *testing.T) {
 	for _, later := range []bool{false, true} {
 		var calls atomic.Int32
@@ -144,21 +158,21 @@
 				}
 			}
 		}))
-		if e := hook(t, c, time.Minute); e.Outcome != choice.Served {
+		if e := callHook(t, c, time.Minute); e.Outcome != choice.Served {
 			t.Fatalf("%+v", e)
 		}
 		for end := time.Now().Add(10 * time.Second); c.Connections("h") > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("the connection is kept")
+				t.Fatal("the connection is still open after 10 s")
 			}
 		}
-		if e := hook(t, c, time.Minute); e.Outcome != choice.Error {
-			t.Errorf("later %v: the second call got the answer of the first: %+v", later, e)
+		if e := callHook(t, c, time.Minute); e.Outcome != choice.Error {
+			t.Errorf("later %v: the second call got the duplicate of the first answer: %+v", later, e)
 		}
 	}
 }
 
-// Connections are kept to all hosts together up to a bound.
+// Guards against more idle connections to all hosts together than configured.
 func TestHookConnectionsOfAllHosts(t *testing.T) {
 	at := answering(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	c := hookCaller(t, at)
@@ -171,23 +185,24 @@
 	c.Addresses(all)
 	ended := make(chan core.Ending, 20)
 	for i := range 20 {
-		c.Send(core.Call{Name: "m", Host: fmt.Sprint("h", i), Patient: time.Minute, End: func(e core.Ending) { ended <- e }})
+		c.Send(core.Call{Name: "m", Host: fmt.Sprint("h", i), Patient: time.Minute,
+			End: func(e core.Ending) { ended <- e }})
 		if e := <-ended; e.Outcome != choice.Served {
 			t.Fatalf("%+v", e)
 		}
 	}
 	for end := time.Now().Add(10 * time.Second); c.Sizes()["connections"] > 5; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections are kept, 5 may be", c.Sizes()["connections"])
+			t.Fatalf("%d connections are open, the limit is 5", c.Sizes()["connections"])
 		}
 	}
 	if n := c.open.Load(); int(n) != c.Sizes()["connections"] {
-		t.Errorf("%d counted, %d are open", n, c.Sizes()["connections"])
+		t.Errorf("%d connections counted, %d are open", n, c.Sizes()["connections"])
 	}
 }
 
-// Several messages a call: the request names each, each has its own end, and what the
-// answer does not name may have run.
+// Guards against wrong outcomes for calls that carry several messages: the request names each
+// message, each has its own outcome, and one that the response does not name may have run.
 func TestHookSeveral(t *testing.T) {
 	var got []item
 	var path string
@@ -197,24 +212,26 @@
 			return
 		}
 		path = q.URL.Path
-		if json.NewDecoder(q.Body).Decode(&got) != nil || q.Header.Get(fieldLeft) == "" {
+		if json.NewDecoder(q.Body).Decode(&got) != nil || q.Header.Get(fieldRemaining) == "" {
 			return
 		}
-		body := `[{"id":"a","state":"delivered"},{"id":"b","state":"failed"},{"id":"c","state":"refused"},{"id":"d","state":"over"},` +
-			`{"id":"e","state":"spent"},{"id":"f","state":"odd"}]`
-		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-RateLimit-Wait-Ms: 40\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+		body := `[{"id":"a","state":"delivered"},{"id":"b","state":"failed"},{"id":"c","state":"refused"},` +
+			`{"id":"d","state":"over"},{"id":"e","state":"spent"},{"id":"f","state":"odd"}]`
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-RateLimit-Wait-Ms: 40\r\nContent-Length: %d\r\n\r\n%s",
+			len(body), body)
 		_, _ = io.Copy(io.Discard, r)
 	}))
 	var items []core.Item
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		items = append(items, core.Item{ID: id, Key: "k" + id, Body: []byte("body " + id)})
 	}
-	e := hook(t, c, time.Minute, items...)
+	e := callHook(t, c, time.Minute, items...)
 	if path != "/hook/batch" || len(got) != 7 || got[2].Key != "kc" || string(got[2].Body) != "body c" {
-		t.Errorf("%s %+v", path, got)
+		t.Errorf("path %s, items %+v", path, got)
 	}
-	want := []core.Ending{{Outcome: choice.Served}, {Outcome: choice.Error}, {Outcome: choice.Refused}, {Outcome: choice.NotSent, Over: true},
-		{Outcome: choice.NotSent, Spent: true}, {Outcome: choice.Error}, {Outcome: choice.Error}}
+	want := []core.Ending{{Outcome: choice.Served}, {Outcome: choice.Error}, {Outcome: choice.Refused},
+		{Outcome: choice.NotSent, Over: true}, {Outcome: choice.NotSent, Spent: true},
+		{Outcome: choice.Error}, {Outcome: choice.Error}}
 	for i := range want {
 		want[i].Wait = 40 * time.Millisecond
 	}
@@ -222,12 +239,13 @@
 		t.Errorf("%+v, want %+v", e.Each, want)
 	}
 	for answer, want := range map[string]choice.Outcome{
-		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n[{]":                       choice.Error,
-		"HTTP/1.1 200 OK\r\nno field\r\n\r\n":                                   choice.Error, // only one message may go by its first line
+		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n[{]": choice.Error,
+		// A status line counts for single messages only.
+		"HTTP/1.1 200 OK\r\nno field\r\n\r\n":                                   choice.Error,
 		"HTTP/1.1 413 T\r\nContent-Length: 0\r\n\r\n":                           choice.NotSent,
 		"HTTP/1.1 429 T\r\nX-RateLimit-Wait-Ms: 9\r\nContent-Length: 0\r\n\r\n": choice.Refused,
 	} {
-		e := hook(t, hookCaller(t, answering(t, answer)), time.Minute, items[:2]...)
+		e := callHook(t, hookCaller(t, answering(t, answer)), time.Minute, items[:2]...)
 		for _, x := range append([]core.Ending{}, e.Each...) {
 			if x.Outcome != want {
 				t.Errorf("%q: %+v", answer, e)
@@ -239,7 +257,7 @@
 	}
 }
 
-// serving is the address of a host that answers as a function says.
+// serving returns the address of a host that answers by the handler.
 func serving(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	srv := &http.Server{Handler: h}
@@ -252,23 +270,26 @@
 	return l.Addr().String()
 }
 
-// A call whose connection is up only after the time in which its repeat is remembered is
-// not written: it was not sent, and the connection serves the next one.
+// Guards against a call that is written after the window in which the host recognises a repeat,
+// because its connection took too long. It ends as not sent, and the connection serves the next
+// call.
 func TestNothingIsWrittenTooLate(t *testing.T) {
 	var calls atomic.Int32
 	c := hookCaller(t, serving(t, func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
 	ended := make(chan core.Ending, 1)
-	c.Send(core.Call{ID: "m", Name: "late", Host: "h", Patient: 10 * time.Second, Within: 1, End: func(e core.Ending) { ended <- e }})
+	c.Send(core.Call{ID: "m", Name: "late", Host: "h", Patient: 10 * time.Second, Within: 1,
+		End: func(e core.Ending) { ended <- e }})
 	if e := <-ended; e.Outcome != choice.NotSent || e.Over || e.Spent {
 		t.Errorf("%+v, want NotSent", e)
 	}
-	if e := hook(t, c, 10*time.Second); e.Outcome != choice.Served || calls.Load() != 1 {
-		t.Errorf("the next one: %+v, %d calls at the host", e, calls.Load())
+	if e := callHook(t, c, 10*time.Second); e.Outcome != choice.Served || calls.Load() != 1 {
+		t.Errorf("next call: %+v, %d calls at the host", e, calls.Load())
 	}
 }
 
-// The client's key for repeats is in each call as it came: as a field of one message, as the
-// key of each of several; a message without one has the key of its order there.
+// Guards against a client's idempotency key that is lost or changed on the way: it is a header
+// field of a single message, and the key of each of several. Without one, the key of a message in a
+// batch is its order key.
 func TestIdempotencyKeyGoesOn(t *testing.T) {
 	type seen struct{ field, body string }
 	calls := make(chan seen, 2)
--- a/internal/partner/outcome.go
+++ b/internal/partner/outcome.go
@@ -9,84 +9,86 @@
 	"basaltcross.example/basaltcross/choice"
 )
 
-// seen is what happened on an attempt's socket.
-type seen int
+// event is what happened on the socket of a call.
+type event int
 
 const (
-	noConnection seen = iota // no connection, or none left to open one with
-	unready                  // none tried, for want of descriptors, or called off before
-	lostUnsent               // closed, and not one byte of the request was handed to the kernel
-	lostPart                 // closed, and the kernel had not got all of the request
-	lost                     // closed or reset under the request, or within the response
-	nonsense                 // bytes that are no response
-	early                    // a whole response before the request was written
-	answered                 // a whole response
+	noConnection  event = iota // no connection could be established
+	notTried                   // not tried for want of local resources, or ended before it was written
+	closedUnsent               // closed before any byte of the request was written
+	closedPartial              // closed before the whole request was written
+	closedSent                 // closed or reset after the request was written (with TLS: after any part of it)
+	malformed                  // bytes that are no HTTP response
+	answeredEarly              // a complete response before the request was written
+	answered                   // a complete response
 )
 
-// longestWait bounds a Retry-After: a longer one is taken as this. No message
-// of any class lives longer.
-const longestWait = 24 * time.Hour
+// maxWait is the upper limit of a Retry-After; longer ones are cut to it. No message of any class
+// lives longer.
+const maxWait = 24 * time.Hour
 
-// outcome is the one table from what happened on a socket to what the decision
-// module is told. It errs on the side of "may have run".
+// outcome maps what happened on a socket to the outcome for the decision module. Where that is
+// uncertain, the outcome says that the message may have run.
 //
-//	seen          status, kind                       outcome       reason
-//	noConnection  -                                  NoConnection  no byte can have reached the partner
-//	unready       -                                  NotSent       nothing was tried: no word on the partner
-//	lostUnsent    -                                  NoConnection  the kernel got no byte of the request
-//	lostPart      -                                  Reset         a partner may act on a part
-//	lost          -                                  Reset         bytes were handed over; a kept connection that
-//	                                                               the peer closed may still have read them
-//	nonsense      -                                  Error         somebody answered; what ran is not known
-//	early         429, 503 as below                  Refused       a promise made for all refusals covers it
-//	early         any other                          Error         success without the whole request is not proof
-//	answered      2xx                                Served        the partner says so
-//	answered      429, kind promises                 Refused       it never ran; the wait is told, or 0
-//	answered      503 with Retry-After, promises     Refused       the same; without one it may be a proxy's word
-//	answered      429, 503 without the promise       Error         may have run; a wait told with it is passed on
-//	answered      3xx, 4xx, 5xx otherwise            Error         answered, not served
+//	event          status, kind                     outcome       reason
+//	noConnection   -                                NoConnection  no byte can have reached the partner
+//	notTried       -                                NotSent       says nothing about the partner
+//	closedUnsent   -                                NoConnection  no byte of the request reached the kernel
+//	closedPartial  -                                Reset         a partner may act on part of a request
+//	closedSent     -                                Reset         the request was handed over; a reused connection
+//	                                                              that the peer closed may still have read it
+//	malformed      -                                Error         a server answered; whether it ran is unknown
+//	answeredEarly  429, 503 as below                Refused       the guarantee for refusals covers it
+//	answeredEarly  any other                        Error         success without the whole request is no proof
+//	answered       2xx                              Served        the partner says so
+//	answered       429, refusalNeverRan             Refused       it has not run; wait as announced, or 0
+//	answered       503 with Retry-After, likewise   Refused       it has not run; without Retry-After the response
+//	                                                              may come from a proxy
+//	answered       429, 503 without refusalNeverRan Error         it may have run; an announced wait is passed on
+//	answered       3xx, 4xx, 5xx otherwise          Error         answered, not served
 //
-// A time-out or cancel is the core's own: Timeout or Cancelled if the attempt
-// had been handed to the kernel, else NoConnection or NotSent.
-func outcome(s seen, status int, retryAfter string, promises bool, now time.Time) (choice.Outcome, time.Duration) {
-	switch s {
-	case unready:
+// Time-outs and cancels are decided by the core: Timeout or Cancelled for a call that was written,
+// else NoConnection or NotSent.
+func outcome(ev event, status int, retryAfter string, refusalNeverRan bool, now time.Time) (
+	choice.Outcome, time.Duration) {
+	switch ev {
+	case notTried:
 		return choice.NotSent, 0
-	case noConnection, lostUnsent:
+	case noConnection, closedUnsent:
 		return choice.NoConnection, 0
-	case lost, lostPart:
+	case closedSent, closedPartial:
 		return choice.Reset, 0
-	case nonsense:
+	case malformed:
 		return choice.Error, 0
 	}
 	wait, told := time.Duration(0), false
 	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
 		wait, told = retryWait(retryAfter, now)
-		if promises && (told || status == http.StatusTooManyRequests) {
+		if refusalNeverRan && (told || status == http.StatusTooManyRequests) {
 			return choice.Refused, wait
 		}
 	}
-	if s == answered && status >= 200 && status < 300 {
+	if ev == answered && status >= 200 && status < 300 {
 		return choice.Served, 0
 	}
 	return choice.Error, wait
 }
 
-// retryWait reads Retry-After (RFC 9110, 10.2.3), seconds or a date. A date
-// is rounded up to the end of its second; seconds may carry a fraction, which
-// some partners send although the RFC has none.
+// retryWait parses Retry-After (RFC 9110, 10.2.3), seconds or a date. A date is rounded up to the
+// end of its second. Fractions of seconds are accepted: some partners send them although the RFC
+// does not allow them.
 func retryWait(v string, now time.Time) (time.Duration, bool) {
 	if v == "" {
 		return 0, false
 	}
 	if s, err := strconv.ParseFloat(v, 64); err == nil && s >= 0 && !math.IsInf(s, 0) {
-		if s > longestWait.Seconds() {
-			return longestWait, true
+		if s > maxWait.Seconds() {
+			return maxWait, true
 		}
 		return time.Duration(math.Ceil(s * 1e9)), true
 	}
 	if at, err := http.ParseTime(v); err == nil {
-		return min(max(0, at.Add(time.Second).Sub(now)), longestWait), true
+		return min(max(0, at.Add(time.Second).Sub(now)), maxWait), true
 	}
 	return 0, false
 }
--- a/internal/partner/partner_test.go
+++ b/internal/partner/partner_test.go
@@ -18,7 +18,7 @@
 	"basaltcross.example/basaltcross/internal/testutil/port"
 )
 
-// peer is a raw scripted server: for each connection it runs the script with
+// peer runs a raw TCP server and returns its address. For each connection it runs the script with
 // the connection and a reader of it.
 func peer(t *testing.T, script func(c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
@@ -47,10 +47,11 @@
 	return err
 }
 
-func caller(t *testing.T, promises bool) *Caller {
+func caller(t *testing.T, refusalNeverRan bool) *Caller {
 	t.Helper()
-	c, err := New(Options{Name: "r", Targets: []Target{{Path: "/", Promises: promises}}, Classes: []string{"status"},
-		Limits: http1.Limits{Header: 1024, Body: 4096}, Keep: addr.KeepSettings{Most: 4, Idle: time.Minute, Connecting: 8}})
+	c, err := New(Options{Name: "r", Targets: []Target{{Path: "/", Promises: refusalNeverRan}},
+		Classes: []string{"status"}, Limits: http1.Limits{Header: 1024, Body: 4096},
+		Keep: addr.KeepSettings{Most: 4, Idle: time.Minute, Connecting: 8}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +59,7 @@
 	return c
 }
 
-// do makes one call and waits for its ending.
+// do makes one call and returns its end.
 func do(t *testing.T, c *Caller, host string, body []byte) core.Ending {
 	t.Helper()
 	ended := make(chan core.Ending, 2)
@@ -68,41 +69,54 @@
 	case e := <-ended:
 		return e
 	case <-time.After(10 * time.Second):
-		t.Fatal("no ending")
+		t.Fatal("the call did not end within 10 s")
 		return core.Ending{}
 	}
 }
 
 func TestOutcomes(t *testing.T) {
+	// Guards against responses that are mapped to a wrong outcome, whole or split into single
+	// bytes.
 	date := time.Now().Add(10 * time.Second).UTC().Format(http.TimeFormat)
 	for _, c := range []struct {
-		name, answer string
-		promises     bool
-		want         choice.Outcome
-		wait         time.Duration // at least
+		name, answer    string
+		refusalNeverRan bool
+		want            choice.Outcome
+		wait            time.Duration // lower bound
 	}{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true, choice.Served, 0},
-		{"chunked", "HTTP/1.1 201 C\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nok\r\n0\r\nT: v\r\n\r\n", true, choice.Served, 0},
-		{"interim", "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 204 N\r\n\r\n", true, choice.Served, 0},
+		{"chunked",
+			"HTTP/1.1 201 C\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nok\r\n0\r\nT: v\r\n\r\n",
+			true, choice.Served, 0},
+		{"interim",
+			"HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 204 N\r\n\r\n", true, choice.Served, 0},
 		{"to the close", "HTTP/1.0 200 OK\r\n\r\nall of it", true, choice.Served, 0},
 		{"closed at once", "", true, choice.Reset, 0},
 		{"half a head", "HTTP/1.1 200 OK\r\nContent-Le", true, choice.Reset, 0},
 		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true, choice.Reset, 0},
 		{"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf", true, choice.Reset, 0},
-		{"no http", "SSH-2.0-x\r\n", true, choice.Error, 0},
+		{"no HTTP", "SSH-2.0-x\r\n", true, choice.Error, 0},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", true, choice.Error, 0},
-		{"length and chunked", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", true, choice.Error, 0},
-		{"signed chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n+2\r\nok\r\n0\r\n\r\n", true, choice.Error, 0},
+		{"length and chunked",
+			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+			true, choice.Error, 0},
+		{"signed chunk",
+			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n+2\r\nok\r\n0\r\n\r\n", true, choice.Error, 0},
 		{"long head", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2000) + "\r\n\r\n", true, choice.Error, 0},
-		{"long body", "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000), true, choice.Error, 0},
+		{"long body",
+			"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000), true, choice.Error, 0},
 		{"endless interim", strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 40), true, choice.Error, 0},
 		{"redirect", "HTTP/1.1 302 F\r\nLocation: /\r\nContent-Length: 0\r\n\r\n", true, choice.Error, 0},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", true, choice.Error, 0},
-		{"refused, seconds", "HTTP/1.1 429 T\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n", true, choice.Refused, 3 * time.Second},
-		{"refused, date", "HTTP/1.1 503 U\r\nRetry-After: " + date + "\r\nContent-Length: 0\r\n\r\n", true, choice.Refused, 9 * time.Second},
+		{"refused, seconds",
+			"HTTP/1.1 429 T\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n", true, choice.Refused, 3 * time.Second},
+		{"refused, date",
+			"HTTP/1.1 503 U\r\nRetry-After: " + date + "\r\nContent-Length: 0\r\n\r\n",
+			true, choice.Refused, 9 * time.Second},
 		{"refused, no wait", "HTTP/1.1 429 T\r\nContent-Length: 0\r\n\r\n", true, choice.Refused, 0},
 		{"503 without wait", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", true, choice.Error, 0},
-		{"no promise", "HTTP/1.1 429 T\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n", false, choice.Error, 3 * time.Second},
+		{"no guarantee for refusals",
+			"HTTP/1.1 429 T\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n", false, choice.Error, 3 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, split := range []int{1 << 20, 1} {
@@ -122,7 +136,7 @@
 					}
 					_, _ = io.Copy(io.Discard, r)
 				})
-				e := do(t, caller(t, c.promises), host, []byte("body"))
+				e := do(t, caller(t, c.refusalNeverRan), host, []byte("body"))
 				if e.Outcome != c.want || e.Wait < c.wait || c.wait == 0 && e.Wait != 0 {
 					t.Errorf("in pieces of %d: outcome %d, wait %v", split, e.Outcome, e.Wait)
 				}
@@ -131,8 +145,9 @@
 	}
 }
 
-// A kept connection is used again; closed in idle it is left alone; closed
-// under the request the call ends as Reset, never as NoConnection.
+// Guards against an idle connection that is not reused, against a call on one that the peer closed,
+// and against NoConnection as the outcome of a call whose connection was closed under the request,
+// which may have run.
 func TestKeptConnections(t *testing.T) {
 	seen := make(chan string, 10)
 	how := make(chan string, 10)
@@ -164,7 +179,7 @@
 	if again := act("answer and close", choice.Served); again != first {
 		t.Error("the kept connection was not used")
 	}
-	for c.Connections(host) > 0 { // its end is noticed before the next use
+	for c.Connections(host) > 0 { // the end is handled before the next call
 		time.Sleep(time.Millisecond)
 	}
 	second := act("answer", choice.Served)
@@ -184,7 +199,7 @@
 	}
 }
 
-// A response that comes before the request was written: success is no proof.
+// Guards against a successful outcome of a call whose response came before its request was written.
 func TestEarlyResponse(t *testing.T) {
 	host := peer(t, func(conn net.Conn, r *bufio.Reader) {
 		_, _ = r.Peek(1)
@@ -197,8 +212,8 @@
 	}
 }
 
-// Nobody listens, or the backlog is full and the handshake never ends: not a
-// byte was handed over, and Abort and Recall say so.
+// Guards against a wrong outcome where the connection is refused, or where it is never accepted
+// because the backlog is full: no byte was sent, and Abort and Recall report that.
 func TestNoConnection(t *testing.T) {
 	dead, host := port.Refusing(t, "127.0.0.1"), port.Unanswered(t)
 	c := caller(t, true)
@@ -214,14 +229,14 @@
 	}
 	a := send()
 	if !a.Recall() || a.Recall() {
-		t.Error("recall must work once")
+		t.Error("Recall must succeed exactly once")
 	}
 	if len(ended) != 0 {
-		t.Errorf("ended %v", <-ended)
+		t.Errorf("End was called with %v", <-ended)
 	}
 }
 
-// A cancel crosses an answer: one of the two has it, never both.
+// Guards against a call that ends twice, or not at all, if an abort races with its answer.
 func TestAbortCrossesAnswer(t *testing.T) {
 	host := peer(t, func(conn net.Conn, r *bufio.Reader) {
 		for request(r) == nil {
@@ -247,7 +262,7 @@
 			both["unsent"]++
 		}
 		if len(ended) != 0 {
-			t.Fatal("two endings")
+			t.Fatal("the call ended twice")
 		}
 	}
 	t.Log(both)
@@ -269,8 +284,9 @@
 			_, err2 = pieces.feed(rest[:n])
 			rest = rest[n:]
 		}
-		// However it is cut, a response is the same.
-		if (err1 == nil) != (err2 == nil) || err1 == nil && (whole.Done() != pieces.Done() || whole.status != pieces.status) {
+		// The result must not depend on how the response is split.
+		if (err1 == nil) != (err2 == nil) ||
+			err1 == nil && (whole.Done() != pieces.Done() || whole.status != pieces.status) {
 			t.Fatalf("whole: %v, done %v, status %d; in pieces: %v, %v, %d", err1, whole.Done(), whole.status,
 				err2, pieces.Done(), pieces.status)
 		}
--- a/internal/partner/pool.go
+++ b/internal/partner/pool.go
@@ -12,179 +12,181 @@
 	"basaltcross.example/basaltcross/internal/addr"
 )
 
-// pool is the connections of one endpoint, and the calls that wait for one. What
-// is kept, opened and waited for decides addr.Keep.
+// pool holds the connections of one endpoint, and the calls that wait for one. addr.Keep decides
+// which connections are kept and opened, and which calls wait.
 type pool struct {
-	c       *Caller
+	caller  *Caller
 	host    string
 	partner int
 
 	mu         sync.Mutex
-	keep       *addr.Keep
-	idle       []*conn // the one used last at the end
-	open       int     // connections, those being set up included
+	policy     *addr.Keep
+	idle       []*conn // most recently used last
+	open       int     // open connections, those being set up included
 	connecting int
-	out        int     // calls not ended
-	waiting    []*call // those of them without a connection, first come first
-	barred     bool
+	calls      int     // calls that have not ended
+	waiting    []*call // those of them without a connection, in order of arrival
+	excluded   bool
 
-	recent sync.Mutex // innermost
-	served []likely   // of late, the oldest first
+	servedMu sync.Mutex     // guards served; no other lock is taken while it is held
+	served   []servedAnswer // recent answers, oldest first
 }
 
-// likely is an answer on a used connection that said that its call was served.
-type likely struct {
+// servedAnswer is a successful answer on a reused connection.
+type servedAnswer struct {
 	at      time.Duration
 	doubted func()
 }
 
-// mostServed likely answers of one endpoint are remembered.
-const mostServed = 256
+// maxServedAnswers is the limit on the answers remembered per endpoint.
+const maxServedAnswers = 256
 
-// dialing is one connection being set up.
+// dialing is one connection that is being set up.
 type dialing struct {
-	cancel context.CancelFunc
-	k      *call // for which it was begun, nil for a spare
-	over   bool
+	cancel   context.CancelFunc
+	owner    *call // the call that it was started for, nil for a spare connection
+	finished bool
 }
 
-// pool finds or makes that of an endpoint, and counts a call to it.
+// pool returns the pool of an endpoint, which it creates if necessary, and counts a call to it.
 func (c *Caller) pool(host string, partner int) *pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pools[host]
 	if p == nil {
-		p = &pool{c: c, host: host, partner: partner, barred: c.barred[host],
-			keep: addr.NewKeep(c.opt.Keep, rand.Uint64())}
+		p = &pool{caller: c, host: host, partner: partner, excluded: c.excluded[host],
+			policy: addr.NewKeep(c.opt.Keep, rand.Uint64())}
 		c.pools[host] = p
 	}
 	p.mu.Lock()
-	p.out++
-	p.keep.Called(c.now(), p.out)
+	p.calls++
+	p.policy.Called(c.now(), p.calls)
 	p.mu.Unlock()
 	return p
 }
 
-// take finds a kept connection for a call; if there is none, the call waits, and
-// one is opened if it may be.
-func (p *pool) take(k *call) (found *conn) {
+// acquire returns an idle connection for a call. If there is none, it queues the call and opens a
+// connection if the limits allow it.
+func (p *pool) acquire(k *call) (found *conn) {
 	p.mu.Lock()
-	found, turned := p.choose(k)
+	found, unusable := p.takeIdle(k)
 	if found == nil {
 		p.waiting = append(p.waiting, k)
-		p.more()
-		p.awaitRest(p.c.now())
+		p.dialForWaiting()
+		p.scheduleRested(p.caller.now())
 	}
 	p.mu.Unlock()
-	turned.end()
+	unusable.closeAll()
 	return found
 }
 
-// more opens connections for calls that wait without one being set up for them,
-// as far as may be; under mu.
-func (p *pool) more() {
+// dialForWaiting opens connections for waiting calls that have none being set up, within the
+// limits. The caller holds p.mu.
+func (p *pool) dialForWaiting() {
 	for _, k := range p.waiting {
-		if p.connecting >= len(p.waiting) || !p.keep.Dials(p.connecting) {
+		if p.connecting >= len(p.waiting) || !p.policy.Dials(p.connecting) {
 			return
 		}
-		if k.dial == nil || k.dial.over {
+		if k.dial == nil || k.dial.finished {
 			p.dial(k, k.Patient-time.Since(k.began))
 		}
 	}
 }
 
-// spares opens connections in advance; under mu.
-func (p *pool) spares() {
-	if p.barred || p.c.ctx.Err() != nil {
+// dialSpares opens spare connections. The caller holds p.mu.
+func (p *pool) dialSpares() {
+	if p.excluded || p.caller.ctx.Err() != nil {
 		return
 	}
-	for range p.keep.Spares(p.c.now(), p.out-len(p.waiting), len(p.idle), p.connecting) {
+	for range p.policy.Spares(p.caller.now(), p.calls-len(p.waiting), len(p.idle), p.connecting) {
 		p.dial(nil, addr.SpareTime)
 	}
 }
 
-// dial begins a connection; under mu.
+// dial starts setting up a connection. The caller holds p.mu.
 func (p *pool) dial(k *call, within time.Duration) {
-	if most := p.c.opt.Dial; most > 0 {
+	if most := p.caller.opt.Dial; most > 0 {
 		within = min(within, most)
 	}
-	ctx, cancel := context.WithTimeout(p.c.ctx, within)
-	d := &dialing{cancel: cancel, k: k}
+	ctx, cancel := context.WithTimeout(p.caller.ctx, within)
+	d := &dialing{cancel: cancel, owner: k}
 	if k != nil {
 		k.dial = d
 	}
 	p.connecting++
-	p.opened(1)
-	p.c.done.Add(1)
+	p.addOpen(1)
+	p.caller.done.Add(1)
 	go func() {
-		defer p.c.done.Done()
+		defer p.caller.done.Done()
 		defer cancel()
-		cn, err := p.c.connect(ctx, p, within)
-		p.dialed(d, cn, err)
+		cn, err := p.caller.connect(ctx, p, within)
+		p.dialFinished(d, cn, err)
 	}()
 }
 
-// dialed takes in a connection, or why there is none: then the call for which it
-// was begun ends, if it still waits.
-func (p *pool) dialed(d *dialing, cn *conn, err error) {
+// dialFinished handles the result of dial. If it failed, the call that it was started for ends, if
+// it still waits.
+func (p *pool) dialFinished(d *dialing, cn *conn, err error) {
 	p.mu.Lock()
 	p.connecting--
-	d.over = true
-	waits := d.k != nil && slices.Contains(p.waiting, d.k)
+	d.finished = true
+	waits := d.owner != nil && slices.Contains(p.waiting, d.owner)
 	if err == nil {
-		cn.born, cn.lasts = p.c.now(), p.keep.Life()
+		cn.established, cn.maxAge = p.caller.now(), p.policy.Life()
 	} else {
-		if cn == nil || !cn.gone.Swap(true) {
-			p.opened(-1)
+		if cn == nil || !cn.removed.Swap(true) {
+			p.addOpen(-1)
 		}
 		if !waits {
-			p.more()
+			p.dialForWaiting()
 		}
 	}
 	p.mu.Unlock()
 	switch {
 	case err == nil:
-		p.give(cn)
-	case waits && errors.Is(err, errOurs):
-		d.k.end(unready, nil)
+		p.release(cn)
+	case waits && errors.Is(err, errLocal):
+		d.owner.end(notTried, nil)
 	case waits:
-		d.k.end(noConnection, nil)
+		d.owner.end(noConnection, nil)
 	}
 }
 
-// give hands a connection to the first call that waits and may go out on it, or keeps it.
-func (p *pool) give(cn *conn) {
+// release hands a connection to the first waiting call that may go out on it, or else keeps it
+// idle.
+func (p *pool) release(cn *conn) {
 	for {
 		p.mu.Lock()
-		now := p.c.now()
-		cn.since = now
-		usable := p.keep.Fresh(now, cn.born, cn.lasts, now) && (cn.book == nil || cn.book.Has(cn.addr)) && !(cn.used() && cn.spent())
-		k, found := (*call)(nil), ready
+		now := p.caller.now()
+		cn.idleSince = now
+		usable := p.policy.Fresh(now, cn.established, cn.maxAge, now) && (cn.book == nil || cn.book.Has(cn.addr)) &&
+			!(cn.used() && cn.firstCallOnly())
+		k, found := (*call)(nil), peekReady
 		if usable {
-			if k = p.next(now, cn); k != nil && cn.used() {
+			if k = p.nextWaiting(now, cn); k != nil && cn.used() {
 				found = cn.peek()
 			}
 		}
-		if k == nil || found != ready {
-			most := int64(p.c.opt.Descriptors)
-			keeps := usable && found != ended && found != unasked && !cn.gone.Load() && !p.barred && p.keep.Kept(len(p.idle)) &&
-				(most == 0 || p.c.open.Load() <= most)
+		if k == nil || found != peekReady {
+			most := int64(p.caller.opt.Descriptors)
+			keeps := usable && found != peekClosed && found != peekUnsolicited && !cn.removed.Load() &&
+				!p.excluded && p.policy.Kept(len(p.idle)) && (most == 0 || p.caller.open.Load() <= most)
 			if keeps {
 				p.idle = append(p.idle, cn)
-				p.awaitRest(now)
+				p.scheduleRested(now)
 			}
-			p.more()
+			p.dialForWaiting()
 			p.mu.Unlock()
 			switch {
-			case found == unasked: // its goroutine reads what they say, and closes it
-			case found == ended:
-				cn.peerEnded()
+			case found == peekUnsolicited: // the connection's goroutine reads the bytes and closes it
+			case found == peekClosed:
+				cn.closedByPeer()
 			case !keeps:
-				cn.retire()
+				cn.closeWhenSettled()
 			}
 			return
 		}
-		p.unwait(k)
+		p.removeWaiting(k)
 		p.mu.Unlock()
 		if k.write(cn) {
 			return
@@ -192,48 +194,49 @@
 	}
 }
 
-// ended takes in a call's end.
-func (p *pool) ended(k *call, s seen) {
+// callEnded records the end of a call.
+func (p *pool) callEnded(k *call, ev event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.out--
-	if s != unready {
-		p.keep.Ended(p.c.now(), s == answered)
+	p.calls--
+	if ev != notTried {
+		p.policy.Ended(p.caller.now(), ev == answered)
 	}
-	if p.unwait(k) {
+	if p.removeWaiting(k) {
 		if k.dial != nil && p.connecting > len(p.waiting) {
-			k.dial.cancel() // nobody else waits for it
+			k.dial.cancel() // no other call needs it
 		}
 	}
-	if s == answered {
-		p.spares()
+	if ev == answered {
+		p.dialSpares()
 	}
 }
 
-// opened counts connections, those being set up included; under mu.
-func (p *pool) opened(n int) {
+// addOpen changes the number of open connections, those being set up included. The caller holds
+// p.mu.
+func (p *pool) addOpen(n int) {
 	p.open += n
-	p.c.open.Add(int64(n))
+	p.caller.open.Add(int64(n))
 }
 
-// leave takes a connection that is gone out of its pool, once.
-func (cn *conn) leave() {
+// removeFromPool removes a closed connection from its pool, once.
+func (cn *conn) removeFromPool() {
 	p := cn.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if cn.gone.Swap(true) {
+	if cn.removed.Swap(true) {
 		return
 	}
-	p.opened(-1)
+	p.addOpen(-1)
 	if i := slices.Index(p.idle, cn); i >= 0 {
 		p.idle = slices.Delete(p.idle, i, i+1)
 	}
-	p.keep.Spent(cn.used())
-	p.spares()
+	p.policy.Spent(cn.used())
+	p.dialSpares()
 }
 
-// drain removes idle connections that a test picks.
-func (p *pool) drain(pick func(*conn) bool) (out []*conn) {
+// removeIdle removes and returns the idle connections that pick selects.
+func (p *pool) removeIdle(pick func(*conn) bool) (out []*conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle = slices.DeleteFunc(p.idle, func(cn *conn) bool {
@@ -246,7 +249,7 @@
 	return out
 }
 
-// allPools are those of all endpoints.
+// allPools returns the pools of all endpoints.
 func (c *Caller) allPools() (all []*pool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -256,7 +259,7 @@
 	return all
 }
 
-// sweep closes connections that idled too long or are too old.
+// sweep closes connections past their idle time or age, and drops unused pools.
 func (c *Caller) sweep() {
 	defer c.done.Done()
 	tick := time.NewTicker(max(50*time.Millisecond, c.opt.Keep.Idle/8))
@@ -271,9 +274,9 @@
 			for host, p := range c.pools {
 				pools = append(pools, p)
 				p.mu.Lock()
-				if p.open == 0 && p.out == 0 {
+				if p.open == 0 && p.calls == 0 {
 					delete(c.pools, host)
-					delete(c.barred, host)
+					delete(c.excluded, host)
 					c.conduct.Forget(c.now(), host)
 				}
 				p.mu.Unlock()
@@ -281,27 +284,29 @@
 			c.mu.Unlock()
 			for _, p := range pools {
 				now := c.now()
-				retireAll(p.drain(func(cn *conn) bool { return !p.keep.Fresh(now, cn.born, cn.lasts, cn.since) }))
+				closeAllWhenSettled(p.removeIdle(func(cn *conn) bool {
+					return !p.policy.Fresh(now, cn.established, cn.maxAge, cn.idleSince)
+				}))
 			}
 		}
 	}
 }
 
-// CloseIdle closes the kept connections of an endpoint.
+// CloseIdle closes the idle connections of an endpoint.
 func (c *Caller) CloseIdle(host string) {
 	c.mu.Lock()
 	p := c.pools[host]
 	c.mu.Unlock()
 	if p != nil {
 		p.mu.Lock()
-		p.keep.Dismissed(c.now())
+		p.policy.Dismissed(c.now())
 		p.mu.Unlock()
-		retireAll(p.drain(func(*conn) bool { return true }))
+		closeAllWhenSettled(p.removeIdle(func(*conn) bool { return true }))
 	}
 }
 
-// Connections counts the open connections of an endpoint, idle ones and those
-// being set up included.
+// Connections returns the number of open connections of an endpoint, idle ones and those being set
+// up included.
 func (c *Caller) Connections(host string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -313,7 +318,7 @@
 	return 0
 }
 
-// Sizes are those of the caller's tables, and its open connections.
+// Sizes returns the sizes of the Caller's tables, and the number of open connections.
 func (c *Caller) Sizes() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -323,11 +328,12 @@
 		open += p.open
 		p.mu.Unlock()
 	}
-	return map[string]int{"pools": len(c.pools), "books": len(c.books), "barred": len(c.barred), "connections": open, "peers": c.conduct.Len()}
+	return map[string]int{"pools": len(c.pools), "books": len(c.books), "barred": len(c.excluded),
+		"connections": open, "peers": c.conduct.Len()}
 }
 
-// List takes in news of the endpoint list: nothing is opened in advance to an
-// endpoint that takes no new work, and nothing kept.
+// List applies a change of the endpoint list: endpoints that take no new calls get no spare
+// connections, and their idle connections are closed.
 func (c *Caller) List(l choice.Listing) {
 	if l.Failed {
 		return
@@ -338,29 +344,29 @@
 		for _, h := range l.Hosts {
 			listed[h.Addr] = true
 		}
-		clear(c.barred)
+		clear(c.excluded)
 		for host := range c.pools {
 			if !listed[host] {
-				c.barred[host] = true
+				c.excluded[host] = true
 			}
 		}
 	}
 	for _, h := range l.Hosts {
-		delete(c.barred, h.Addr)
-		// Of one that went, only as long as there are connections: the sweep forgets it.
+		delete(c.excluded, h.Addr)
+		// For a removed endpoint only while it has connections: sweep deletes the entry.
 		if h.State == choice.Draining || h.State == choice.Gone && c.pools[h.Addr] != nil {
-			c.barred[h.Addr] = true
+			c.excluded[h.Addr] = true
 		}
 	}
 	var old []*conn
 	for host, p := range c.pools {
 		p.mu.Lock()
-		if p.barred = c.barred[host]; p.barred {
+		if p.excluded = c.excluded[host]; p.excluded {
 			old = append(old, p.idle...)
 			p.idle = nil
 		}
 		p.mu.Unlock()
 	}
 	c.mu.Unlock()
-	retireAll(old)
+	closeAllWhenSettled(old)
 }
--- a/internal/partner/race.go
+++ b/internal/partner/race.go
@@ -14,9 +14,9 @@
 
 func (c *Caller) now() time.Duration { return time.Since(c.epoch) }
 
-// Addresses sets the addresses of endpoints; one that is not there has the
-// address that is its name. Idle connections to addresses that went are closed,
-// calls that are out go on.
+// Addresses replaces the addresses of all endpoints. An endpoint that is not in the map is its own
+// address. Idle connections to addresses that were removed are closed; calls in progress are not
+// affected.
 func (c *Caller) Addresses(all map[string][]addr.Address) {
 	c.mu.Lock()
 	for host := range c.books {
@@ -28,7 +28,7 @@
 	c.Changed(all)
 }
 
-// Changed sets the addresses of some endpoints.
+// Changed replaces the addresses of some endpoints.
 func (c *Caller) Changed(some map[string][]addr.Address) {
 	c.mu.Lock()
 	var old []*conn
@@ -36,26 +36,26 @@
 		if b := c.books[host]; b != nil {
 			b.Set(list)
 		} else {
-			c.books[host] = addr.NewBook(host, &c.fams, list)
+			c.books[host] = addr.NewBook(host, &c.families, list)
 		}
 		if p := c.pools[host]; p != nil {
-			old = append(old, p.drain(func(cn *conn) bool { return !slices.Contains(list, cn.addr) })...)
+			old = append(old, p.removeIdle(func(cn *conn) bool { return !slices.Contains(list, cn.addr) })...)
 		}
 	}
-	close(c.news)
-	c.news = make(chan struct{})
+	close(c.addressesChanged)
+	c.addressesChanged = make(chan struct{})
 	c.mu.Unlock()
-	retireAll(old)
+	closeAllWhenSettled(old)
 }
 
-// Book is what is known of an endpoint's addresses, nil if it has one only.
+// book returns the Book of an endpoint, nil for an endpoint that is its own address.
 func (c *Caller) book(host string) *addr.Book {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.books[host]
 }
 
-// Known reports the addresses of every endpoint that has several.
+// Known returns the status of the addresses of every endpoint that has a Book.
 func (c *Caller) Known() map[string][]addr.Known {
 	c.mu.Lock()
 	books := make(map[string]*addr.Book, len(c.books))
@@ -70,17 +70,17 @@
 	return out
 }
 
-// hung books a call that an address took and did not answer, and lets its idle
-// connections go, so that a further try does not meet it again.
-func (cn *conn) hung(c *Caller) {
+// markHung records that the connection's address accepted a call and did not answer it, and closes
+// its idle connections, so that the next attempt does not use it again.
+func (cn *conn) markHung(c *Caller) {
 	if cn.book == nil {
 		return
 	}
 	cn.book.Hung(c.now(), cn.addr)
-	retireAll(cn.pool.drain(func(o *conn) bool { return o.addr == cn.addr }))
+	closeAllWhenSettled(cn.pool.removeIdle(func(o *conn) bool { return o.addr == cn.addr }))
 }
 
-type dialed struct {
+type dialResult struct {
 	step addr.Step
 	conn net.Conn
 	err  error
@@ -88,13 +88,13 @@
 }
 
 var (
-	errNoAddress = errors.New("partner: no address")
-	// errOurs says that no connection could be tried, for want of descriptors,
-	// ports or memory here: nothing is learned of the address by it.
-	errOurs = errors.New("partner: nothing left to open a connection with")
+	errNoAddress = errors.New("partner: the endpoint has no address")
+	// errLocal means that no connection was tried, for want of file descriptors, ports or memory of
+	// this host. It says nothing about the address.
+	errLocal = errors.New("partner: out of file descriptors, ports or memory for a connection")
 )
 
-func ours(err error) bool {
+func isLocal(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, e) {
 			return true
@@ -103,30 +103,31 @@
 	return false
 }
 
-// race connects by the book's plan; the first connection that is up wins, the
-// others are called off or closed unused. Requests are never raced. An endpoint
-// whose names are being looked up has none yet: then the race waits for them.
-func (c *Caller) race(ctx context.Context, host string, within time.Duration, book *addr.Book) (net.Conn, addr.Address, error) {
+// race runs the connection attempts that the Book plans. The first connection to be established
+// wins; the other attempts are cancelled, or their connections closed unused. Requests are never
+// raced. If the endpoint has no address because its names are being resolved, race waits for one.
+func (c *Caller) race(ctx context.Context, host string, within time.Duration, book *addr.Book) (
+	net.Conn, addr.Address, error) {
 	began := time.Now()
-	if book == nil && c.opt.Hook != nil { // the platform's names are no addresses
+	if book == nil && c.opt.Hook != nil { // in the platform's format an endpoint's name is no address
 		return nil, addr.Address{}, errNoAddress
 	}
 	if book == nil {
 		at := addr.Address{Network: "tcp", Addr: host}
 		for {
 			conn, err := new(net.Dialer).DialContext(ctx, "tcp", host)
-			if err == nil || !ours(err) {
+			if err == nil || !isLocal(err) {
 				return conn, at, err
 			}
 			if !addr.TryAgain(time.Since(began), within) || !pause.For(ctx, addr.Pause) {
-				return nil, at, errOurs
+				return nil, at, errLocal
 			}
 		}
 	}
 	plan := book.Plan(c.now(), within)
 	for len(plan) == 0 {
 		c.mu.Lock()
-		news := c.news
+		changed := c.addressesChanged
 		c.mu.Unlock()
 		if plan = book.Plan(c.now(), within); len(plan) > 0 {
 			break
@@ -134,21 +135,21 @@
 		select {
 		case <-ctx.Done():
 			return nil, addr.Address{}, errNoAddress
-		case <-news:
+		case <-changed:
 		}
 	}
 	race, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results := make(chan dialed, len(plan))
+	results := make(chan dialResult, len(plan))
 	begun, running := 0, 0
-	under := map[addr.Address]time.Time{} // way since then, trials apart
+	inProgress := map[addr.Address]time.Time{} // start times of the attempts in progress, without trials
 	begin := func() {
 		s := plan[begun]
 		begun++
 		running++
 		at := time.Now()
 		if !s.Trial {
-			under[s.Address] = at
+			inProgress[s.Address] = at
 		}
 		with, done := race, context.CancelFunc(func() {})
 		if s.Trial {
@@ -157,7 +158,7 @@
 		go func() {
 			defer done()
 			conn, err := new(net.Dialer).DialContext(with, s.Network, s.Addr)
-			results <- dialed{s, conn, err, time.Since(at)}
+			results <- dialResult{s, conn, err, time.Since(at)}
 		}()
 	}
 	count := func(f addr.Family, result string) {
@@ -165,12 +166,12 @@
 			c.opt.Dialed(f.String(), result)
 		}
 	}
-	// leave books what is called off at once, so that the next call knows.
-	leave := func() {
-		for a, at := range under {
+	// abandon records the attempts that are cancelled at once, so that the next race knows them.
+	abandon := func() {
+		for a, at := range inProgress {
 			book.Left(c.now(), a, time.Since(at))
 		}
-		go c.losers(book, results, running, count)
+		go c.closeLosers(book, results, running, count)
 	}
 	err := error(errNoAddress)
 	for begun < len(plan) || running > 0 {
@@ -183,36 +184,38 @@
 		}
 		select {
 		case <-next:
-		case <-ctx.Done(): // the attempt is over; what is under way tells what it tells
-			leave()
+		case <-ctx.Done(): // the call is over; record the attempts in progress
+			abandon()
 			return nil, addr.Address{}, ctx.Err()
 		case d := <-results:
 			running--
-			delete(under, d.step.Address)
+			delete(inProgress, d.step.Address)
 			if d.err == nil {
 				book.Connected(d.step.Address, d.took)
 				count(d.step.Family, "won")
-				leave()
+				abandon()
 				return d.conn, d.step.Address, nil
 			}
-			if err = d.err; ours(err) {
+			if err = d.err; isLocal(err) {
 				book.Left(c.now(), d.step.Address, 0)
 				count(d.step.Family, "ours")
 				if !addr.TryAgain(time.Since(began), within) || !pause.For(ctx, addr.Pause) {
-					err = errOurs
+					err = errLocal
 					continue
 				}
 				plan = append(plan[:begun:begun], append([]addr.Step{d.step}, plan[begun:]...)...)
 			} else {
-				c.lost(book, d, count)
+				c.recordFailure(book, d, count)
 			}
 		}
 	}
 	return nil, addr.Address{}, err
 }
 
-// losers closes what came up too late and books what did not.
-func (c *Caller) losers(book *addr.Book, results <-chan dialed, running int, count func(addr.Family, string)) {
+// closeLosers waits for the attempts that did not win, closes their connections and records their
+// results.
+func (c *Caller) closeLosers(book *addr.Book, results <-chan dialResult, running int,
+	count func(addr.Family, string)) {
 	for range running {
 		d := <-results
 		if d.err == nil {
@@ -220,18 +223,19 @@
 			book.Connected(d.step.Address, d.took)
 			count(d.step.Family, "lost")
 		} else {
-			c.lost(book, d, count)
+			c.recordFailure(book, d, count)
 		}
 	}
 }
 
-// lost books a connection that did not come up.
-func (c *Caller) lost(book *addr.Book, d dialed, count func(addr.Family, string)) {
+// recordFailure records a connection attempt that failed or was cancelled.
+func (c *Caller) recordFailure(book *addr.Book, d dialResult, count func(addr.Family, string)) {
 	switch {
-	case ours(d.err):
+	case isLocal(d.err):
 		book.Left(c.now(), d.step.Address, 0)
 		count(d.step.Family, "ours")
-	case !d.step.Trial && errors.Is(d.err, context.DeadlineExceeded) || errors.Is(d.err, context.Canceled) || errors.Is(d.err, net.ErrClosed) || isCanceled(d.err): // booked when it was called off
+	case !d.step.Trial && errors.Is(d.err, context.DeadlineExceeded) || errors.Is(d.err, context.Canceled) ||
+		errors.Is(d.err, net.ErrClosed) || isCanceled(d.err): // recorded when it was cancelled
 		count(d.step.Family, "left")
 	default:
 		book.Failed(c.now(), d.step.Address)
@@ -239,7 +243,7 @@
 	}
 }
 
-// isCanceled tells a dial that was called off: net says so by a text only.
+// isCanceled reports whether a dial was cancelled; package net says so by a text only.
 func isCanceled(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Err != nil && op.Err.Error() == "operation was canceled"
--- a/internal/partner/race_test.go
+++ b/internal/partner/race_test.go
@@ -27,18 +27,19 @@
 	return out
 }
 
-// A race: the good address carries the request though the first never connects;
-// a cancel during the race leaves nothing behind; with only dead addresses the
-// attempt ends as no connection, within its time.
+// Guards against a first address that never connects and delays or fails the call, against
+// connections left behind by a call aborted during the race, and against calls that outlast their
+// time-out if all addresses are dead.
 func TestRace(t *testing.T) {
 	good := peer(t, func(conn net.Conn, r *bufio.Reader) {
 		for request(r) == nil {
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	hole, refused := port.Unanswered(t), port.Refusing(t, "::1")
+	unanswered, refused := port.Unanswered(t), port.Refusing(t, "::1")
 	c := caller(t, true)
-	c.Addresses(map[string][]addr.Address{"e": addresses(t, refused, hole, good), "dead": addresses(t, refused, hole)})
+	c.Addresses(map[string][]addr.Address{"e": addresses(t, refused, unanswered, good),
+		"dead": addresses(t, refused, unanswered)})
 	for range 5 {
 		if e := do(t, c, "e", nil); e.Outcome != choice.Served {
 			t.Fatalf("outcome %d", e.Outcome)
@@ -46,7 +47,7 @@
 		c.CloseIdle("e")
 	}
 	if p := c.book("e").Plan(c.now(), time.Second); p[0].Addr != good {
-		t.Errorf("learned: %+v", p)
+		t.Errorf("the working address is not first: %+v", p)
 	}
 	ended := make(chan core.Ending, 4)
 	send := func(within time.Duration) core.Attempt {
@@ -57,24 +58,24 @@
 	}
 	send(300 * time.Millisecond)
 	if e := <-ended; e.Outcome != choice.NoConnection {
-		t.Errorf("only dead ones: outcome %d", e.Outcome)
+		t.Errorf("only dead addresses: outcome %d", e.Outcome)
 	}
 	connections := func(host string, want int) func() bool {
 		return func() bool { return c.Connections(host) == want }
 	}
-	until(t, "the end of the races", connections("dead", 0))
-	// An address leaves the list with a connection kept to it. The one before that counts
-	// until its own goroutine has taken in that it was closed.
+	waitFor(t, "the races are over", connections("dead", 0))
+	// An address is removed while there is an idle connection to it. The previous connection counts
+	// until its own goroutine has handled its close.
 	if e := do(t, c, "e", nil); e.Outcome != choice.Served {
 		t.Fatalf("outcome %d", e.Outcome)
 	}
-	until(t, "one connection", connections("e", 1))
+	waitFor(t, "a single connection", connections("e", 1))
 	c.Addresses(map[string][]addr.Address{"e": addresses(t, refused)})
-	until(t, "the end of the connection kept", connections("e", 0))
+	waitFor(t, "the idle connection is closed", connections("e", 0))
 }
 
-// What a first address that never connects adds to a connection: at first, once
-// it is learned, without any fallback needed, and with net.Dialer's own.
+// Measures what a first address that never connects adds to the connect time: before it is known,
+// once it is known, without such an address, and with net.Dialer.
 func BenchmarkDeadFirst(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -90,7 +91,7 @@
 			_ = conn.Close()
 		}
 	}()
-	good, hole := l.Addr().String(), port.Unanswered(b)
+	good, unanswered := l.Addr().String(), port.Unanswered(b)
 	c, err := New(Options{Targets: []Target{{}}, Keep: addr.KeepSettings{Idle: time.Minute}})
 	if err != nil {
 		b.Fatal(err)
@@ -117,15 +118,17 @@
 			return conn, err
 		}
 	}
-	b.Run("good alone", func(b *testing.B) { measure(b, race(addr.NewBook("e", &addr.Families{}, addresses(b, good)))) })
-	book := addr.NewBook("e", &addr.Families{}, addresses(b, hole, good))
+	b.Run("good alone", func(b *testing.B) {
+		measure(b, race(addr.NewBook("e", &addr.Families{}, addresses(b, good))))
+	})
+	book := addr.NewBook("e", &addr.Families{}, addresses(b, unanswered, good))
 	b.Run("first call", func(b *testing.B) {
 		measure(b, func() (net.Conn, error) {
-			return race(addr.NewBook("e", &addr.Families{}, addresses(b, hole, good)))()
+			return race(addr.NewBook("e", &addr.Families{}, addresses(b, unanswered, good)))()
 		})
 	})
 	b.Run("learned", func(b *testing.B) { measure(b, race(book)) })
-	b.Run("net.Dialer", func(b *testing.B) { // ::1 refuses at once, which is the milder case
+	b.Run("net.Dialer", func(b *testing.B) { // ::1 refuses at once, which is less severe
 		_, port, _ := net.SplitHostPort(good)
 		measure(b, func() (net.Conn, error) { return net.Dial("tcp", "localhost:"+port) })
 	})
