--- a/internal/addr/addr_test.go
+++ b/internal/addr/addr_test.go
@@ -111,7 +111,7 @@
 
 // Guards against a delay for new addresses that ignores the connect times of their family: it
 // follows them, but not below its lower bound.
-func TestStrangersDelay(t *testing.T) {
+func TestDelayOfNewAddresses(t *testing.T) {
 	f := &Families{}
 	other := NewBook("other", f, parse(t, "[::9]:1"))
 	plan := func() time.Duration {
--- a/internal/addr/names_test.go
+++ b/internal/addr/names_test.go
@@ -69,7 +69,7 @@
 // Guards against an answer with a hundred addresses that is used whole or makes the addresses in
 // use change, and against a name that resolves to an address of another partner, which only an
 // authenticated endpoint may use.
-func TestNamesBelieved(t *testing.T) {
+func TestNamesLimitsAndConflicts(t *testing.T) {
 	n := NewNames(DefaultNames, 1)
 	secure := Endpoint{Host: "c:1", Partner: 2, Secure: true, Addrs: parse(t, "c.example:80")}
 	n.Set(0, []Endpoint{{Host: "a:1", Partner: 0, Addrs: parse(t, "a.example:80")},
--- a/internal/partner/believe_test.go
+++ b/internal/partner/believe_test.go
@@ -82,7 +82,7 @@
 // Guards against an answer that stays valid although unsolicited bytes follow it, which shows that
 // the answer may have belonged to an earlier call, and against a host that sent such bytes and is
 // trusted as before.
-func TestBytesNobodyAskedForRetractTheLastAnswer(t *testing.T) {
+func TestUnsolicitedBytesRetractTheLastAnswer(t *testing.T) {
 	host := startScripted(t, servedResponse, refusedResponse)
 	c := hookCaller(t, host.addr)
 	waits := make(chan time.Duration, 1)
@@ -118,7 +118,7 @@
 
 // Guards against a call that goes out on a connection right after a refusal that may have belonged
 // to another call.
-func TestConnectionBehindARefusalIsSetAside(t *testing.T) {
+func TestConnectionIsNotReusedAfterAnUnconfirmedRefusal(t *testing.T) {
 	host := startScripted(t, servedResponse, refusedResponse, servedResponse)
 	c := hookCaller(t, host.addr)
 	sendDoubtable(t, c, "first")
@@ -148,7 +148,7 @@
 
 // Guards against an answer taken for that of a call although it was there before: further bytes
 // follow the answer, or the host is known to send duplicates.
-func TestAnswersOfADoubtedHostAreBelievedOnFirstCallsOnly(t *testing.T) {
+func TestDistrustedHostGetsOneCallPerConnection(t *testing.T) {
 	host := startScripted(t, servedResponse, servedResponse+refusedResponse)
 	c := hookCaller(t, host.addr)
 	sendDoubtable(t, c, "first")
@@ -163,7 +163,7 @@
 
 // Guards against an answer that is accepted for a later call on a connection although it came
 // before that call was written: it is a duplicate of an earlier answer.
-func TestAnswerBeforeItsCallIsWrittenIsNobodysOnAUsedConnection(t *testing.T) {
+func TestEarlyAnswerOnAReusedConnectionIsNotAccepted(t *testing.T) {
 	const large = 32 << 20 // larger than any socket buffer
 	over := make(chan struct{})
 	defer close(over)
--- a/internal/partner/hard_test.go
+++ b/internal/partner/hard_test.go
@@ -128,7 +128,7 @@
 
 // Guards against a request that is written to a connection established after the call was aborted
 // or recalled.
-func TestTooLate(t *testing.T) {
+func TestConnectionAfterAbortCarriesNothing(t *testing.T) {
 	server, client := tlsPair(t)
 	gate, shaking := make(chan struct{}), make(chan struct{}, 4)
 	server.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -164,7 +164,7 @@
 
 // Guards against a request that is sent twice when two addresses connect at the same time: the
 // connection that loses is closed without a byte.
-func TestBothConnect(t *testing.T) {
+func TestLosingConnectionCarriesNothing(t *testing.T) {
 	var unused, used atomic.Int64
 	script := func(c net.Conn, r *bufio.Reader) {
 		if request(r) != nil {
@@ -194,7 +194,7 @@
 
 // Guards against a request that is written a second time after it was written to a connection that
 // closed without an answer. The address answers every third connection only.
-func TestEachThird(t *testing.T) {
+func TestUnansweredRequestIsNotWrittenAgain(t *testing.T) {
 	var n, requests atomic.Int64
 	odd := serve(t, listen(t, "tcp", "127.0.0.1:0"), func(c net.Conn, r *bufio.Reader) {
 		third := n.Add(1)%3 == 0
@@ -257,7 +257,7 @@
 
 // Guards against a call on a half-closed idle connection whose close the engine has not handled
 // yet. The End of the first call blocks the connection's goroutine to bring that about.
-func TestHalfClosedNoticed(t *testing.T) {
+func TestHalfClosedConnectionIsNotUsed(t *testing.T) {
 	closing, closed := make(chan struct{}), make(chan struct{})
 	var n atomic.Int64
 	at := serve(t, listen(t, "tcp", "127.0.0.1:0"), func(c net.Conn, r *bufio.Reader) {
@@ -357,7 +357,7 @@
 
 // Guards against a call that has to wait for a connection because the peer closes its idle ones: a
 // spare is opened in advance. A draining endpoint gets none.
-func TestSpareOpened(t *testing.T) {
+func TestSpareReplacesClosedConnection(t *testing.T) {
 	var conns, requests atomic.Int64
 	let := make(chan struct{}, 10)
 	at := serve(t, listen(t, "tcp", "127.0.0.1:0"), func(c net.Conn, r *bufio.Reader) {
--- a/internal/partner/hook_test.go
+++ b/internal/partner/hook_test.go
@@ -137,7 +137,7 @@
 
 // Guards against bytes after a response that are taken for the response to the next call, whether
 // they arrive with the response or after it. The connection must not be reused.
-func TestHookBytesNobodyAskedFor(t *testing.T) {
+func TestHookUnsolicitedBytes(t *testing.T) {
 	for _, later := range []bool{false, true} {
 		var calls atomic.Int32
 		c := hookCaller(t, peer(t, func(conn net.Conn, r *bufio.Reader) {
@@ -173,7 +173,7 @@
 }
 
 // Guards against more idle connections to all hosts together than configured.
-func TestHookConnectionsOfAllHosts(t *testing.T) {
+func TestConnectionLimitOverAllHosts(t *testing.T) {
 	at := answering(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	c := hookCaller(t, at)
 	c.opt.Descriptors = 5
@@ -203,7 +203,7 @@
 
 // Guards against wrong outcomes for calls that carry several messages: the request names each
 // message, each has its own outcome, and one that the response does not name may have run.
-func TestHookSeveral(t *testing.T) {
+func TestHookBatch(t *testing.T) {
 	var got []item
 	var path string
 	c := hookCaller(t, peer(t, func(conn net.Conn, r *bufio.Reader) {
@@ -273,7 +273,7 @@
 // Guards against a call that is written after the window in which the host recognises a repeat,
 // because its connection took too long. It ends as not sent, and the connection serves the next
 // call.
-func TestNothingIsWrittenTooLate(t *testing.T) {
+func TestNothingIsWrittenAfterTheRepeatWindow(t *testing.T) {
 	var calls atomic.Int32
 	c := hookCaller(t, serving(t, func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
 	ended := make(chan core.Ending, 1)
@@ -290,7 +290,7 @@
 // Guards against a client's idempotency key that is lost or changed on the way: it is a header
 // field of a single message, and the key of each of several. Without one, the key of a message in a
 // batch is its order key.
-func TestIdempotencyKeyGoesOn(t *testing.T) {
+func TestIdempotencyKeyIsForwarded(t *testing.T) {
 	type seen struct{ field, body string }
 	calls := make(chan seen, 2)
 	c := hookCaller(t, serving(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/partner/partner_test.go
+++ b/internal/partner/partner_test.go
@@ -148,7 +148,7 @@
 // Guards against an idle connection that is not reused, against a call on one that the peer closed,
 // and against NoConnection as the outcome of a call whose connection was closed under the request,
 // which may have run.
-func TestKeptConnections(t *testing.T) {
+func TestIdleConnectionReuse(t *testing.T) {
 	seen := make(chan string, 10)
 	how := make(chan string, 10)
 	host := peer(t, func(conn net.Conn, r *bufio.Reader) {
@@ -237,7 +237,7 @@
 }
 
 // Guards against a call that ends twice, or not at all, if an abort races with its answer.
-func TestAbortCrossesAnswer(t *testing.T) {
+func TestAbortRacesWithAnswer(t *testing.T) {
 	host := peer(t, func(conn net.Conn, r *bufio.Reader) {
 		for request(r) == nil {
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
