--- a/internal/addr/addr.go
+++ b/internal/addr/addr.go
@@ -128,11 +128,10 @@
 }
 
 // recordConnectTime adds the connect time of a successful attempt.
-
-func (f *Families) recordConnectTime(family Family, recordConnectTime time.Duration) {
+func (f *Families) recordConnectTime(family Family, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	smooth(&f.srtt[family], &f.rttvar[family], recordConnectTime)
+	smooth(&f.srtt[family], &f.rttvar[family], took)
 	f.samples[family] = min(f.samples[family]+1, minSamples)
 }
 
@@ -281,8 +280,8 @@
 		steps = append(steps, Step{Address: s.Address, After: start})
 	}
 	for i, s := range order[:len(steps)] { // a trial starts together with the first attempt
-		backedOff := s.failures > 0 && now >= s.backoffUntil && !s.inTrial
-		if i > 0 && (backedOff || s.failures == 0 && b.families.Broken(s.Family) &&
+		afterBackoff := s.failures > 0 && now >= s.backoffUntil && !s.inTrial
+		if i > 0 && (afterBackoff || s.failures == 0 && b.families.Broken(s.Family) &&
 			b.families.trialDue(now, s.Family)) {
 			s.inTrial = true
 			steps[i].After, steps[i].Trial = 0, true
@@ -396,7 +395,6 @@
 
 // Hung records a call that an address accepted and did not answer. The call is not repeated at
 // another address within the attempt; the next attempt prefers another one.
-
 func (b *Book) Hung(now time.Duration, a Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/addr/namecache_test.go
+++ b/internal/addr/namecache_test.go
@@ -17,7 +17,6 @@
 }
 
 // ask marks the names that are due as queried, and fails unless host is among them.
-
 func ask(t interface{ Fatalf(string, ...any) }, n *Names, now time.Duration, host string) {
 	due, _ := n.Due(now)
 	for _, d := range due {
--- a/internal/addr/poolpolicy.go
+++ b/internal/addr/poolpolicy.go
@@ -52,10 +52,10 @@
 }
 
 // decayedPeak returns the peak of concurrent calls, decayed to now.
-func (k *Keep) decayedPeak(decayedPeak time.Duration) float64 {
-	if decayedPeak > k.peakAt {
-		k.peak *= math.Exp(-float64(decayedPeak-k.peakAt) / float64(peakDecay))
-		k.peakAt = decayedPeak
+func (k *Keep) decayedPeak(now time.Duration) float64 {
+	if now > k.peakAt {
+		k.peak *= math.Exp(-float64(now-k.peakAt) / float64(peakDecay))
+		k.peakAt = now
 	}
 	return k.peak
 }
--- a/internal/partner/attribution.go
+++ b/internal/partner/attribution.go
@@ -285,7 +285,7 @@
 
 // matchMessages reports whether a response names the messages of the call, all of them and no
 // others; foreign reports whether it names any other.
-func (r *response) matchMessages(k *call) (matchMessages, foreign bool) {
+func (r *response) matchMessages(k *call) (matches, foreign bool) {
 	if !r.hook || !r.Done() || r.status != http.StatusOK {
 		return false, false
 	}
--- a/internal/partner/call.go
+++ b/internal/partner/call.go
@@ -196,7 +196,7 @@
 func (k *call) Abort() (started, ok bool) {
 	k.mu.Lock()
 	if cn := k.conn; cn != nil && !k.state.Ended() {
-		if belief, told := cn.sawOK(k); told {
+		if belief, ok := cn.sawOK(k); ok {
 			k.mu.Unlock()
 			k.endWith(malformed, &response{firstStatus: http.StatusOK}, attribution{belief: belief})
 			cn.drop(k)
--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -27,7 +27,7 @@
 	state       lifecycle.PeerConn
 	call        *call
 	readingRest bool // the call has ended, the rest of its response is still to be read
-	removed     atomic.Bool
+	removed     atomic.Bool // it has left its pool
 	resp        response
 	// Time when it was established, age limit, and time when it became idle; under pool.mu.
 	established, maxAge, idleSince time.Duration
@@ -50,7 +50,7 @@
 // sawOK reports whether the response to a call with a single message, in the platform's format, has
 // begun with status 200, and the attribution of that status line. What follows the line is not
 // considered.
-func (cn *conn) sawOK(k *call) (belief lifecycle.Belief, sawOK bool) {
+func (cn *conn) sawOK(k *call) (belief lifecycle.Belief, ok bool) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	if cn.call != k || !cn.resp.hook || len(k.Several) > 0 || cn.resp.firstStatus != http.StatusOK {
@@ -167,9 +167,9 @@
 		cn.book.Answered(cn.addr)
 	}
 	cn.call = nil
-	what, keep := answered, cn.resp.reusable && belief != lifecycle.Doubtful
+	ev, keep := answered, cn.resp.reusable && belief != lifecycle.Doubtful
 	if !cn.allSent() {
-		what, keep = answeredEarly, false
+		ev, keep = answeredEarly, false
 	}
 	cn.mu.Unlock()
 	switch {
@@ -180,7 +180,7 @@
 	default:
 		_ = cn.sock.Close() // unconfirmed answers are retracted when the connection has closed
 	}
-	k.endWith(what, &r, attr)
+	k.endWith(ev, &r, attr)
 	return nil, false
 }
 
@@ -205,10 +205,10 @@
 	k.endWith(malformed, r, attr)
 }
 
-// skipForeign skips a response that is not the call's own. One that names other messages is
-// skipped, since the call's own response names its messages as well. After one that was received
-// before the call was written, the responses cannot be told apart, and the call ends. It is called
-// with cn.mu held and unlocks it.
+// skipForeign handles a response that is not the call's own. A response that names other messages
+// is skipped: the call's own response names its messages too, and may still come. After a response
+// that was received before the call was written, it would be impossible to tell which response is
+// the call's own, so the call ends. skipForeign is called with cn.mu held and unlocks it.
 func (cn *conn) skipForeign(k *call, r *response, rest []byte) (left []byte, more bool) {
 	c := cn.pool.caller
 	now := c.now()
