--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -26,7 +26,7 @@
 	mu          sync.Mutex
 	state       lifecycle.PeerConn
 	call        *call
-	readingRest bool // the call has ended, the rest of its response is still to be read
+	readingRest bool        // the call has ended, the rest of its response is still to be read
 	removed     atomic.Bool // it has left its pool
 	resp        response
 	// Time when it was established, age limit, and time when it became idle; under pool.mu.
