--- a/cmd/basaltcross/addresses.go
+++ b/cmd/basaltcross/addresses.go
@@ -40,14 +40,14 @@
 			for _, host := range slices.Sorted(maps.Keys(known)) {
 				for _, k := range known[host] {
 					fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%d\t%d\t%v\n", host, k.Address, k.Family, k.Connect.Round(time.Microsecond),
-						k.Fails, k.Hung, k.Until.Round(time.Millisecond))
+						k.Failures, k.Hung, k.BackoffLeft.Round(time.Millisecond))
 				}
 			}
 			for i, k := range report.Names {
 				if i == 0 {
 					fmt.Fprintln(t, "\nname\taddresses\tTTL left\tfailed")
 				}
-				fmt.Fprintf(t, "%s\t%v\t%v\t%d\n", k.Name, k.Addrs, k.Left.Round(time.Second), k.Fails)
+				fmt.Fprintf(t, "%s\t%v\t%v\t%d\n", k.Name, k.Addrs, k.TTLLeft.Round(time.Second), k.Failures)
 			}
 			for _, x := range report.LeftOut {
 				fmt.Fprintf(t, "left out: %s of %s, another partner has it\n", x.Address, x.Host)
--- a/internal/addr/addr.go
+++ b/internal/addr/addr.go
@@ -1,10 +1,10 @@
-// Package addr plans how to reach an endpoint. A Book orders the endpoint's addresses and schedules
+// Package addr plans how to reach an endpoint. A Selector orders the endpoint's addresses and schedules
 // the staggered start of connection attempts to them (Happy Eyeballs, RFC 8305, with one
-// restriction: connections are raced, requests never are). A Keep sizes the pool of connections to
-// one endpoint, and Names schedules and validates the resolution of host names. The package does no
+// restriction: connections are raced, requests never are). A PoolPolicy sizes the pool of connections to
+// one endpoint, and a NameCache schedules and validates the resolution of host names. The package does no
 // I/O and reads no clock.
 //
-// For each address a Book tracks the connect time, failures to connect, and calls that were sent
+// For each address a Selector tracks the connect time, failures to connect, and calls that were sent
 // and not answered. The health of an address family is tracked over all endpoints, so that a family
 // that is down is detected once and not at every endpoint separately.
 package addr
@@ -29,7 +29,7 @@
 	Unix Family = iota
 	IPv6
 	IPv4
-	Name // a host name, resolved before it is connected to
+	Hostname // a host name, resolved before it is connected to
 	familyCount
 )
 
@@ -70,7 +70,7 @@
 	if !ok || host == "" || port == "" || strings.ContainsAny(s, " /[]") {
 		return Address{}, fmt.Errorf("addr: %q is neither host:port nor unix:/path", s)
 	}
-	return Address{"tcp", s, Name}, nil
+	return Address{"tcp", s, Hostname}, nil
 }
 
 // Bounds on the delay before the next connection attempt starts (RFC 8305, section 8), and on the
@@ -89,9 +89,9 @@
 	minBrokenEndpoints = 3
 )
 
-// Families tracks the health of the address families over all endpoints. It is safe for concurrent
+// FamilyHealth tracks the health of the address families over all endpoints. It is safe for concurrent
 // use.
-type Families struct {
+type FamilyHealth struct {
 	mu            sync.Mutex
 	failureRate   [familyCount]float64 // smoothed share of connection attempts that failed
 	failedAt      [familyCount]map[string]bool
@@ -104,7 +104,7 @@
 
 // trialDue reports whether a broken family may be tried again now, at whichever endpoint asks
 // first, and schedules the next trial.
-func (f *Families) trialDue(now time.Duration, family Family) bool {
+func (f *FamilyHealth) trialDue(now time.Duration, family Family) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if now < f.nextTrial[family] {
@@ -118,7 +118,7 @@
 // delay returns how long to wait for an address that has no connect time of its own before the next
 // attempt starts. It is derived from the connect times of the whole family, because a new address
 // is seldom much slower than all addresses measured so far.
-func (f *Families) delay(family Family) time.Duration {
+func (f *FamilyHealth) delay(family Family) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.samples[family] < minSamples {
@@ -128,7 +128,7 @@
 }
 
 // recordConnectTime adds the connect time of a successful attempt.
-func (f *Families) recordConnectTime(family Family, took time.Duration) {
+func (f *FamilyHealth) recordConnectTime(family Family, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	smooth(&f.srtt[family], &f.rttvar[family], took)
@@ -146,7 +146,7 @@
 }
 
 // recordResult adds the result of one connection attempt at an endpoint.
-func (f *Families) recordResult(family Family, endpoint string, failed bool) {
+func (f *FamilyHealth) recordResult(family Family, endpoint string, failed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	x := 0.0
@@ -165,7 +165,7 @@
 }
 
 // Broken reports whether connection attempts of a family fail at all endpoints.
-func (f *Families) Broken(family Family) bool {
+func (f *FamilyHealth) Broken(family Family) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failureRate[family] >= brokenFailureRate && len(f.failedAt[family]) >= minBrokenEndpoints
@@ -188,32 +188,32 @@
 type Step struct {
 	Address
 	After time.Duration // delay from the start of the race; shorter if all earlier attempts failed
-	// Trial marks an attempt that runs to its own end, at most TrialTime, even if another attempt
+	// Trial marks an attempt that runs to its own end, at most TrialTimeout, even if another attempt
 	// wins: it finds out whether the address has recovered.
 	Trial bool
 }
 
-// TrialTime is the time-out of a trial.
-const TrialTime = maxDelay
+// TrialTimeout is the time-out of a trial.
+const TrialTimeout = maxDelay
 
-// Book selects among the addresses of one endpoint and tracks their results. It is safe for
+// Selector orders the addresses of one endpoint and tracks their results. It is safe for
 // concurrent use.
-type Book struct {
+type Selector struct {
 	name     string
-	families *Families
+	families *FamilyHealth
 	mu       sync.Mutex
 	list     []*addressState
 }
 
-// NewBook returns the Book of an endpoint. Duplicate addresses are dropped.
-func NewBook(name string, families *Families, addrs []Address) *Book {
-	b := &Book{name: name, families: families}
+// NewSelector returns the Selector of an endpoint. Duplicate addresses are dropped.
+func NewSelector(name string, families *FamilyHealth, addrs []Address) *Selector {
+	b := &Selector{name: name, families: families}
 	b.Set(addrs)
 	return b
 }
 
 // Set replaces the addresses. The state of addresses that remain is kept.
-func (b *Book) Set(addrs []Address) {
+func (b *Selector) Set(addrs []Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := map[Address]*addressState{}
@@ -243,7 +243,7 @@
 // must be up within the given time. Addresses whose last connection failed come last. A failed
 // address whose back-off has ended is raced at once beside the best one, which costs a connection
 // and no time. An address with unanswered calls stays behind the others until its back-off ends.
-func (b *Book) Plan(now, within time.Duration) []Step {
+func (b *Selector) Plan(now, within time.Duration) []Step {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	order := slices.Clone(b.list)
@@ -292,7 +292,7 @@
 }
 
 // delay returns how long to wait for s to connect before the next attempt starts.
-func (b *Book) delay(s *addressState) time.Duration {
+func (b *Selector) delay(s *addressState) time.Duration {
 	if s.srtt == 0 {
 		return b.families.delay(s.Family)
 	}
@@ -300,38 +300,38 @@
 }
 
 // Len returns the number of addresses.
-func (b *Book) Len() int {
+func (b *Selector) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.list)
 }
 
-// Handshake returns the time-out of the TLS handshake at one address, given the time left of an
+// HandshakeTimeout returns the time-out of the TLS handshake at one address, given the time left of an
 // attempt, and whether it is the last address to be tried. Half of the time is reserved for the
-// other addresses. A nil Book stands for a single address.
-func (b *Book) Handshake(tries int, left time.Duration) (within time.Duration, last bool) {
+// other addresses. A nil Selector stands for a single address.
+func (b *Selector) HandshakeTimeout(tries int, left time.Duration) (within time.Duration, last bool) {
 	if b == nil || tries >= b.Len() {
 		return left, true
 	}
 	return left / 2, false
 }
 
-// Pause is the delay before a connection is tried again after file descriptors, ports or memory of
+// LocalRetryDelay is the delay before a connection is tried again after file descriptors, ports or memory of
 // this process ran out.
-const Pause = 10 * time.Millisecond
+const LocalRetryDelay = 10 * time.Millisecond
 
-// TryAgain reports whether a connection that failed for want of local resources is tried again:
+// LocalRetryAllowed reports whether a connection that failed for want of local resources is tried again:
 // during the first half of the attempt's time.
-func TryAgain(passed, within time.Duration) bool { return passed <= within/2 }
+func LocalRetryAllowed(passed, within time.Duration) bool { return passed <= within/2 }
 
 // Has reports whether an address is listed.
-func (b *Book) Has(a Address) bool {
+func (b *Selector) Has(a Address) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.find(a) != nil
 }
 
-func (b *Book) find(a Address) *addressState {
+func (b *Selector) find(a Address) *addressState {
 	for _, s := range b.list {
 		if s.Address == a {
 			return s
@@ -341,7 +341,7 @@
 }
 
 // Connected records a connection that was established, whether or not it won its race.
-func (b *Book) Connected(a Address, took time.Duration) {
+func (b *Selector) Connected(a Address, took time.Duration) {
 	b.families.recordResult(a.Family, b.name, false)
 	b.families.recordConnectTime(a.Family, took)
 	b.mu.Lock()
@@ -356,7 +356,7 @@
 
 // Failed records a connection that failed or timed out by itself. It is not called for one that was
 // cancelled because another won.
-func (b *Book) Failed(now time.Duration, a Address) {
+func (b *Selector) Failed(now time.Duration, a Address) {
 	b.families.recordResult(a.Family, b.name, true)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -367,10 +367,10 @@
 	}
 }
 
-// Left records a connection that was cancelled while undecided, so long after its start. An address
+// Cancelled records a connection that was cancelled while undecided, so long after its start. An address
 // that did not connect within its own delay counts as failed. If it was merely slow, its trial
 // beside the best address shows so soon, at no cost in time.
-func (b *Book) Left(now time.Duration, a Address, after time.Duration) {
+func (b *Selector) Cancelled(now time.Duration, a Address, after time.Duration) {
 	b.mu.Lock()
 	s := b.find(a)
 	slow := false
@@ -385,7 +385,7 @@
 }
 
 // Answered records that an address answered a call.
-func (b *Book) Answered(a Address) {
+func (b *Selector) Answered(a Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.find(a); s != nil {
@@ -395,7 +395,7 @@
 
 // Hung records a call that an address accepted and did not answer. The call is not repeated at
 // another address within the attempt; the next attempt prefers another one.
-func (b *Book) Hung(now time.Duration, a Address) {
+func (b *Selector) Hung(now time.Duration, a Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.find(a); s != nil {
@@ -413,22 +413,23 @@
 	s.retryAt = now + 8*pause
 }
 
-// Known is the status of one address, as reports show it.
-type Known struct {
-	Address string        `json:"address"`
-	Family  string        `json:"family"`
-	Connect time.Duration `json:"connect_ns"` // smoothed connect time, 0 if unknown
-	Fails   int           `json:"fails"`      // consecutive failed connections
-	Hung    int           `json:"hung"`       // consecutive unanswered calls
-	Until   time.Duration `json:"left_alone_ns"`
+// AddressStatus is the status of one address, as reports show it.
+type AddressStatus struct {
+	Address     string        `json:"address"`
+	Family      string        `json:"family"`
+	Connect     time.Duration `json:"connect_ns"` // smoothed connect time, 0 if unknown
+	Failures    int           `json:"fails"`      // consecutive failed connections
+	Hung        int           `json:"hung"`       // consecutive unanswered calls
+	BackoffLeft time.Duration `json:"left_alone_ns"`
 }
 
-// Known returns the status of all addresses, in the order of the list.
-func (b *Book) Known(now time.Duration) (out []Known) {
+// Status returns the status of all addresses, in the order of the list.
+func (b *Selector) Status(now time.Duration) (out []AddressStatus) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.list {
-		out = append(out, Known{s.String(), s.Family.String(), s.srtt, s.failures, s.hung, max(0, s.backoffUntil-now)})
+		out = append(out, AddressStatus{s.String(), s.Family.String(), s.srtt, s.failures, s.hung,
+			max(0, s.backoffUntil-now)})
 	}
 	return out
 }
--- a/internal/addr/addr_test.go
+++ b/internal/addr/addr_test.go
@@ -36,7 +36,7 @@
 // used again after it has recovered: it is tried beside the other address after its back-off.
 func TestDeadFirst(t *testing.T) {
 	a := parse(t, "127.0.0.1:1", "[::1]:1", "127.0.0.1:1")
-	b := NewBook("e", &Families{}, a)
+	b := NewSelector("e", &FamilyHealth{}, a)
 	p := b.Plan(0, time.Second)
 	if len(p) != 2 || p[0].Family != IPv6 || p[1].After != defaultDelay {
 		t.Fatalf("at first: %+v", p)
@@ -78,9 +78,9 @@
 
 // Guards against a dead family that is detected at every endpoint separately instead of at three.
 func TestDeadFamily(t *testing.T) {
-	f := &Families{}
+	f := &FamilyHealth{}
 	for i := range 30 {
-		b := NewBook(fmt.Sprint(i), f, parse(t, "[::1]:1", "127.0.0.1:1"))
+		b := NewSelector(fmt.Sprint(i), f, parse(t, "[::1]:1", "127.0.0.1:1"))
 		p := b.Plan(0, time.Second)
 		if i >= 25 && p[0].Family != IPv4 {
 			t.Fatalf("endpoint %d: %+v", i, p)
@@ -94,7 +94,7 @@
 	// A single trial at any endpoint tests the family for all.
 	trials := 0
 	for i := range 30 {
-		b := NewBook(fmt.Sprint(i), f, parse(t, "[::1]:1", "127.0.0.1:1"))
+		b := NewSelector(fmt.Sprint(i), f, parse(t, "[::1]:1", "127.0.0.1:1"))
 		if p := b.Plan(time.Minute, time.Second); p[1].Trial {
 			trials++
 		}
@@ -102,7 +102,7 @@
 	if trials != 1 {
 		t.Errorf("%d trials, want 1", trials)
 	}
-	one := NewBook("x", f, parse(t, "[::1]:1"))
+	one := NewSelector("x", f, parse(t, "[::1]:1"))
 	one.Connected(parse(t, "[::1]:1")[0], ms)
 	if f.Broken(IPv6) {
 		t.Error("the family is broken after a successful connection")
@@ -112,10 +112,10 @@
 // Guards against a delay for new addresses that ignores the connect times of their family: it
 // follows them, but not below its lower bound.
 func TestDelayOfNewAddresses(t *testing.T) {
-	f := &Families{}
-	other := NewBook("other", f, parse(t, "[::9]:1"))
+	f := &FamilyHealth{}
+	other := NewSelector("other", f, parse(t, "[::9]:1"))
 	plan := func() time.Duration {
-		return NewBook("e", f, parse(t, "[::1]:1", "127.0.0.1:1")).Plan(0, 10*time.Second)[1].After
+		return NewSelector("e", f, parse(t, "[::1]:1", "127.0.0.1:1")).Plan(0, 10*time.Second)[1].After
 	}
 	if d := plan(); d != defaultDelay {
 		t.Errorf("delay without connect times: %v", d)
@@ -140,7 +140,7 @@
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := parse(t, "127.0.0.1:1", "127.0.0.2:1", "[::1]:1", "[::2]:1", "unix:/a", "name:1")
-		b := NewBook("e", &Families{}, all)
+		b := NewSelector("e", &FamilyHealth{}, all)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * ms
@@ -154,7 +154,7 @@
 			case 2:
 				b.Hung(now, a)
 			case 3:
-				b.Left(now, a, took)
+				b.Cancelled(now, a, took)
 			case 4:
 				b.Answered(a)
 			case 5:
--- a/internal/addr/namecache.go
+++ b/internal/addr/namecache.go
@@ -19,17 +19,17 @@
 	Addrs  []Address
 }
 
-// NamesSettings limit the effect of a resolver's answers.
-type NamesSettings struct {
-	Least, Most time.Duration // bounds on the TTL of an answer; Least is above 0
-	Stale       time.Duration // how long an expired answer is used while the resolver fails (RFC 8767)
-	Each        int           // limit on the addresses used per name
-	Asking      int           // limit on concurrent queries
+// NameCacheSettings limit the effect of a resolver's answers.
+type NameCacheSettings struct {
+	MinTTL, MaxTTL time.Duration // bounds on the TTL of an answer; MinTTL is above 0
+	MaxStale       time.Duration // how long an expired answer is used while the resolver fails (RFC 8767)
+	MaxAddresses   int           // limit on the addresses used per name
+	MaxQueries     int           // limit on concurrent queries
 }
 
-// DefaultNames are the settings that fit most installations.
-var DefaultNames = NamesSettings{Least: time.Second, Most: 10 * time.Minute, Stale: 24 * time.Hour,
-	Each: 16, Asking: 16}
+// DefaultNameCacheSettings are the settings that fit most installations.
+var DefaultNameCacheSettings = NameCacheSettings{MinTTL: time.Second, MaxTTL: 10 * time.Minute,
+	MaxStale: 24 * time.Hour, MaxAddresses: 16, MaxQueries: 16}
 
 // Answer is a resolver's answer to the query for a name.
 type Answer struct {
@@ -56,11 +56,11 @@
 	Partner int // the partner that has the address
 }
 
-// Names keeps the addresses of the host names in an endpoint list: it schedules the queries,
+// NameCache keeps the addresses of the host names in an endpoint list: it schedules the queries,
 // expires answers, and decides which addresses of an answer are accepted and used. It does no I/O,
 // reads no clock, and draws random numbers from a seed only. It is not safe for concurrent use.
-type Names struct {
-	settings NamesSettings
+type NameCache struct {
+	settings NameCacheSettings
 	rand     *rand.Rand
 	list     []Endpoint
 	names    map[string]*nameState
@@ -91,15 +91,15 @@
 	maxQueryBackoff = 30 * time.Second
 )
 
-// NewNames returns a Names that draws its random numbers from the seed.
-func NewNames(set NamesSettings, seed uint64) *Names {
-	return &Names{settings: set, rand: rand.New(rand.NewPCG(seed, 7)), names: map[string]*nameState{},
+// NewNameCache returns a NameCache that draws its random numbers from the seed.
+func NewNameCache(set NameCacheSettings, seed uint64) *NameCache {
+	return &NameCache{settings: set, rand: rand.New(rand.NewPCG(seed, 7)), names: map[string]*nameState{},
 		claims: map[Address]claim{}}
 }
 
-// Set replaces the endpoint list. It returns the addresses of each endpoint that needs a Book,
+// Set replaces the endpoint list. It returns the addresses of each endpoint that needs a Selector,
 // which is one with several addresses or with a host name. The state of names that remain is kept.
-func (n *Names) Set(now time.Duration, list []Endpoint) map[string][]Address {
+func (n *NameCache) Set(now time.Duration, list []Endpoint) map[string][]Address {
 	n.list = list
 	clear(n.claims)
 	n.claimed = make([][]Address, len(list))
@@ -108,7 +108,7 @@
 	n.names = map[string]*nameState{}
 	for i, e := range list {
 		for _, a := range e.Addrs {
-			if a.Family != Name {
+			if a.Family != Hostname {
 				if c, ok := n.claims[a]; !ok && !e.Secure {
 					n.claims[a] = claim{e.Partner, true, 1}
 				} else if ok {
@@ -139,7 +139,7 @@
 	}
 	out := map[string][]Address{}
 	for i, e := range list {
-		if len(e.Addrs) > 1 || len(e.Addrs) == 1 && (e.Addrs[0].Family == Name || e.Addrs[0].String() != e.Host) {
+		if len(e.Addrs) > 1 || len(e.Addrs) == 1 && (e.Addrs[0].Family == Hostname || e.Addrs[0].String() != e.Host) {
 			out[e.Host] = n.expand(i)
 		}
 	}
@@ -148,12 +148,12 @@
 
 // expand replaces the host names of an endpoint by their addresses, and claims those for its
 // partner.
-func (n *Names) expand(i int) []Address {
+func (n *NameCache) expand(i int) []Address {
 	e := n.list[i]
 	n.release(i)
 	out := make([]Address, 0, len(e.Addrs))
 	for _, a := range e.Addrs {
-		if a.Family != Name {
+		if a.Family != Hostname {
 			out = append(out, a)
 			continue
 		}
@@ -179,7 +179,7 @@
 }
 
 // release gives up the addresses claimed for an endpoint, and removes its conflicts.
-func (n *Names) release(i int) {
+func (n *NameCache) release(i int) {
 	for _, at := range n.claimed[i] {
 		c := n.claims[at]
 		if c.users--; c.users <= 0 && !c.listed {
@@ -194,7 +194,7 @@
 
 // Due returns the names to query now, the longest overdue first, and when to call it again at the
 // latest. The time is negative if nothing is due before an outstanding query ends.
-func (n *Names) Due(now time.Duration) (ask []string, next time.Duration) {
+func (n *NameCache) Due(now time.Duration) (ask []string, next time.Duration) {
 	next = -1
 	for host, k := range n.names {
 		switch {
@@ -208,7 +208,7 @@
 	slices.SortFunc(ask, func(x, y string) int {
 		return cmp.Or(cmp.Compare(n.names[x].nextQuery, n.names[y].nextQuery), cmp.Compare(x, y))
 	})
-	ask = ask[:min(len(ask), max(0, n.settings.Asking-n.outstanding))]
+	ask = ask[:min(len(ask), max(0, n.settings.MaxQueries-n.outstanding))]
 	for _, host := range ask {
 		n.names[host].querying = true
 	}
@@ -218,7 +218,7 @@
 
 // Answered records the result of a query, and returns the addresses of the endpoints that it
 // changes.
-func (n *Names) Answered(now time.Duration, host string, a Answer) map[string][]Address {
+func (n *NameCache) Answered(now time.Duration, host string, a Answer) map[string][]Address {
 	k := n.names[host]
 	if k == nil || !k.querying {
 		return nil
@@ -230,7 +230,7 @@
 	case a.Failed:
 		k.failures++
 		k.nextQuery = now + n.jitter(min(queryBackoff<<min(k.failures-1, 10), maxQueryBackoff))
-		if now < k.expires+n.settings.Stale {
+		if now < k.expires+n.settings.MaxStale {
 			return nil
 		}
 		// The answer is older than the limit for stale ones: drop it.
@@ -245,7 +245,7 @@
 		}
 		k.expires, k.nextQuery = now, now+n.jitter(min(max(a.TTL, emptyConfirmation), maxQueryBackoff))
 	default:
-		ttl := min(max(a.TTL, n.settings.Least), n.settings.Most)
+		ttl := min(max(a.TTL, n.settings.MinTTL), n.settings.MaxTTL)
 		k.failures, k.emptySince, k.expires = 0, 0, now+ttl
 		k.nextQuery = now + n.jitter(ttl) // before the answer expires, so that no call waits for a query
 		next = n.pick(k.addrs, a.Addrs)
@@ -269,14 +269,14 @@
 
 // jitter draws a time between 80 % and 100 % of d, so that neither names nor relays query in
 // lockstep.
-func (n *Names) jitter(d time.Duration) time.Duration {
+func (n *NameCache) jitter(d time.Duration) time.Duration {
 	return d - time.Duration(n.rand.Float64()*float64(d)/5)
 }
 
 // pick selects which addresses of an answer to use. Addresses already in use stay, so that their
 // connections do; others are drawn at random, so that the relays of a fleet spread over them. The
 // families alternate.
-func (n *Names) pick(old, all []netip.Addr) []netip.Addr {
+func (n *NameCache) pick(old, all []netip.Addr) []netip.Addr {
 	var perFamily [2][]netip.Addr
 	seen := map[netip.Addr]bool{}
 	for _, ip := range all {
@@ -298,9 +298,9 @@
 			return cmp.Compare(indexOrLen(old, x), indexOrLen(old, y))
 		})
 	}
-	for i := 0; len(out) < n.settings.Each && i < max(len(perFamily[0]), len(perFamily[1])); i++ {
+	for i := 0; len(out) < n.settings.MaxAddresses && i < max(len(perFamily[0]), len(perFamily[1])); i++ {
 		for _, l := range perFamily {
-			if i < len(l) && len(out) < n.settings.Each {
+			if i < len(l) && len(out) < n.settings.MaxAddresses {
 				out = append(out, l[i])
 			}
 		}
@@ -316,19 +316,19 @@
 	return len(list)
 }
 
-// Resolved is the status of one host name, as reports show it.
-type Resolved struct {
-	Name  string        `json:"name"`
-	Addrs []netip.Addr  `json:"addresses"`
-	Left  time.Duration `json:"ttl_left_ns"` // negative while an expired answer is used
-	Fails int           `json:"fails"`
+// NameStatus is the status of one host name, as reports show it.
+type NameStatus struct {
+	Name     string        `json:"name"`
+	Addrs    []netip.Addr  `json:"addresses"`
+	TTLLeft  time.Duration `json:"ttl_left_ns"` // negative while an expired answer is used
+	Failures int           `json:"fails"`
 }
 
-// Known returns the status of all names, sorted by name.
-func (n *Names) Known(now time.Duration) (out []Resolved) {
+// Status returns the status of all names, sorted by name.
+func (n *NameCache) Status(now time.Duration) (out []NameStatus) {
 	for host, k := range n.names {
-		out = append(out, Resolved{host, k.addrs, k.expires - now, k.failures})
+		out = append(out, NameStatus{host, k.addrs, k.expires - now, k.failures})
 	}
-	slices.SortFunc(out, func(x, y Resolved) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(out, func(x, y NameStatus) int { return cmp.Compare(x.Name, y.Name) })
 	return out
 }
--- a/internal/addr/namecache_test.go
+++ b/internal/addr/namecache_test.go
@@ -17,7 +17,7 @@
 }
 
 // ask marks the names that are due as queried, and fails unless host is among them.
-func ask(t interface{ Fatalf(string, ...any) }, n *Names, now time.Duration, host string) {
+func ask(t interface{ Fatalf(string, ...any) }, n *NameCache, now time.Duration, host string) {
 	due, _ := n.Due(now)
 	for _, d := range due {
 		if d == host {
@@ -30,7 +30,8 @@
 // Guards against TTLs that are not applied or not limited, and against addresses that are lost
 // while the resolver fails or after a single empty answer.
 func TestNamesTTL(t *testing.T) {
-	n := NewNames(NamesSettings{Least: time.Second, Most: time.Minute, Stale: time.Minute, Each: 4, Asking: 4}, 1)
+	n := NewNameCache(NameCacheSettings{MinTTL: time.Second, MaxTTL: time.Minute, MaxStale: time.Minute,
+		MaxAddresses: 4, MaxQueries: 4}, 1)
 	e := Endpoint{Host: "bank:1", Addrs: parse(t, "bank.example:80", "127.0.0.9:80")}
 	if got := n.Set(0, []Endpoint{e}); len(got["bank:1"]) != 1 {
 		t.Fatalf("before any answer: %v", got)
@@ -69,7 +70,7 @@
 // use change, and against a name that resolves to an address of another partner, which only an
 // authenticated endpoint may use.
 func TestNamesLimitsAndConflicts(t *testing.T) {
-	n := NewNames(DefaultNames, 1)
+	n := NewNameCache(DefaultNameCacheSettings, 1)
 	secure := Endpoint{Host: "c:1", Partner: 2, Secure: true, Addrs: parse(t, "c.example:80")}
 	n.Set(0, []Endpoint{{Host: "a:1", Partner: 0, Addrs: parse(t, "a.example:80")},
 		{Host: "127.0.0.7:80", Partner: 1, Addrs: parse(t, "127.0.0.7:80")}, secure})
@@ -109,8 +110,9 @@
 // again.
 func TestNamesAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := NamesSettings{Least: time.Second, Most: time.Minute, Stale: time.Minute, Each: 3, Asking: 2}
-		n := NewNames(set, 1)
+		set := NameCacheSettings{MinTTL: time.Second, MaxTTL: time.Minute, MaxStale: time.Minute,
+			MaxAddresses: 3, MaxQueries: 2}
+		n := NewNameCache(set, 1)
 		var list []Endpoint
 		for i := range 5 {
 			list = append(list, Endpoint{Host: fmt.Sprintf("e%d:1", i), Partner: i % 3,
@@ -122,7 +124,7 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * ms
 			due, next := n.Due(now)
-			if out = append(out, due...); len(out) > set.Asking {
+			if out = append(out, due...); len(out) > set.MaxQueries {
 				t.Fatalf("%d concurrent queries", len(out))
 			}
 			if len(out) == 0 && next < 0 {
@@ -145,7 +147,7 @@
 			}
 			owner := map[Address]int{}
 			for _, e := range list {
-				if len(held[e.Host]) > set.Each {
+				if len(held[e.Host]) > set.MaxAddresses {
 					t.Fatalf("%s has too many addresses: %v", e.Host, held[e.Host])
 				}
 				for _, a := range held[e.Host] {
--- a/internal/addr/poolpolicy_test.go
+++ b/internal/addr/poolpolicy_test.go
@@ -10,34 +10,34 @@
 // Guards against a missing spare connection while calls arrive, and against needless ones: after a
 // failed call, long after the last call, or while spares close unused.
 func TestSpares(t *testing.T) {
-	k := NewKeep(KeepSettings{Most: 8, Spare: 2, Connecting: 4}, 1)
-	k.Called(0, 3)
+	k := NewPoolPolicy(PoolSettings{MaxIdle: 8, MaxSpare: 2, MaxConnecting: 4}, 1)
+	k.CallStarted(0, 3)
 	if n := k.Spares(0, 0, 0, 0); n != 0 {
 		t.Errorf("%d spares before any answer", n)
 	}
-	k.Ended(0, true)
+	k.CallEnded(0, true)
 	if n := k.Spares(0, 0, 0, 0); n != 2 {
 		t.Errorf("%d spares after a peak of three calls, want 2", n)
 	}
 	if n := k.Spares(0, 2, 1, 0); n != 0 {
 		t.Errorf("%d spares with three open connections", n)
 	}
-	k.Ended(0, false)
+	k.CallEnded(0, false)
 	if n := k.Spares(0, 0, 0, 0); n != 0 {
 		t.Errorf("%d spares after a failed call", n)
 	}
-	k.Ended(0, true)
+	k.CallEnded(0, true)
 	for range 4 {
-		k.Spent(false)
+		k.ConnectionClosed(false)
 	}
 	if n := k.Spares(time.Second, 0, 0, 0); n != 0 {
 		t.Errorf("%d spares after four that closed unused", n)
 	}
-	k.Spent(true)
+	k.ConnectionClosed(true)
 	if n := k.Spares(time.Second, 0, 0, 0); n == 0 {
 		t.Error("no spares after one was used")
 	}
-	k.Dismissed(time.Second)
+	k.IdleClosed(time.Second)
 	if n := k.Spares(time.Second, 0, 0, 0); n != 0 {
 		t.Errorf("%d spares after the idle connections were closed on request", n)
 	}
@@ -50,9 +50,10 @@
 // Guards against connections beyond the limits, and against equal ages of connections.
 func TestKeepBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := KeepSettings{Idle: time.Second, Age: time.Minute, Most: rapid.IntRange(0, 5).Draw(t, "most"),
-			Spare: rapid.IntRange(0, 5).Draw(t, "spare"), Connecting: rapid.IntRange(1, 5).Draw(t, "connecting")}
-		k := NewKeep(set, 1)
+		set := PoolSettings{IdleTimeout: time.Second, MaxAge: time.Minute,
+			MaxIdle:  rapid.IntRange(0, 5).Draw(t, "most"),
+			MaxSpare: rapid.IntRange(0, 5).Draw(t, "spare"), MaxConnecting: rapid.IntRange(1, 5).Draw(t, "connecting")}
+		k := NewPoolPolicy(set, 1)
 		now, out, idle, connecting := time.Duration(0), 0, 0, 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * ms
@@ -60,14 +61,14 @@
 			case 0:
 				if idle > 0 {
 					idle, out = idle-1, out+1
-				} else if k.Dials(connecting) {
+				} else if k.MayDial(connecting) {
 					connecting++
 				}
-				k.Called(now, out+connecting)
+				k.CallStarted(now, out+connecting)
 			case 1:
 				if out > 0 {
 					out--
-					if k.Ended(now, rapid.Bool().Draw(t, "well")); k.Kept(idle) {
+					if k.CallEnded(now, rapid.Bool().Draw(t, "well")); k.MayKeepIdle(idle) {
 						idle++
 					}
 				}
@@ -77,16 +78,16 @@
 				}
 			case 3:
 				n := k.Spares(now, out, idle, connecting)
-				if n < 0 || n > 0 && idle+connecting+n > set.Spare {
+				if n < 0 || n > 0 && idle+connecting+n > set.MaxSpare {
 					t.Fatalf("%d spares beside %d idle and %d connecting", n, idle, connecting)
 				}
 				connecting += n
 			}
-			if connecting > set.Connecting || idle > set.Most {
+			if connecting > set.MaxConnecting || idle > set.MaxIdle {
 				t.Fatalf("%d connecting, %d idle of %+v", connecting, idle, set)
 			}
 		}
-		if a := k.Life(); a < 54*time.Second || a > 66*time.Second || a == k.Life() {
+		if a := k.DrawMaxAge(); a < 54*time.Second || a > 66*time.Second || a == k.DrawMaxAge() {
 			t.Fatalf("age limit %v", a)
 		}
 	})
--- a/internal/addr/scale_test.go
+++ b/internal/addr/scale_test.go
@@ -19,17 +19,17 @@
 }
 
 // Measures the memory per endpoint and the time to set a list of ten thousand endpoints with four
-// addresses each, resolve all names, create a Book for each, and plan a race at each.
+// addresses each, resolve all names, create a Selector for each, and plan a race at each.
 func BenchmarkTenThousand(b *testing.B) {
 	list := many(b, 10000)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	var books []*Book
+	var selectors []*Selector
 	for b.Loop() {
-		set := DefaultNames
-		set.Asking = 1 << 20
-		n := NewNames(set, 1)
+		set := DefaultNameCacheSettings
+		set.MaxQueries = 1 << 20
+		n := NewNameCache(set, 1)
 		all := n.Set(0, list)
 		due, _ := n.Due(0)
 		for i, name := range due {
@@ -38,17 +38,17 @@
 				all[host] = l
 			}
 		}
-		f := &Families{}
-		books = books[:0]
+		f := &FamilyHealth{}
+		selectors = selectors[:0]
 		for _, e := range list {
-			k := NewBook(e.Host, f, all[e.Host])
-			if books = append(books, k); len(k.Plan(0, time.Minute)) != 4 {
+			k := NewSelector(e.Host, f, all[e.Host])
+			if selectors = append(selectors, k); len(k.Plan(0, time.Minute)) != 4 {
 				b.Fatal("not four")
 			}
 		}
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(books)), "B/endpoint")
-	runtime.KeepAlive(books)
+	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(selectors)), "B/endpoint")
+	runtime.KeepAlive(selectors)
 }
--- a/internal/fleet/address.go
+++ b/internal/fleet/address.go
@@ -56,9 +56,9 @@
 	r := AddressResult{Learns: s.Learns}
 	chance := rand.New(rand.NewPCG(s.Seed, 5))
 	type place struct{ relay, endpoint int }
-	books := map[place]*addr.Book{}
+	books := map[place]*addr.Selector{}
 	last := map[place]time.Duration{}
-	families := make([]addr.Families, s.Relays)
+	families := make([]addr.FamilyHealth, s.Relays)
 	lists := make([][]addr.Address, s.Endpoints)
 	for e := range lists {
 		lists[e] = []addr.Address{{Network: "tcp", Addr: fmt.Sprintf("[fd00::%x]:443", e+1), Family: addr.IPv6},
@@ -83,11 +83,11 @@
 		if book == nil || s.Learns == NoMemory {
 			f := &families[at.relay]
 			if s.Learns != All {
-				f = &addr.Families{}
+				f = &addr.FamilyHealth{}
 			}
-			book = addr.NewBook("e", f, lists[at.endpoint])
+			book = addr.NewSelector("e", f, lists[at.endpoint])
 			if s.Learns == All {
-				book = addr.NewBook(fmt.Sprint(at.endpoint), f, lists[at.endpoint])
+				book = addr.NewSelector(fmt.Sprint(at.endpoint), f, lists[at.endpoint])
 			}
 			books[at] = book
 		}
@@ -107,10 +107,10 @@
 				book.Connected(step.Address, wait)
 			case step.Trial:
 				r.Extra++
-				book.Failed(now+addr.TrialTime, step.Address)
+				book.Failed(now+addr.TrialTimeout, step.Address)
 			case step.After < up: // begun, and called off
 				r.Extra++
-				book.Left(now+up, step.Address, up-step.After)
+				book.Cancelled(now+up, step.Address, up-step.After)
 			}
 		}
 		if dead {
--- a/internal/partner/attribution.go
+++ b/internal/partner/attribution.go
@@ -97,8 +97,8 @@
 // may be the real answer to a call that was ended by a duplicate of an earlier answer.
 func (cn *conn) unsolicited(b []byte) {
 	c := cn.pool.caller
-	if wait := c.longestWaitIn(b); wait > 0 && c.opt.Waits != nil {
-		c.opt.Waits(cn.host, cn.pool.partner, wait)
+	if wait := c.longestWaitIn(b); wait > 0 && c.opt.UnsolicitedWait != nil {
+		c.opt.UnsolicitedWait(cn.host, cn.pool.partner, wait)
 	}
 	cn.mu.Lock()
 	if cn.state.Phase() == lifecycle.PeerDoubted {
--- a/internal/partner/attribution_test.go
+++ b/internal/partner/attribution_test.go
@@ -86,7 +86,7 @@
 	host := startScripted(t, servedResponse, refusedResponse)
 	c := hookCaller(t, host.addr)
 	waits := make(chan time.Duration, 1)
-	c.opt.Waits = func(_ string, _ int, wait time.Duration) { waits <- wait }
+	c.opt.UnsolicitedWait = func(_ string, _ int, wait time.Duration) { waits <- wait }
 	first, _ := sendDoubtable(t, c, "first")
 	// A usual answer time of a minute: the second answer is still unconfirmed when the bytes come.
 	c.conduct.Took(c.now(), "h", time.Minute)
@@ -186,7 +186,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.Addresses(map[string][]addr.Address{"h": {a}})
+			c.SetAddresses(map[string][]addr.Address{"h": {a}})
 		}
 		sendDoubtable(t, c, "first")
 		ended := make(chan core.Ending, 1)
--- a/internal/partner/call.go
+++ b/internal/partner/call.go
@@ -170,7 +170,7 @@
 	if h := k.caller.opt.Hook; h != nil {
 		return h.ending(ev, r, &k.Call)
 	}
-	e.Outcome, e.Wait = outcome(ev, r.status, r.retryAfter, k.caller.opt.Targets[k.Partner].Promises, now)
+	e.Outcome, e.Wait = outcome(ev, r.status, r.retryAfter, k.caller.opt.Targets[k.Partner].RefusalNeverRan, now)
 	return e
 }
 
@@ -196,7 +196,7 @@
 func (k *call) Abort() (started, ok bool) {
 	k.mu.Lock()
 	if cn := k.conn; cn != nil && !k.state.Ended() {
-		if belief, ok := cn.sawOK(k); ok {
+		if belief, decided := cn.sawOK(k); decided {
 			k.mu.Unlock()
 			k.endWith(malformed, &response{firstStatus: http.StatusOK}, attribution{belief: belief})
 			cn.drop(k)
--- a/internal/partner/caller.go
+++ b/internal/partner/caller.go
@@ -21,39 +21,39 @@
 
 // Target is the form of the calls to one partner.
 type Target struct {
-	Path     string
-	Host     string // value of the Host field; empty for the endpoint's address
-	Promises bool   // a message whose call was refused has not run
+	Path            string
+	Host            string // value of the Host field; empty for the endpoint's address
+	RefusalNeverRan bool   // a message whose call was refused has not run
 	// TLS returns the configuration for one connection; nil for plain TCP.
 	TLS func() *tls.Config
 }
 
 // Options are the options of a Caller.
 type Options struct {
-	Name     string   // name of the relay in the Via field (RFC 9110, 7.6.3)
-	Targets  []Target // indexed by partner
-	Hook     *Hook    // the platform's call format, used instead of Targets; nil for the usual one
-	Classes  []string // indexed by class
-	Limits   http1.Limits
-	Keep     addr.KeepSettings // limits on the pool of each endpoint
-	Sessions int               // limit on cached TLS sessions, over all addresses
-	Dial     time.Duration     // time-out for setting up a connection; 0 for none
-	// Descriptors is the limit on the open connections to all endpoints together, those in use
+	Name        string   // name of the relay in the Via field (RFC 9110, 7.6.3)
+	Targets     []Target // indexed by partner
+	Hook        *Hook    // the platform's call format, used instead of Targets; nil for the usual one
+	Classes     []string // indexed by class
+	Limits      http1.Limits
+	Pool        addr.PoolSettings // limits on the pool of each endpoint
+	TLSSessions int               // limit on cached TLS sessions, over all addresses
+	DialTimeout time.Duration     // time-out for setting up a connection; 0 for none
+	// MaxOpen is the limit on the open connections to all endpoints together, those in use
 	// included. Past it a connection is closed when its call ends; 0 for no limit.
-	Descriptors int
+	MaxOpen int
 	// Traffic counts bytes by class, partner and zone; may be nil.
 	Traffic *zone.Table
 	// Dialed counts connection attempts by family and result: won, lost (established after another
 	// and closed unused), failed, left (cancelled), ours (out of local resources); may be nil.
 	Dialed func(family, result string)
-	// Failed is called for each TLS handshake that failed; may be nil.
-	Failed func(host string, err error)
-	// Refused is called for each protocol breach of a peer, and for each connection that was
+	// HandshakeFailed is called for each TLS handshake that failed; may be nil.
+	HandshakeFailed func(host string, err error)
+	// PeerRefused is called for each protocol breach of a peer, and for each connection that was
 	// refused because of one. It must not block; may be nil.
-	Refused func(lifecycle.PeerRefusal)
-	// Waits is called with the wait announced by an unsolicited response. It must not block; may be
+	PeerRefused func(lifecycle.PeerRefusal)
+	// UnsolicitedWait is called with the wait announced by an unsolicited response. It must not block; may be
 	// nil.
-	Waits func(host string, partner int, wait time.Duration)
+	UnsolicitedWait func(host string, partner int, wait time.Duration)
 	// Trace records each call's connection, its turn on it, and how long the connection had been
 	// idle.
 	Trace lifecycle.Trace
@@ -67,10 +67,10 @@
 	engine           *engine.Engine
 	mu               sync.Mutex
 	pools            map[string]*pool
-	books            map[string]*addr.Book // of endpoints whose addresses were set
-	addressesChanged chan struct{}         // closed and replaced when addresses change
-	excluded         map[string]bool       // endpoints that take no new calls and get no spare connections
-	families         addr.Families
+	selectors        map[string]*addr.Selector // of endpoints whose addresses were set
+	addressesChanged chan struct{}             // closed and replaced when addresses change
+	excluded         map[string]bool           // endpoints that take no new calls and get no spare connections
+	families         addr.FamilyHealth
 	sessions         *sessions
 	epoch            time.Time
 	open             atomic.Int64  // open connections of all pools
@@ -127,10 +127,10 @@
 
 // New returns a Caller whose connections are served by an engine of its own.
 func New(opt Options) (*Caller, error) {
-	c := &Caller{opt: opt, pools: map[string]*pool{}, books: map[string]*addr.Book{},
+	c := &Caller{opt: opt, pools: map[string]*pool{}, selectors: map[string]*addr.Selector{},
 		addressesChanged: make(chan struct{}), excluded: map[string]bool{}, epoch: time.Now(),
-		stop: make(chan struct{}), sessions: newSessions(opt.Sessions)}
-	c.conduct.Refused, c.conduct.Off = opt.Refused, opt.TrustPeers
+		stop: make(chan struct{}), sessions: newSessions(opt.TLSSessions)}
+	c.conduct.Refused, c.conduct.Off = opt.PeerRefused, opt.TrustPeers
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	var err error
 	c.engine, err = engine.Start(engine.Options{Name: "partner", ReadBuffer: 16 << 10,
--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -22,7 +22,7 @@
 	writer      io.Writer
 	tls         *secure.Conn // nil without TLS
 	addr        addr.Address
-	book        *addr.Book // nil for an endpoint that is its own address
+	selector    *addr.Selector // nil for an endpoint that is its own address
 	mu          sync.Mutex
 	state       lifecycle.PeerConn
 	call        *call
@@ -163,8 +163,8 @@
 	}
 	attr := cn.recordAnswer(k, belief)
 	cn.account.Store(nil)
-	if cn.book != nil {
-		cn.book.Answered(cn.addr)
+	if cn.selector != nil {
+		cn.selector.Answered(cn.addr)
 	}
 	cn.call = nil
 	ev, keep := answered, cn.resp.reusable && belief != lifecycle.Doubtful
--- a/internal/partner/connect.go
+++ b/internal/partner/connect.go
@@ -14,16 +14,16 @@
 // connection to the engine. No byte of a request is sent, so an address whose handshake fails may
 // be followed by another. The handshake gets half of the time while other addresses are left.
 func (c *Caller) connect(ctx context.Context, p *pool, all time.Duration) (*conn, error) {
-	book := c.book(p.host)
+	selector := c.selector(p.host)
 	end := time.Now().Add(all)
 	for tries := 1; ; tries++ {
 		left := time.Until(end)
-		raw, at, err := c.race(ctx, p.host, left, book)
+		raw, at, err := c.race(ctx, p.host, left, selector)
 		if err != nil {
 			return nil, err
 		}
 		cn := &conn{pool: p, host: p.host, number: c.openedTotal.Add(1),
-			defaultAccount: account{class: -1, partner: p.partner}, addr: at, book: book}
+			defaultAccount: account{class: -1, partner: p.partner}, addr: at, selector: selector}
 		var cfg func() *tls.Config
 		if c.opt.Hook == nil {
 			cfg = c.opt.Targets[p.partner].TLS
@@ -31,18 +31,18 @@
 		if cfg == nil {
 			return c.plain(cn, raw)
 		}
-		within, last := book.Handshake(tries, left)
+		within, last := selector.HandshakeTimeout(tries, left)
 		handshakeCtx, cancel := context.WithTimeout(ctx, within)
 		err = c.secure(handshakeCtx, cn, raw, cfg())
 		cancel()
 		if err == nil {
 			return cn, nil
 		}
-		if c.opt.Failed != nil {
-			c.opt.Failed(p.host, err)
+		if c.opt.HandshakeFailed != nil {
+			c.opt.HandshakeFailed(p.host, err)
 		}
-		if book != nil && ctx.Err() == nil {
-			book.Failed(c.now(), at)
+		if selector != nil && ctx.Err() == nil {
+			selector.Failed(c.now(), at)
 		}
 		if last || ctx.Err() != nil {
 			return cn, err
@@ -61,7 +61,7 @@
 		return cn
 	})
 	if err != nil {
-		return cn, errLocal
+		return cn, errOutOfResources
 	}
 	return cn, nil
 }
--- a/internal/partner/connect_test.go
+++ b/internal/partner/connect_test.go
@@ -78,14 +78,14 @@
 		&tls.Config{RootCAs: a.Pool(), ServerName: "bank.example"}
 }
 
-func secureCaller(t *testing.T, client *tls.Config, keep addr.KeepSettings) *Caller {
+func secureCaller(t *testing.T, client *tls.Config, keep addr.PoolSettings) *Caller {
 	t.Helper()
-	target := Target{Path: "/", Promises: true}
+	target := Target{Path: "/", RefusalNeverRan: true}
 	if client != nil {
 		target.TLS = func() *tls.Config { return client.Clone() }
 	}
 	c, err := New(Options{Name: "r", Targets: []Target{target}, Classes: []string{"status"},
-		Limits: http1.Limits{Header: 1024, Body: 4096}, Keep: keep, Sessions: 100})
+		Limits: http1.Limits{Header: 1024, Body: 4096}, Pool: keep, TLSSessions: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,13 +114,13 @@
 		_, _ = c.Write([]byte{21, 3, 3, 0, 2, 2, 40}) // fatal alert, handshake_failure (RFC 8446, 6)
 	})
 	silent := serve(t, listen(t, "tcp", "[::1]:0"), func(c net.Conn, r *bufio.Reader) { _, _ = r.ReadBytes(0) })
-	c := secureCaller(t, client, addr.KeepSettings{Most: 4, Connecting: 4})
-	c.Addresses(map[string][]addr.Address{"a": addresses(t, alert, good), "s": addresses(t, silent, good)})
+	c := secureCaller(t, client, addr.PoolSettings{MaxIdle: 4, MaxConnecting: 4})
+	c.SetAddresses(map[string][]addr.Address{"a": addresses(t, alert, good), "s": addresses(t, silent, good)})
 	for _, host := range []string{"a", "s"} {
 		if e := do(t, c, host, nil); e.Outcome != choice.Served {
 			t.Errorf("%s: outcome %d", host, e.Outcome)
 		}
-		if k := c.Known()[host]; k[0].Fails != 1 {
+		if k := c.AddressStatus()[host]; k[0].Failures != 1 {
 			t.Errorf("%s: %+v", host, k)
 		}
 	}
@@ -143,7 +143,7 @@
 			fmt.Fprint(c, ok)
 		}
 	})
-	c := secureCaller(t, client, addr.KeepSettings{Most: 4, Connecting: 4})
+	c := secureCaller(t, client, addr.PoolSettings{MaxIdle: 4, MaxConnecting: 4})
 	end := func(core.Ending) { t.Error("End was called after Abort or Recall") }
 	first := c.Send(core.Call{Host: at, Patient: time.Minute, End: end})
 	second := c.Send(core.Call{Host: at, Patient: time.Minute, End: end})
@@ -175,12 +175,12 @@
 		fmt.Fprint(c, ok)
 	}
 	six, four := serve(t, listen(t, "tcp", "[::1]:0"), script), serve(t, listen(t, "tcp", "127.0.0.1:0"), script)
-	c := secureCaller(t, nil, addr.KeepSettings{Most: 4, Connecting: 4})
+	c := secureCaller(t, nil, addr.PoolSettings{MaxIdle: 4, MaxConnecting: 4})
 	for i := range 20 {
 		host := fmt.Sprint("e", i)
-		c.Addresses(map[string][]addr.Address{host: addresses(t, six, four)})
+		c.SetAddresses(map[string][]addr.Address{host: addresses(t, six, four)})
 		// Due for a trial: started together with the other address.
-		c.book(host).Failed(-time.Minute, addresses(t, six)[0])
+		c.selector(host).Failed(-time.Minute, addresses(t, six)[0])
 		if e := do(t, c, host, nil); e.Outcome != choice.Served {
 			t.Fatalf("outcome %d", e.Outcome)
 		}
@@ -204,8 +204,8 @@
 			}
 		}
 	})
-	c := secureCaller(t, nil, addr.KeepSettings{Most: 0, Connecting: 4})
-	c.Addresses(map[string][]addr.Address{"e": addresses(t, odd, "127.0.0.1:1")})
+	c := secureCaller(t, nil, addr.PoolSettings{MaxIdle: 0, MaxConnecting: 4})
+	c.SetAddresses(map[string][]addr.Address{"e": addresses(t, odd, "127.0.0.1:1")})
 	outcomes := map[choice.Outcome]int{}
 	for range 30 {
 		outcomes[do(t, c, "e", nil).Outcome]++
@@ -219,8 +219,8 @@
 // proceeds as soon as there is a descriptor, and ends as not sent otherwise.
 func TestOutOfDescriptors(t *testing.T) {
 	good := serve(t, listen(t, "tcp", "127.0.0.1:0"), answers)
-	c := secureCaller(t, nil, addr.KeepSettings{Most: 0, Connecting: 4})
-	c.Addresses(map[string][]addr.Address{"e": addresses(t, good, "127.0.0.1:1")})
+	c := secureCaller(t, nil, addr.PoolSettings{MaxIdle: 0, MaxConnecting: 4})
+	c.SetAddresses(map[string][]addr.Address{"e": addresses(t, good, "127.0.0.1:1")})
 	var was syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &was); err != nil {
 		t.Fatal(err)
@@ -248,8 +248,8 @@
 	if e := ending(); e.Outcome != choice.Served {
 		t.Errorf("with descriptors again: outcome %d", e.Outcome)
 	}
-	for _, k := range c.Known()["e"] {
-		if k.Fails > 0 && k.Address == good {
+	for _, k := range c.AddressStatus()["e"] {
+		if k.Failures > 0 && k.Address == good {
 			t.Errorf("a failure was recorded: %+v", k)
 		}
 	}
@@ -271,7 +271,7 @@
 		_ = c.Close()
 		close(closed)
 	})
-	c := secureCaller(t, nil, addr.KeepSettings{Most: 4, Connecting: 4})
+	c := secureCaller(t, nil, addr.PoolSettings{MaxIdle: 4, MaxConnecting: 4})
 	first, held, release := make(chan core.Ending, 1), make(chan struct{}), make(chan struct{})
 	c.Send(core.Call{Host: at, Patient: time.Minute, End: func(e core.Ending) { first <- e; close(held); <-release }})
 	<-held
@@ -316,8 +316,8 @@
 	}
 	one := serve(t, tls.NewListener(listen(t, "tcp", "127.0.0.1:0"), server), script)
 	two := serve(t, tls.NewListener(listen(t, "tcp", "127.0.0.1:0"), server), script)
-	c := secureCaller(t, client, addr.KeepSettings{Most: 64, Connecting: 2})
-	c.Addresses(map[string][]addr.Address{"e": addresses(t, one, "127.0.0.1:1")})
+	c := secureCaller(t, client, addr.PoolSettings{MaxIdle: 64, MaxConnecting: 2})
+	c.SetAddresses(map[string][]addr.Address{"e": addresses(t, one, "127.0.0.1:1")})
 	var wait sync.WaitGroup
 	for range 30 {
 		wait.Go(func() {
@@ -348,7 +348,7 @@
 	if do(t, c, "e", nil); resumed.Load() != before+1 {
 		t.Errorf("%d sessions resumed, %d not", resumed.Load(), fresh.Load())
 	}
-	c.Addresses(map[string][]addr.Address{"e": addresses(t, two, "127.0.0.1:1")})
+	c.SetAddresses(map[string][]addr.Address{"e": addresses(t, two, "127.0.0.1:1")})
 	before = fresh.Load()
 	if do(t, c, "e", nil); fresh.Load() != before+1 {
 		t.Error("the session of another address was resumed")
@@ -368,7 +368,7 @@
 			<-let
 		}
 	})
-	c := secureCaller(t, nil, addr.KeepSettings{Most: 4, Spare: 1, Connecting: 4})
+	c := secureCaller(t, nil, addr.PoolSettings{MaxIdle: 4, MaxSpare: 1, MaxConnecting: 4})
 	do(t, c, at, nil)
 	let <- struct{}{} // the server closes the connection
 	waitFor(t, "a spare connection", func() bool { return conns.Load() == 2 })
@@ -399,8 +399,8 @@
 	}
 	l := listen(t, "unix", path)
 	serve(t, tls.NewListener(l, server), script)
-	c := secureCaller(t, client, addr.KeepSettings{Most: 4, Connecting: 4, Age: time.Hour})
-	c.Addresses(map[string][]addr.Address{"e": addresses(t, "unix:"+path)})
+	c := secureCaller(t, client, addr.PoolSettings{MaxIdle: 4, MaxConnecting: 4, MaxAge: time.Hour})
+	c.SetAddresses(map[string][]addr.Address{"e": addresses(t, "unix:"+path)})
 	body := make([]byte, 2<<20)
 	if e := do(t, c, "e", body); e.Outcome != choice.Served || got.Load() != 1 {
 		t.Fatalf("outcome %d, %d requests", e.Outcome, got.Load())
@@ -425,10 +425,10 @@
 // for an address, within their time-out.
 func TestWaitsForAddress(t *testing.T) {
 	good := serve(t, listen(t, "tcp", "127.0.0.1:0"), answers)
-	c := secureCaller(t, nil, addr.KeepSettings{Most: 4, Connecting: 4})
-	c.Addresses(map[string][]addr.Address{"e": nil, "never": nil})
+	c := secureCaller(t, nil, addr.PoolSettings{MaxIdle: 4, MaxConnecting: 4})
+	c.SetAddresses(map[string][]addr.Address{"e": nil, "never": nil})
 	c.mu.Lock()
-	if c.books["e"] == nil {
+	if c.selectors["e"] == nil {
 		t.Error("no book")
 	}
 	c.mu.Unlock()
@@ -439,7 +439,7 @@
 		t.Fatalf("before any address: outcome %d", e.Outcome)
 	case <-time.After(20 * time.Millisecond):
 	}
-	c.Changed(map[string][]addr.Address{"e": addresses(t, good)})
+	c.UpdateAddresses(map[string][]addr.Address{"e": addresses(t, good)})
 	if e := <-ended; e.Outcome != choice.Served {
 		t.Errorf("outcome %d", e.Outcome)
 	}
--- a/internal/partner/hook_test.go
+++ b/internal/partner/hook_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	c, err := New(Options{Name: "r", Hook: &Hook{Host: "n0", Columns: []string{"x0", "x1"}},
 		Limits: http1.Limits{Header: 1024, Body: 4096},
-		Keep:   addr.KeepSettings{Most: 4, Idle: time.Minute, Connecting: 8}})
+		Pool:   addr.PoolSettings{MaxIdle: 4, IdleTimeout: time.Minute, MaxConnecting: 8}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Addresses(map[string][]addr.Address{"h": {a}})
+	c.SetAddresses(map[string][]addr.Address{"h": {a}})
 	return c
 }
 
@@ -176,13 +176,13 @@
 func TestConnectionLimitOverAllHosts(t *testing.T) {
 	at := answering(t, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	c := hookCaller(t, at)
-	c.opt.Descriptors = 5
+	c.opt.MaxOpen = 5
 	a, _ := addr.Parse(at)
 	all := map[string][]addr.Address{}
 	for i := range 20 {
 		all[fmt.Sprint("h", i)] = []addr.Address{a}
 	}
-	c.Addresses(all)
+	c.SetAddresses(all)
 	ended := make(chan core.Ending, 20)
 	for i := range 20 {
 		c.Send(core.Call{Name: "m", Host: fmt.Sprint("h", i), Patient: time.Minute,
--- a/internal/partner/partner_test.go
+++ b/internal/partner/partner_test.go
@@ -49,9 +49,9 @@
 
 func caller(t *testing.T, refusalNeverRan bool) *Caller {
 	t.Helper()
-	c, err := New(Options{Name: "r", Targets: []Target{{Path: "/", Promises: refusalNeverRan}},
+	c, err := New(Options{Name: "r", Targets: []Target{{Path: "/", RefusalNeverRan: refusalNeverRan}},
 		Classes: []string{"status"}, Limits: http1.Limits{Header: 1024, Body: 4096},
-		Keep: addr.KeepSettings{Most: 4, Idle: time.Minute, Connecting: 8}})
+		Pool: addr.PoolSettings{MaxIdle: 4, IdleTimeout: time.Minute, MaxConnecting: 8}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/partner/pool.go
+++ b/internal/partner/pool.go
@@ -12,7 +12,7 @@
 	"basaltcross.example/basaltcross/internal/addr"
 )
 
-// pool holds the connections of one endpoint, and the calls that wait for one. addr.Keep decides
+// pool holds the connections of one endpoint, and the calls that wait for one. addr.PoolPolicy decides
 // which connections are kept and opened, and which calls wait.
 type pool struct {
 	caller  *Caller
@@ -20,7 +20,7 @@
 	partner int
 
 	mu         sync.Mutex
-	policy     *addr.Keep
+	policy     *addr.PoolPolicy
 	idle       []*conn // most recently used last
 	open       int     // open connections, those being set up included
 	connecting int
@@ -55,12 +55,12 @@
 	p := c.pools[host]
 	if p == nil {
 		p = &pool{caller: c, host: host, partner: partner, excluded: c.excluded[host],
-			policy: addr.NewKeep(c.opt.Keep, rand.Uint64())}
+			policy: addr.NewPoolPolicy(c.opt.Pool, rand.Uint64())}
 		c.pools[host] = p
 	}
 	p.mu.Lock()
 	p.calls++
-	p.policy.Called(c.now(), p.calls)
+	p.policy.CallStarted(c.now(), p.calls)
 	p.mu.Unlock()
 	return p
 }
@@ -84,7 +84,7 @@
 // limits. The caller holds p.mu.
 func (p *pool) dialForWaiting() {
 	for _, k := range p.waiting {
-		if p.connecting >= len(p.waiting) || !p.policy.Dials(p.connecting) {
+		if p.connecting >= len(p.waiting) || !p.policy.MayDial(p.connecting) {
 			return
 		}
 		if k.dial == nil || k.dial.finished {
@@ -99,13 +99,13 @@
 		return
 	}
 	for range p.policy.Spares(p.caller.now(), p.calls-len(p.waiting), len(p.idle), p.connecting) {
-		p.dial(nil, addr.SpareTime)
+		p.dial(nil, addr.SpareTimeout)
 	}
 }
 
 // dial starts setting up a connection. The caller holds p.mu.
 func (p *pool) dial(k *call, within time.Duration) {
-	if most := p.caller.opt.Dial; most > 0 {
+	if most := p.caller.opt.DialTimeout; most > 0 {
 		within = min(within, most)
 	}
 	ctx, cancel := context.WithTimeout(p.caller.ctx, within)
@@ -132,7 +132,7 @@
 	d.finished = true
 	waits := d.owner != nil && slices.Contains(p.waiting, d.owner)
 	if err == nil {
-		cn.established, cn.maxAge = p.caller.now(), p.policy.Life()
+		cn.established, cn.maxAge = p.caller.now(), p.policy.DrawMaxAge()
 	} else {
 		if cn == nil || !cn.removed.Swap(true) {
 			p.addOpen(-1)
@@ -145,7 +145,7 @@
 	switch {
 	case err == nil:
 		p.release(cn)
-	case waits && errors.Is(err, errLocal):
+	case waits && errors.Is(err, errOutOfResources):
 		d.owner.end(notTried, nil)
 	case waits:
 		d.owner.end(noConnection, nil)
@@ -159,8 +159,8 @@
 		p.mu.Lock()
 		now := p.caller.now()
 		cn.idleSince = now
-		usable := p.policy.Fresh(now, cn.established, cn.maxAge, now) && (cn.book == nil || cn.book.Has(cn.addr)) &&
-			!(cn.used() && cn.firstCallOnly())
+		usable := p.policy.MayReuse(now, cn.established, cn.maxAge, now) &&
+			(cn.selector == nil || cn.selector.Has(cn.addr)) && !(cn.used() && cn.firstCallOnly())
 		k, found := (*call)(nil), peekReady
 		if usable {
 			if k = p.nextWaiting(now, cn); k != nil && cn.used() {
@@ -168,9 +168,9 @@
 			}
 		}
 		if k == nil || found != peekReady {
-			most := int64(p.caller.opt.Descriptors)
+			most := int64(p.caller.opt.MaxOpen)
 			keeps := usable && found != peekClosed && found != peekUnsolicited && !cn.removed.Load() &&
-				!p.excluded && p.policy.Kept(len(p.idle)) && (most == 0 || p.caller.open.Load() <= most)
+				!p.excluded && p.policy.MayKeepIdle(len(p.idle)) && (most == 0 || p.caller.open.Load() <= most)
 			if keeps {
 				p.idle = append(p.idle, cn)
 				p.scheduleRested(now)
@@ -200,7 +200,7 @@
 	defer p.mu.Unlock()
 	p.calls--
 	if ev != notTried {
-		p.policy.Ended(p.caller.now(), ev == answered)
+		p.policy.CallEnded(p.caller.now(), ev == answered)
 	}
 	if p.removeWaiting(k) {
 		if k.dial != nil && p.connecting > len(p.waiting) {
@@ -231,7 +231,7 @@
 	if i := slices.Index(p.idle, cn); i >= 0 {
 		p.idle = slices.Delete(p.idle, i, i+1)
 	}
-	p.policy.Spent(cn.used())
+	p.policy.ConnectionClosed(cn.used())
 	p.dialSpares()
 }
 
@@ -262,7 +262,7 @@
 // sweep closes connections past their idle time or age, and drops unused pools.
 func (c *Caller) sweep() {
 	defer c.done.Done()
-	tick := time.NewTicker(max(50*time.Millisecond, c.opt.Keep.Idle/8))
+	tick := time.NewTicker(max(50*time.Millisecond, c.opt.Pool.IdleTimeout/8))
 	defer tick.Stop()
 	for {
 		select {
@@ -285,7 +285,7 @@
 			for _, p := range pools {
 				now := c.now()
 				closeAllWhenSettled(p.removeIdle(func(cn *conn) bool {
-					return !p.policy.Fresh(now, cn.established, cn.maxAge, cn.idleSince)
+					return !p.policy.MayReuse(now, cn.established, cn.maxAge, cn.idleSince)
 				}))
 			}
 		}
@@ -299,7 +299,7 @@
 	c.mu.Unlock()
 	if p != nil {
 		p.mu.Lock()
-		p.policy.Dismissed(c.now())
+		p.policy.IdleClosed(c.now())
 		p.mu.Unlock()
 		closeAllWhenSettled(p.removeIdle(func(*conn) bool { return true }))
 	}
@@ -328,7 +328,7 @@
 		open += p.open
 		p.mu.Unlock()
 	}
-	return map[string]int{"pools": len(c.pools), "books": len(c.books), "barred": len(c.excluded),
+	return map[string]int{"pools": len(c.pools), "books": len(c.selectors), "barred": len(c.excluded),
 		"connections": open, "peers": c.conduct.Len()}
 }
 
--- a/internal/partner/race.go
+++ b/internal/partner/race.go
@@ -14,29 +14,29 @@
 
 func (c *Caller) now() time.Duration { return time.Since(c.epoch) }
 
-// Addresses replaces the addresses of all endpoints. An endpoint that is not in the map is its own
+// SetAddresses replaces the addresses of all endpoints. An endpoint that is not in the map is its own
 // address. Idle connections to addresses that were removed are closed; calls in progress are not
 // affected.
-func (c *Caller) Addresses(all map[string][]addr.Address) {
+func (c *Caller) SetAddresses(all map[string][]addr.Address) {
 	c.mu.Lock()
-	for host := range c.books {
+	for host := range c.selectors {
 		if all[host] == nil {
-			delete(c.books, host)
+			delete(c.selectors, host)
 		}
 	}
 	c.mu.Unlock()
-	c.Changed(all)
+	c.UpdateAddresses(all)
 }
 
-// Changed replaces the addresses of some endpoints.
-func (c *Caller) Changed(some map[string][]addr.Address) {
+// UpdateAddresses replaces the addresses of some endpoints.
+func (c *Caller) UpdateAddresses(some map[string][]addr.Address) {
 	c.mu.Lock()
 	var old []*conn
 	for host, list := range some {
-		if b := c.books[host]; b != nil {
+		if b := c.selectors[host]; b != nil {
 			b.Set(list)
 		} else {
-			c.books[host] = addr.NewBook(host, &c.families, list)
+			c.selectors[host] = addr.NewSelector(host, &c.families, list)
 		}
 		if p := c.pools[host]; p != nil {
 			old = append(old, p.removeIdle(func(cn *conn) bool { return !slices.Contains(list, cn.addr) })...)
@@ -48,24 +48,24 @@
 	closeAllWhenSettled(old)
 }
 
-// book returns the Book of an endpoint, nil for an endpoint that is its own address.
-func (c *Caller) book(host string) *addr.Book {
+// selector returns the Selector of an endpoint, nil for an endpoint that is its own address.
+func (c *Caller) selector(host string) *addr.Selector {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.books[host]
+	return c.selectors[host]
 }
 
-// Known returns the status of the addresses of every endpoint that has a Book.
-func (c *Caller) Known() map[string][]addr.Known {
+// AddressStatus returns the status of the addresses of every endpoint that has a Selector.
+func (c *Caller) AddressStatus() map[string][]addr.AddressStatus {
 	c.mu.Lock()
-	books := make(map[string]*addr.Book, len(c.books))
-	for host, b := range c.books {
-		books[host] = b
+	selectors := make(map[string]*addr.Selector, len(c.selectors))
+	for host, b := range c.selectors {
+		selectors[host] = b
 	}
 	c.mu.Unlock()
-	out := make(map[string][]addr.Known, len(books))
-	for host, b := range books {
-		out[host] = b.Known(c.now())
+	out := make(map[string][]addr.AddressStatus, len(selectors))
+	for host, b := range selectors {
+		out[host] = b.Status(c.now())
 	}
 	return out
 }
@@ -73,10 +73,10 @@
 // markHung records that the connection's address accepted a call and did not answer it, and closes
 // its idle connections, so that the next attempt does not use it again.
 func (cn *conn) markHung(c *Caller) {
-	if cn.book == nil {
+	if cn.selector == nil {
 		return
 	}
-	cn.book.Hung(c.now(), cn.addr)
+	cn.selector.Hung(c.now(), cn.addr)
 	closeAllWhenSettled(cn.pool.removeIdle(func(o *conn) bool { return o.addr == cn.addr }))
 }
 
@@ -89,12 +89,12 @@
 
 var (
 	errNoAddress = errors.New("partner: the endpoint has no address")
-	// errLocal means that no connection was tried, for want of file descriptors, ports or memory of
+	// errOutOfResources means that no connection was tried, for want of file descriptors, ports or memory of
 	// this host. It says nothing about the address.
-	errLocal = errors.New("partner: out of file descriptors, ports or memory for a connection")
+	errOutOfResources = errors.New("partner: out of file descriptors, ports or memory for a connection")
 )
 
-func isLocal(err error) bool {
+func isResourceError(err error) bool {
 	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, e) {
 			return true
@@ -103,33 +103,33 @@
 	return false
 }
 
-// race runs the connection attempts that the Book plans. The first connection to be established
+// race runs the connection attempts that the Selector plans. The first connection to be established
 // wins; the other attempts are cancelled, or their connections closed unused. Requests are never
 // raced. If the endpoint has no address because its names are being resolved, race waits for one.
-func (c *Caller) race(ctx context.Context, host string, within time.Duration, book *addr.Book) (
+func (c *Caller) race(ctx context.Context, host string, within time.Duration, selector *addr.Selector) (
 	net.Conn, addr.Address, error) {
 	began := time.Now()
-	if book == nil && c.opt.Hook != nil { // in the platform's format an endpoint's name is no address
+	if selector == nil && c.opt.Hook != nil { // in the platform's format an endpoint's name is no address
 		return nil, addr.Address{}, errNoAddress
 	}
-	if book == nil {
+	if selector == nil {
 		at := addr.Address{Network: "tcp", Addr: host}
 		for {
 			conn, err := new(net.Dialer).DialContext(ctx, "tcp", host)
-			if err == nil || !isLocal(err) {
+			if err == nil || !isResourceError(err) {
 				return conn, at, err
 			}
-			if !addr.TryAgain(time.Since(began), within) || !pause.For(ctx, addr.Pause) {
-				return nil, at, errLocal
+			if !addr.LocalRetryAllowed(time.Since(began), within) || !pause.For(ctx, addr.LocalRetryDelay) {
+				return nil, at, errOutOfResources
 			}
 		}
 	}
-	plan := book.Plan(c.now(), within)
+	plan := selector.Plan(c.now(), within)
 	for len(plan) == 0 {
 		c.mu.Lock()
 		changed := c.addressesChanged
 		c.mu.Unlock()
-		if plan = book.Plan(c.now(), within); len(plan) > 0 {
+		if plan = selector.Plan(c.now(), within); len(plan) > 0 {
 			break
 		}
 		select {
@@ -153,7 +153,7 @@
 		}
 		with, done := race, context.CancelFunc(func() {})
 		if s.Trial {
-			with, done = context.WithTimeout(c.ctx, addr.TrialTime)
+			with, done = context.WithTimeout(c.ctx, addr.TrialTimeout)
 		}
 		go func() {
 			defer done()
@@ -169,9 +169,9 @@
 	// abandon records the attempts that are cancelled at once, so that the next race knows them.
 	abandon := func() {
 		for a, at := range inProgress {
-			book.Left(c.now(), a, time.Since(at))
+			selector.Cancelled(c.now(), a, time.Since(at))
 		}
-		go c.closeLosers(book, results, running, count)
+		go c.closeLosers(selector, results, running, count)
 	}
 	err := error(errNoAddress)
 	for begun < len(plan) || running > 0 {
@@ -191,21 +191,21 @@
 			running--
 			delete(inProgress, d.step.Address)
 			if d.err == nil {
-				book.Connected(d.step.Address, d.took)
+				selector.Connected(d.step.Address, d.took)
 				count(d.step.Family, "won")
 				abandon()
 				return d.conn, d.step.Address, nil
 			}
-			if err = d.err; isLocal(err) {
-				book.Left(c.now(), d.step.Address, 0)
+			if err = d.err; isResourceError(err) {
+				selector.Cancelled(c.now(), d.step.Address, 0)
 				count(d.step.Family, "ours")
-				if !addr.TryAgain(time.Since(began), within) || !pause.For(ctx, addr.Pause) {
-					err = errLocal
+				if !addr.LocalRetryAllowed(time.Since(began), within) || !pause.For(ctx, addr.LocalRetryDelay) {
+					err = errOutOfResources
 					continue
 				}
 				plan = append(plan[:begun:begun], append([]addr.Step{d.step}, plan[begun:]...)...)
 			} else {
-				c.recordFailure(book, d, count)
+				c.recordFailure(selector, d, count)
 			}
 		}
 	}
@@ -214,31 +214,31 @@
 
 // closeLosers waits for the attempts that did not win, closes their connections and records their
 // results.
-func (c *Caller) closeLosers(book *addr.Book, results <-chan dialResult, running int,
+func (c *Caller) closeLosers(selector *addr.Selector, results <-chan dialResult, running int,
 	count func(addr.Family, string)) {
 	for range running {
 		d := <-results
 		if d.err == nil {
 			_ = d.conn.Close()
-			book.Connected(d.step.Address, d.took)
+			selector.Connected(d.step.Address, d.took)
 			count(d.step.Family, "lost")
 		} else {
-			c.recordFailure(book, d, count)
+			c.recordFailure(selector, d, count)
 		}
 	}
 }
 
 // recordFailure records a connection attempt that failed or was cancelled.
-func (c *Caller) recordFailure(book *addr.Book, d dialResult, count func(addr.Family, string)) {
+func (c *Caller) recordFailure(selector *addr.Selector, d dialResult, count func(addr.Family, string)) {
 	switch {
-	case isLocal(d.err):
-		book.Left(c.now(), d.step.Address, 0)
+	case isResourceError(d.err):
+		selector.Cancelled(c.now(), d.step.Address, 0)
 		count(d.step.Family, "ours")
 	case !d.step.Trial && errors.Is(d.err, context.DeadlineExceeded) || errors.Is(d.err, context.Canceled) ||
 		errors.Is(d.err, net.ErrClosed) || isCanceled(d.err): // recorded when it was cancelled
 		count(d.step.Family, "left")
 	default:
-		book.Failed(c.now(), d.step.Address)
+		selector.Failed(c.now(), d.step.Address)
 		count(d.step.Family, "failed")
 	}
 }
--- a/internal/partner/race_test.go
+++ b/internal/partner/race_test.go
@@ -38,7 +38,7 @@
 	})
 	unanswered, refused := port.Unanswered(t), port.Refusing(t, "::1")
 	c := caller(t, true)
-	c.Addresses(map[string][]addr.Address{"e": addresses(t, refused, unanswered, good),
+	c.SetAddresses(map[string][]addr.Address{"e": addresses(t, refused, unanswered, good),
 		"dead": addresses(t, refused, unanswered)})
 	for range 5 {
 		if e := do(t, c, "e", nil); e.Outcome != choice.Served {
@@ -46,7 +46,7 @@
 		}
 		c.CloseIdle("e")
 	}
-	if p := c.book("e").Plan(c.now(), time.Second); p[0].Addr != good {
+	if p := c.selector("e").Plan(c.now(), time.Second); p[0].Addr != good {
 		t.Errorf("the working address is not first: %+v", p)
 	}
 	ended := make(chan core.Ending, 4)
@@ -70,7 +70,7 @@
 		t.Fatalf("outcome %d", e.Outcome)
 	}
 	waitFor(t, "a single connection", connections("e", 1))
-	c.Addresses(map[string][]addr.Address{"e": addresses(t, refused)})
+	c.SetAddresses(map[string][]addr.Address{"e": addresses(t, refused)})
 	waitFor(t, "the idle connection is closed", connections("e", 0))
 }
 
@@ -92,7 +92,7 @@
 		}
 	}()
 	good, unanswered := l.Addr().String(), port.Unanswered(b)
-	c, err := New(Options{Targets: []Target{{}}, Keep: addr.KeepSettings{Idle: time.Minute}})
+	c, err := New(Options{Targets: []Target{{}}, Pool: addr.PoolSettings{IdleTimeout: time.Minute}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -112,22 +112,22 @@
 		b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
 		b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
 	}
-	race := func(book *addr.Book) func() (net.Conn, error) {
+	race := func(selector *addr.Selector) func() (net.Conn, error) {
 		return func() (net.Conn, error) {
-			conn, _, err := c.race(context.Background(), "e", 5*time.Second, book)
+			conn, _, err := c.race(context.Background(), "e", 5*time.Second, selector)
 			return conn, err
 		}
 	}
 	b.Run("good alone", func(b *testing.B) {
-		measure(b, race(addr.NewBook("e", &addr.Families{}, addresses(b, good))))
+		measure(b, race(addr.NewSelector("e", &addr.FamilyHealth{}, addresses(b, good))))
 	})
-	book := addr.NewBook("e", &addr.Families{}, addresses(b, unanswered, good))
+	selector := addr.NewSelector("e", &addr.FamilyHealth{}, addresses(b, unanswered, good))
 	b.Run("first call", func(b *testing.B) {
 		measure(b, func() (net.Conn, error) {
-			return race(addr.NewBook("e", &addr.Families{}, addresses(b, unanswered, good)))()
+			return race(addr.NewSelector("e", &addr.FamilyHealth{}, addresses(b, unanswered, good)))()
 		})
 	})
-	b.Run("learned", func(b *testing.B) { measure(b, race(book)) })
+	b.Run("learned", func(b *testing.B) { measure(b, race(selector)) })
 	b.Run("net.Dialer", func(b *testing.B) { // ::1 refuses at once, which is less severe
 		_, port, _ := net.SplitHostPort(good)
 		measure(b, func() (net.Conn, error) { return net.Dial("tcp", "localhost:"+port) })
--- a/internal/partner/reuse.go
+++ b/internal/partner/reuse.go
@@ -59,7 +59,7 @@
 		}
 		cn := p.idle[i]
 		p.idle = slices.Delete(p.idle, i, i+1)
-		if cn.sock.IsClosed() || !p.policy.Fresh(now, cn.established, cn.maxAge, cn.idleSince) {
+		if cn.sock.IsClosed() || !p.policy.MayReuse(now, cn.established, cn.maxAge, cn.idleSince) {
 			unusable.expired = append(unusable.expired, cn)
 			continue
 		}
--- a/internal/platform/bounds.go
+++ b/internal/platform/bounds.go
@@ -44,7 +44,7 @@
 	Disk        int64 // bytes of the journal
 	List        int64 // bytes of the list of hosts in the same folder
 	WriteBuffer int   // bytes waiting for one client
-	Keep        addr.KeepSettings
+	Keep        addr.PoolSettings
 }
 
 // reserved descriptors: standard streams, the runtime's poller with its event descriptor, the
@@ -71,6 +71,6 @@
 	b.Identities = max(1024, 48*l.MemoryMB)
 	b.Notices = max(1024, 16*l.MemoryMB)
 	idle := s.ConnIdle - s.ConnIdle/8 // the margin before the host's own end
-	b.Keep = addr.KeepSettings{Idle: idle, Most: max(1, s.Workers), Connecting: max(1, s.Workers)}
+	b.Keep = addr.PoolSettings{IdleTimeout: idle, MaxIdle: max(1, s.Workers), MaxConnecting: max(1, s.Workers)}
 	return b
 }
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -153,8 +153,10 @@
 	}
 	s := &cfg.Settings
 	n.caller, err = partner.New(partner.Options{Name: cfg.Name, Hook: &partner.Hook{Host: cfg.Name, Columns: s.Columns},
-		Limits: http1.Limits{Header: headerBytes, Body: bodyBytes}, Keep: b.Keep, Dial: s.DialTimeout, Descriptors: b.Hosts,
-		Refused: n.refusedOf, Waits: func(host string, dest int, wait time.Duration) { n.core.Waits(host, dest, wait) }, Trace: trace(log), TrustPeers: os.Getenv(trustVariable) != ""})
+		Limits: http1.Limits{Header: headerBytes, Body: bodyBytes}, Pool: b.Keep, DialTimeout: s.DialTimeout,
+		MaxOpen: b.Hosts, PeerRefused: n.refusedOf,
+		UnsolicitedWait: func(host string, dest int, wait time.Duration) { n.core.Waits(host, dest, wait) },
+		Trace:           trace(log), TrustPeers: os.Getenv(trustVariable) != ""})
 	if err != nil {
 		return nil, err
 	}
@@ -326,7 +328,7 @@
 	for _, e := range all {
 		by[e.Host] = e.Addrs
 	}
-	n.caller.Addresses(by)
+	n.caller.SetAddresses(by)
 	if !n.ready.Swap(true) {
 		n.log.Info().Int("hosts", len(all)).Msg("ready")
 	}
--- a/internal/relay/addr_test.go
+++ b/internal/relay/addr_test.go
@@ -310,7 +310,7 @@
 	known("one of both", func(a relay.Addresses) bool { return first(a) == one.Addr })
 	send(100)
 	dns.Set("bank.example", standin.Zone{Mute: true})
-	known("mute", func(a relay.Addresses) bool { return len(a.Names) == 1 && a.Names[0].Fails > 0 })
+	known("mute", func(a relay.Addresses) bool { return len(a.Names) == 1 && a.Names[0].Failures > 0 })
 	send(100)
 	seen := map[string]int{}
 	for _, k := range rec.Calls() {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -57,7 +57,7 @@
 	zones  *zone.Reporter
 	toll   *zone.Toll       // nil without a budget
 	log    *journal.Journal // nil where nothing is kept
-	names  *resolve.Follower
+	names  *resolve.Refresher
 	list   *directory.Directory
 	fleet  *follower // nil where the fleet is a setting
 
@@ -115,7 +115,7 @@
 	var targets []partner.Target
 	for i, p := range cfg.Partners {
 		k := cfg.Kinds[names.Kinds[i]]
-		t := partner.Target{Path: p.Path, Host: p.Host, Promises: k.RefusalNeverRan}
+		t := partner.Target{Path: p.Path, Host: p.Host, RefusalNeverRan: k.RefusalNeverRan}
 		if p.TLS != nil {
 			if t.TLS, err = clientTLS(ring, p.TLS); err != nil {
 				return nil, fmt.Errorf("relay: partner %s: %w", p.Name, err)
@@ -158,11 +158,13 @@
 	}
 	r.caller, err = partner.New(partner.Options{Name: cfg.Relay.Name, Targets: targets, Classes: classes,
 		Limits: http1.Limits{Header: cfg.PartnerCalls.HeaderBytes, Body: cfg.PartnerCalls.BodyBytes},
-		Keep: addr.KeepSettings{Idle: cfg.Relay.ConnIdle.D(), Age: cfg.PartnerCalls.ConnAge.D(),
-			Most: cfg.PartnerCalls.IdlePerHost, Spare: cfg.PartnerCalls.Spares, Connecting: cfg.PartnerCalls.Connecting},
-		Sessions: cfg.PartnerCalls.Sessions,
-		Traffic:  counted, Refused: r.refusedOf, Waits: func(host string, at int, wait time.Duration) { r.core.Waits(host, at, wait) }, Failed: r.obs.HandshakeOut,
-		Dialed: r.obs.Dialed})
+		Pool: addr.PoolSettings{IdleTimeout: cfg.Relay.ConnIdle.D(), MaxAge: cfg.PartnerCalls.ConnAge.D(),
+			MaxIdle: cfg.PartnerCalls.IdlePerHost, MaxSpare: cfg.PartnerCalls.Spares, MaxConnecting: cfg.PartnerCalls.Connecting},
+		TLSSessions: cfg.PartnerCalls.Sessions,
+		Traffic:     counted, PeerRefused: r.refusedOf,
+		UnsolicitedWait: func(host string, at int, wait time.Duration) { r.core.Waits(host, at, wait) },
+		HandshakeFailed: r.obs.HandshakeOut,
+		Dialed:          r.obs.Dialed})
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
@@ -204,8 +206,8 @@
 	r.zones = &zone.Reporter{Relay: cfg.Relay.Name, Classes: classes, Partners: partners, Zones: zones, Own: own,
 		Table: traffic, Toll: toll, Now: r.core.Now, File: cfg.ZoneRecords,
 		Failed: func(err error) { r.obs.Logf("zone records: %v", err) }}
-	set := addr.DefaultNames
-	set.Stale, set.Each = cfg.Resolver.Stale.D(), cfg.Resolver.Addresses
+	set := addr.DefaultNameCacheSettings
+	set.MaxStale, set.MaxAddresses = cfg.Resolver.Stale.D(), cfg.Resolver.Addresses
 	r.names = resolve.New(resolver(cfg), set, cfg.Resolver.Timeout.D(), r.caller, r.obs.Unresolved)
 	r.obs.Serves("/addresses", func() any { return r.Addresses() })
 	r.obs.Zones(traffic, zones, func() any { return r.zones.Report() })
@@ -344,16 +346,16 @@
 // Addresses is the report on endpoints that have several addresses, and on the
 // names among them.
 type Addresses struct {
-	Endpoints map[string][]addr.Known `json:"endpoints"`
-	Names     []addr.Resolved         `json:"names,omitempty"`
+	Endpoints map[string][]addr.AddressStatus `json:"endpoints"`
+	Names     []addr.NameStatus               `json:"names,omitempty"`
 	// LeftOut are addresses that a name gave and another partner has.
 	LeftOut []addr.Conflict `json:"left_out,omitempty"`
 }
 
 // Addresses tells what is known of them now.
 func (r *Relay) Addresses() Addresses {
-	names, out := r.names.Known()
-	return Addresses{r.caller.Known(), names, out}
+	names, out := r.names.Status()
+	return Addresses{r.caller.AddressStatus(), names, out}
 }
 
 func resolver(cfg *config.Config) resolve.Resolver {
--- a/internal/resolve/resolve.go
+++ b/internal/resolve/resolve.go
@@ -1,6 +1,6 @@
 // Package resolve looks up the addresses of host names, either at configured DNS servers (RFC
 // 1035), whose TTLs it passes on, or through the system's resolver, which reports no TTL. It does
-// not decide when a name is queried or which answers are accepted; addr.Names does.
+// not decide when a name is queried or which answers are accepted; addr.NameCache does.
 package resolve
 
 import (
@@ -22,15 +22,15 @@
 // Resolver looks up the addresses of a host name and their TTL. It returns an error if no answer
 // came; a name that has no addresses is no error.
 type Resolver interface {
-	Look(ctx context.Context, name string) ([]netip.Addr, time.Duration, error)
+	Lookup(ctx context.Context, name string) ([]netip.Addr, time.Duration, error)
 }
 
 // System resolves names through the resolver of the operating system. That reports no TTLs; TTL is
 // returned instead.
 type System struct{ TTL time.Duration }
 
-// Look queries the system's resolver.
-func (s System) Look(ctx context.Context, name string) ([]netip.Addr, time.Duration, error) {
+// Lookup queries the system's resolver.
+func (s System) Lookup(ctx context.Context, name string) ([]netip.Addr, time.Duration, error) {
 	ips, err := net.DefaultResolver.LookupNetIP(ctx, "ip", name)
 	if no := (*net.DNSError)(nil); errors.As(err, &no) && no.IsNotFound {
 		return nil, s.TTL, nil
@@ -50,9 +50,9 @@
 // maxTTL is the largest TTL that a record can have (RFC 2181, 8).
 const maxTTL = math.MaxInt32 * time.Second
 
-// Look queries A and AAAA records concurrently. If one query fails and the other returns addresses,
+// Lookup queries A and AAAA records concurrently. If one query fails and the other returns addresses,
 // those are used: a server that fails for one family must not make the endpoint unreachable.
-func (s Servers) Look(ctx context.Context, name string) ([]netip.Addr, time.Duration, error) {
+func (s Servers) Lookup(ctx context.Context, name string) ([]netip.Addr, time.Duration, error) {
 	type result struct {
 		ips []netip.Addr
 		ttl time.Duration
@@ -163,12 +163,12 @@
 // Sink receives resolved addresses: those of all endpoints that have more than the address in their
 // name, or those of the endpoints that changed.
 type Sink interface {
-	Addresses(all map[string][]addr.Address)
-	Changed(some map[string][]addr.Address)
+	SetAddresses(all map[string][]addr.Address)
+	UpdateAddresses(some map[string][]addr.Address)
 }
 
-// Follower keeps the addresses of the host names in an endpoint list up to date.
-type Follower struct {
+// Refresher keeps the addresses of the host names in an endpoint list up to date.
+type Refresher struct {
 	resolver Resolver
 	timeout  time.Duration
 	epoch    time.Time
@@ -176,27 +176,27 @@
 	report   func(name string, err error)
 
 	mu    sync.Mutex
-	names *addr.Names
+	cache *addr.NameCache
 	wake  chan struct{}
 }
 
-// New returns a Follower. report is called for each name whose query failed.
-func New(r Resolver, set addr.NamesSettings, timeout time.Duration, sink Sink,
-	report func(name string, err error)) *Follower {
-	return &Follower{resolver: r, timeout: timeout, epoch: time.Now(), sink: sink, report: report,
-		names: addr.NewNames(set, rand.Uint64()), wake: make(chan struct{}, 1)}
+// New returns a Refresher. report is called for each name whose query failed.
+func New(r Resolver, set addr.NameCacheSettings, timeout time.Duration, sink Sink,
+	report func(name string, err error)) *Refresher {
+	return &Refresher{resolver: r, timeout: timeout, epoch: time.Now(), sink: sink, report: report,
+		cache: addr.NewNameCache(set, rand.Uint64()), wake: make(chan struct{}, 1)}
 }
 
 // Set replaces the endpoint list.
-func (f *Follower) Set(list []addr.Endpoint) {
+func (f *Refresher) Set(list []addr.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sink.Addresses(f.names.Set(time.Since(f.epoch), list)) // under the lock, so that updates keep their order
+	f.sink.SetAddresses(f.cache.Set(time.Since(f.epoch), list)) // under the lock, so that updates keep their order
 	f.wakeUp()
 }
 
 // wakeUp makes Run look for due names without waiting for its timer.
-func (f *Follower) wakeUp() {
+func (f *Refresher) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
@@ -204,7 +204,7 @@
 }
 
 // Run queries names as they become due, until ctx ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Refresher) Run(ctx context.Context) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	timer := time.NewTimer(0)
@@ -212,7 +212,7 @@
 	for {
 		f.mu.Lock()
 		now := time.Since(f.epoch)
-		due, next := f.names.Due(now)
+		due, next := f.cache.Due(now)
 		f.mu.Unlock()
 		for _, name := range due {
 			wait.Go(func() { f.refresh(ctx, name) })
@@ -231,27 +231,27 @@
 	}
 }
 
-func (f *Follower) refresh(ctx context.Context, name string) {
+func (f *Refresher) refresh(ctx context.Context, name string) {
 	// refresh queries one name and passes on the addresses that changed.
 	queryCtx, cancel := context.WithTimeout(ctx, f.timeout)
-	ips, ttl, err := f.resolver.Look(queryCtx, name)
+	ips, ttl, err := f.resolver.Lookup(queryCtx, name)
 	cancel()
 	if err != nil && ctx.Err() == nil {
 		f.report(name, err)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if changed := f.names.Answered(time.Since(f.epoch), name,
+	if changed := f.cache.Answered(time.Since(f.epoch), name,
 		addr.Answer{Addrs: ips, TTL: ttl, Failed: err != nil}); len(changed) > 0 {
-		f.sink.Changed(changed)
+		f.sink.UpdateAddresses(changed)
 	}
 	f.wakeUp()
 }
 
-// Known returns the status of every name, and the addresses that are not used because they belong
+// Status returns the status of every name, and the addresses that are not used because they belong
 // to another partner.
-func (f *Follower) Known() ([]addr.Resolved, []addr.Conflict) {
+func (f *Refresher) Status() ([]addr.NameStatus, []addr.Conflict) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.names.Known(time.Since(f.epoch)), append([]addr.Conflict(nil), f.names.Conflicts...)
+	return f.cache.Status(time.Since(f.epoch)), append([]addr.Conflict(nil), f.cache.Conflicts...)
 }
--- a/internal/resolve/resolve_test.go
+++ b/internal/resolve/resolve_test.go
@@ -52,7 +52,7 @@
 		{"loop.example", nil, 0, false}, {"none.example", nil, 0, false},
 		{"bad.example", nil, 0, true}, {"mute.example", nil, 0, true},
 	} {
-		got, ttl, err := s.Look(context.Background(), c.name)
+		got, ttl, err := s.Lookup(context.Background(), c.name)
 		slices.SortFunc(got, netip.Addr.Compare)
 		if !slices.Equal(got, c.want) || c.ttl > 0 && ttl != c.ttl || (err != nil) != c.fail {
 			t.Errorf("%s: %v, %v, %v", c.name, got, ttl, err)
@@ -63,8 +63,8 @@
 // sink forwards the addresses that it receives.
 type sink chan map[string][]addr.Address
 
-func (s sink) Addresses(all map[string][]addr.Address) { s <- all }
-func (s sink) Changed(some map[string][]addr.Address)  { s <- some }
+func (s sink) SetAddresses(all map[string][]addr.Address)     { s <- all }
+func (s sink) UpdateAddresses(some map[string][]addr.Address) { s <- some }
 
 // Guards against a changed name that is not followed within its TTL, and against addresses that are
 // lost while the server does not answer: they stay, and the name is queried again without a busy
@@ -73,7 +73,7 @@
 	d := server(t)
 	d.Set("bank.example", standin.Zone{Addrs: ips("127.0.0.1"), TTL: 1})
 	news := make(sink, 100)
-	f := New(Servers{Addrs: []string{d.Addr}, Timeout: 100 * time.Millisecond}, addr.DefaultNames,
+	f := New(Servers{Addrs: []string{d.Addr}, Timeout: 100 * time.Millisecond}, addr.DefaultNameCacheSettings,
 		200*time.Millisecond, news,
 		func(string, error) {})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -105,7 +105,7 @@
 	for d.Asked("bank.example") < asked+3 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if known, _ := f.Known(); len(known) != 1 || len(known[0].Addrs) != 1 || len(news) > 0 {
+	if known, _ := f.Status(); len(known) != 1 || len(known[0].Addrs) != 1 || len(news) > 0 {
 		t.Errorf("without answers: %+v, %d updates", known, len(news))
 	}
 	d.Set("bank.example", standin.Zone{Addrs: ips("127.0.0.3"), TTL: 1})
