--- a/internal/partner/connect_test.go
+++ b/internal/partner/connect_test.go
@@ -375,7 +375,7 @@
 	if requests.Load() != 1 {
 		t.Errorf("%d requests", requests.Load())
 	}
-	c.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: at, State: choice.Draining}}})
+	c.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: at, State: choice.Draining}}})
 	waitFor(t, "the spare connection is closed", func() bool { return c.Connections(at) == 0 })
 	if conns.Load() != 2 {
 		t.Errorf("%d connections", conns.Load())
--- a/internal/partner/pool.go
+++ b/internal/partner/pool.go
@@ -334,12 +334,12 @@
 
 // List applies a change of the endpoint list: endpoints that take no new calls get no spare
 // connections, and their idle connections are closed.
-func (c *Caller) List(l choice.Listing) {
+func (c *Caller) List(l choice.HostUpdate) {
 	if l.Failed {
 		return
 	}
 	c.mu.Lock()
-	if l.Whole {
+	if l.Full {
 		listed := make(map[string]bool, len(l.Hosts))
 		for _, h := range l.Hosts {
 			listed[h.Addr] = true
