--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,6 +1,8 @@
-// Package ledger keeps what a relay owes: which identities are under way, and
-// which final answers ended ones got. It is state without I/O; its owner calls
-// it from one goroutine and hands it the time.
+// Package ledger deduplicates messages by identity. It knows which identities are in
+// progress and remembers the final answers of those that have ended, within a limit of
+// count and of time.
+//
+// It does no I/O and reads no clock. It is not safe for concurrent use.
 package ledger
 
 import (
@@ -9,18 +11,19 @@
 	"time"
 )
 
-// Verdict is a final answer's word.
+// Verdict is the kind of a final answer.
 type Verdict uint8
 
-// The final answers. Refused says that the message did not take effect and may
-// be handed in again; Failed promises nothing.
+// The verdicts. Refused states that the message did not take effect and may be handed in
+// again. After Failed it is unknown whether the message took effect.
 const (
 	Delivered Verdict = iota + 1
 	Refused
 	Failed
-	Abandoned // nobody is owed an answer any more
+	Abandoned // no answer is due any more
 )
 
+// String returns the name of the verdict, and none for 0.
 func (v Verdict) String() string {
 	return [...]string{"none", "delivered", "refused", "failed", "abandoned"}[v]
 }
@@ -28,49 +31,49 @@
 // Answer is the one final answer of a message.
 type Answer struct {
 	Verdict Verdict
-	// After is advice with Refused: come again not before then; 0 for none.
+	// After is the time after which a refused message should be handed in again; 0 for none.
 	After time.Duration
 }
 
-// Entry is one identity.
+// Entry is the state of one identity.
 type Entry struct {
 	Identity string
-	ID       string // the message's name within the relay
-	Forget   bool   // may be forgotten early: a second effect does no harm
-	Answer   Answer // Verdict 0 while under way
-	Ended    time.Duration
-	place    *list.Element
+	ID       string        // relay's id of the message
+	Forget   bool          // may be evicted early: a repeat does no harm
+	Answer   Answer        // Verdict 0 while in progress
+	Ended    time.Duration // time of the answer
+	place    *list.Element // in the list of ended entries
 }
 
-// ErrFull says that no further identity can be kept without forgetting one
-// whose second effect would do harm.
+// ErrFull is returned if a new identity could only be stored by evicting one that is in
+// progress or whose repeat would do harm.
 var ErrFull = errors.New("ledger: all kept identities are under way or must be remembered")
 
-// Ledger is bounded by a count of identities, and keeps ended ones for a time.
+// Ledger stores a limited number of identities, and ended ones for a limited time.
 type Ledger struct {
 	count   int
 	keep    time.Duration
 	entries map[string]*Entry
-	loose   *list.List // ended, may be forgotten early; oldest first
-	firm    *list.List // ended, kept for the whole time; oldest first
-	// Dropped, if set, is told of identities that are kept no more.
+	loose   *list.List // ended, may be evicted early; oldest first
+	firm    *list.List // ended, stored for the whole retention; oldest first
+	// Dropped, if set, is called for identities that were removed.
 	Dropped func(identity string)
 }
 
-// New returns a ledger for at most count identities that keeps ended ones for
-// the given time. Past the time an identity is new again. At the count the
-// oldest ended identity that may be forgotten early goes first; where there is
-// none, Open fails with ErrFull.
+// New returns a ledger for at most count identities. Ended ones are removed after the time
+// keep, and an identity that was removed counts as new. If the ledger is full, Open evicts
+// the oldest ended identity that may be evicted early; if there is none, it fails with
+// ErrFull.
 func New(count int, keep time.Duration) *Ledger {
 	return &Ledger{count: count, keep: keep, entries: map[string]*Entry{}, loose: list.New(), firm: list.New()}
 }
 
-// Len is the number of identities kept.
+// Len returns the number of identities.
 func (l *Ledger) Len() int { return len(l.entries) }
 
-// Find returns the entry of an identity, nil if there is none in force. One
-// that was refused is in force until the advised time; who comes after it has
-// come again, as told, and is tried anew. It is kept until Open replaces it.
+// Find returns the entry of an identity, nil if there is none in force. A refusal is in
+// force for the time Answer.After: a later hand-in is the repeat that was asked for, and
+// is a new message. The entry of the refusal remains until Open replaces it.
 func (l *Ledger) Find(now time.Duration, identity string) *Entry {
 	l.expire(now)
 	e := l.entries[identity]
@@ -80,8 +83,8 @@
 	return e
 }
 
-// Open begins an identity that Find does not know, in place of a refusal that is
-// not in force any more.
+// Open adds an identity for which Find returns nil. It replaces a refusal that is not in
+// force any more.
 func (l *Ledger) Open(now time.Duration, identity, id string, forget bool) (*Entry, error) {
 	l.expire(now)
 	if refused := l.entries[identity]; refused != nil {
@@ -99,8 +102,8 @@
 	return e, nil
 }
 
-// End writes down the final answer of an identity, once: a second one is
-// returned as false and changes nothing.
+// End stores the final answer of an identity. If there is one already, End returns false
+// and changes nothing.
 func (l *Ledger) End(now time.Duration, e *Entry, a Answer) bool {
 	if e.Answer.Verdict != 0 {
 		return false
@@ -114,20 +117,22 @@
 	return true
 }
 
-// Reopen takes in an identity that was under way in an earlier run, and Restore one
-// that ended then; the oldest come first. Both hold what was promised, also past
-// the count: then Open finds no room until they have ended or are forgotten.
+// Reopen adds an identity that was in progress in an earlier run. Reopen and Restore ignore
+// the limit of the count, since these identities have been accepted; Open then fails until
+// enough of them have ended or were removed.
 func (l *Ledger) Reopen(identity, id string, forget bool) *Entry {
 	e := &Entry{Identity: identity, ID: id, Forget: forget}
 	l.entries[identity] = e
 	return e
 }
 
-// Restore takes in an identity that ended at a time.
+// Restore adds an identity that ended in an earlier run. Identities must be restored in the
+// order in which they ended.
 func (l *Ledger) Restore(ended time.Duration, identity, id string, a Answer, forget bool) {
 	l.End(ended, l.Reopen(identity, id, forget), a)
 }
 
+// expire removes ended identities whose retention is over.
 func (l *Ledger) expire(now time.Duration) {
 	for _, ended := range [...]*list.List{l.loose, l.firm} {
 		for e := ended.Front(); e != nil && now-e.Value.(*Entry).Ended >= l.keep; e = ended.Front() {
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -1,23 +1,23 @@
-// Package limit holds the decisions on who may use how much of a bounded room.
-// It does no I/O and reads no clock.
+// Package limit divides a queue of limited capacity fairly among its sources. It does no
+// I/O and reads no clock.
 package limit
 
-// Share divides a bounded room among sources by dynamic thresholds (Choudhury
-// and Hahne, IEEE/ACM Transactions on Networking 6(2), 1998, with factor 1): a
-// source may hold as much as is still free. One that floods gets half of the
-// room, two get a third each, and some room is always left for others; none of
-// it lies idle for want of a quota. It is not safe for concurrent use.
+// Share divides a capacity among sources by dynamic thresholds (Choudhury and Hahne,
+// IEEE/ACM Transactions on Networking 6(2), 1998, with factor 1): a source may hold as
+// many slots as are free. A single source that floods gets half of the capacity, two get a
+// third each, and some slots always remain for others. Unlike with fixed quotas, no
+// capacity is reserved for sources that do not use it. It is not safe for concurrent use.
 type Share struct {
-	most  int
-	total int
-	by    map[string]int
+	most  int            // capacity
+	total int            // slots in use
+	by    map[string]int // slots in use, by source
 }
 
-// NewShare makes a room for most entries.
+// NewShare returns a Share with a capacity of most slots.
 func NewShare(most int) *Share { return &Share{most: most, by: map[string]int{}} }
 
-// Enter takes a place for a source; false if it holds its share, or all is
-// taken. An empty room takes one entry of anybody.
+// Enter acquires a slot for a source. It returns false if the source has reached its
+// threshold or no slot is free. A source without slots gets one if any is free.
 func (s *Share) Enter(source string) bool {
 	if free := s.most - s.total; free <= 0 || s.by[source] >= max(1, free) {
 		return false
@@ -27,7 +27,7 @@
 	return true
 }
 
-// Leave gives a place back.
+// Leave releases a slot of a source.
 func (s *Share) Leave(source string) {
 	switch n := s.by[source]; {
 	case n == 0:
@@ -40,11 +40,11 @@
 	s.total--
 }
 
-// Clear gives all places back.
+// Clear releases all slots.
 func (s *Share) Clear() {
 	s.total = 0
 	clear(s.by)
 }
 
-// Len is the number of places taken.
+// Len returns the number of slots in use.
 func (s *Share) Len() int { return s.total }
--- a/internal/limit/share_test.go
+++ b/internal/limit/share_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// One that floods leaves half of the room, two leave a third, and a newcomer
-// finds a place; what one leaves the other may have.
+// Guards against a source that takes all slots: one that floods leaves half of them, two
+// leave a third, and a third source gets one. Released slots can be acquired by others.
 func TestShare(t *testing.T) {
 	s := NewShare(90)
 	fill := func(source string) (n int) {
@@ -13,30 +13,30 @@
 		return n
 	}
 	if n := fill("a"); n != 45 {
-		t.Errorf("one alone takes %d of 90", n)
+		t.Errorf("the first source got %d of 90 slots, want 45", n)
 	}
 	if n := fill("b"); n != 23 {
-		t.Errorf("the second takes %d of the 45 left", n)
+		t.Errorf("the second source got %d of the 45 free slots, want 23", n)
 	}
 	if !s.Enter("c") {
-		t.Error("a third finds no place")
+		t.Error("a third source got no slot")
 	}
 	for range 40 {
 		s.Leave("a")
 	}
 	if n := fill("b"); n == 0 {
-		t.Error("what was left is not given on")
+		t.Error("released slots cannot be acquired by another source")
 	}
-	for s.Len() < 90 { // many small ones fill it to its bound, not over it
+	for s.Len() < 90 { // many small sources fill it up to its capacity
 		if !s.Enter(string(rune('A' + s.Len()))) {
 			break
 		}
 	}
 	if s.Len() != 90 || s.Enter("z") {
-		t.Errorf("%d places taken of 90", s.Len())
+		t.Errorf("%d slots in use, want 90 and no further one", s.Len())
 	}
 	s.Leave("nobody")
 	if s.Clear(); s.Len() != 0 || !s.Enter("a") {
-		t.Error("not empty after Clear")
+		t.Error("slots in use after Clear")
 	}
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits.
+// Package pause provides a sleep that a context can interrupt.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits so long, and tells whether the time passed before ctx ended.
+// For sleeps for d. It returns false if ctx ends first.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
--- a/internal/recover/recover.go
+++ b/internal/recover/recover.go
@@ -1,8 +1,10 @@
-// Package recover decides what follows from a journal's records after a crash:
-// for each message how much of its time is left, what may have run and when, and
-// in which order they go on; which answers are still owed and which identities
-// still count; which waits are still in force. What is then done with a message
-// decides the module. It does no I/O and reads no clock but the given ones.
+// Package recover computes the state to restore from the records of a journal after a
+// crash: the time left of each message, whether an attempt of it may have run and when;
+// which answers the client has not received and which identities are still remembered;
+// which waits are still in force.
+//
+// What is then done with a message is up to package choice. This package does no I/O and
+// reads no clock; the times come with the records.
 package recover
 
 import (
@@ -15,18 +17,18 @@
 	"basaltcross.example/basaltcross/internal/ledger"
 )
 
-// Clock tells how long ago a record was written. Within one run of the machine
-// its own clock tells exactly, however the wall clock was set; across them
-// the wall clock is all there is, and an age below 0 is unknown.
+// Clock computes the age of records. Within one boot of the machine it uses the monotonic
+// clock, which is exact however the wall clock was set. Across boots only the wall clock is
+// available, and an age below 0 counts as unknown.
 type Clock struct {
-	Runs map[uint32]journal.Run
-	Now  journal.Run
+	Runs map[uint32]journal.Run // clocks at the start of each run of the process, by its number
+	Now  journal.Run            // clocks at present
 }
 
-// Unknown is the age of a record that nothing is known about: for ever.
+// Unknown is the age of a record whose age cannot be computed. It is longer than any other.
 const Unknown = time.Duration(math.MaxInt64)
 
-// Age of a moment.
+// Age returns the time since a stamp was taken.
 func (c *Clock) Age(s journal.Stamp) time.Duration {
 	run, ok := c.Runs[s.Run]
 	if !ok {
@@ -44,54 +46,53 @@
 	return Unknown
 }
 
-// Class is what recovery needs of a class of messages.
+// Class holds the settings of a message class that recovery needs.
 type Class struct {
-	Deadline time.Duration
-	Keep     bool // its attempts are recorded, for a second effect would do harm
+	Deadline time.Duration // longest time from hand-in to delivery
+	Keep     bool          // attempts are recorded, since a repeat would do harm
 }
 
-// Message goes on.
+// Message is a message without a final answer.
 type Message struct {
 	journal.Message
-	Left     time.Duration // 0 where its time has passed or is unknown
-	Attempts int           // certainly made
-	Ran      bool          // one of them may have run
-	Since    time.Duration // ago the first of those was sent; Unknown counts as for ever
-	Zone     string        // where
-	Host     string
-	// Verdict, if there is one, ends it at once: the configuration has no such class
-	// or partner any more, so that nobody can deliver it.
+	Left     time.Duration // time to its deadline; 0 if that has passed or is unknown
+	Attempts int           // number of attempts made
+	Ran      bool          // an attempt may have run
+	Since    time.Duration // time since the first of those was sent, or Unknown
+	Zone     string        // zone that it was sent to
+	Host     string        // host that it was sent to
+	// Verdict, if not 0, is the final answer: the message cannot be delivered, since the
+	// configuration does not have its class or partner any more.
 	Verdict ledger.Verdict
 }
 
-// Wait is in force.
+// Wait is the state of an endpoint that is still in force.
 type Wait struct {
 	Host    string
-	Left    time.Duration
-	Failing bool
+	Left    time.Duration // rest of the wait that the endpoint asked for
+	Failing bool          // its last call failed
 }
 
-// End still counts.
+// End is a final answer that is still remembered.
 type End struct {
 	journal.End
-	Age time.Duration
+	Age time.Duration // time since the answer
 }
 
-// Plan is what to go on with.
+// Plan is the state to restore.
 type Plan struct {
-	Messages []Message // in the order in which they were taken
+	Messages []Message // in the order of their hand-in
 	Ends     []End     // the oldest first
 	Waits    []Wait
-	// Levels of the zone budget, nil for none, and how long ago; an unknown time
-	// counts as none.
+	// Levels are the levels of the zone budget, nil for none.
 	Levels []float64
-	Ago    time.Duration
-	Over   []string // endpoints of which nothing is in force any more
-	Drop   []string // identities that count no more
+	Ago    time.Duration // age of Levels; 0 if it is unknown
+	Over   []string      // endpoints with a record of which nothing is in force any more
+	Drop   []string      // identities that are not remembered any more
 }
 
-// Decide makes the plan. keep is how long ended identities count, cold how long a
-// failing endpoint is remembered as one.
+// Decide computes the plan. keep is the retention of ended identities; cold is how long an
+// endpoint counts as failing after its last call.
 func Decide(k *journal.Kept, classes map[string]Class, partners map[string]bool, keep, cold time.Duration) Plan {
 	clock := Clock{k.Runs, k.Now}
 	var p Plan
@@ -109,7 +110,7 @@
 			p.Drop = append(p.Drop, e.Identity)
 			continue
 		}
-		if age == Unknown { // written in what is now the future: as if now
+		if age == Unknown { // written in the future by the present clock: treated as new
 			age = 0
 		}
 		p.Ends = append(p.Ends, End{e, age})
@@ -117,7 +118,7 @@
 	slices.SortStableFunc(p.Ends, func(x, y End) int { return cmp.Or(cmp.Compare(y.Age, x.Age), cmp.Compare(x.Seq, y.Seq)) })
 	for _, m := range k.Messages {
 		if ended[m.Seq] {
-			continue // its answer was recorded
+			continue // its final answer is on disk
 		}
 		c, known := classes[m.Class]
 		x := Message{Message: m}
--- a/internal/recover/recover_test.go
+++ b/internal/recover/recover_test.go
@@ -16,8 +16,8 @@
 
 var classes = map[string]Class{"charge": {Deadline: 6 * s, Keep: true}, "status": {Deadline: 6 * s}}
 
-// kept is one message with an attempt, taken 2 s and sent 1 s before the crash, and
-// what the clocks say after it.
+// kept returns the records of a message that was taken 2 s and sent 1 s before the crash, and the
+// clocks after it: away is the time until the restart, jump the change of the wall clock.
 func kept(sameBoot bool, away, jump time.Duration) *journal.Kept {
 	run := journal.Run{Number: 1, Boot: "x", Clock: int64(100 * s), Wall: int64(1_000_000 * s)}
 	now := journal.Run{Number: 2, Boot: "x", Clock: int64(110*s + away), Wall: int64(1_000_010*s + away + jump)}
@@ -32,9 +32,9 @@
 		Waits:    []journal.Wait{{Host: "h", At: at(s), Left: int64(4 * s)}}}
 }
 
-// Within one run of the machine a wall clock that jumped changes nothing; across
-// them, time that cannot be told is taken as gone for a message, as past for a
-// keyed window, and as not gone for a wait.
+// Guards against times that follow a wall clock which was set. Within one boot of the machine
+// its jumps change nothing. Across boots an unknown age means that a message's time and the
+// deduplication window are over, and that a wait is still in force.
 func TestClocks(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -44,48 +44,48 @@
 		since      time.Duration
 		wait       time.Duration
 	}{
-		{"short crash", true, s / 2, 0, 2500 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond},
-		{"wall an hour back", true, s / 2, -time.Hour, 2500 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond},
-		{"wall an hour on", true, s / 2, time.Hour, 2500 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond},
+		{"short outage", true, s / 2, 0, 2500 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond},
+		{"wall clock an hour back", true, s / 2, -time.Hour, 2500 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond},
+		{"wall clock an hour ahead", true, s / 2, time.Hour, 2500 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond},
 		{"new boot", false, s, 0, 2 * s, 2 * s, 2 * s},
-		{"new boot, wall back", false, s, -time.Hour, 0, Unknown, 4 * s},
-		{"new boot, wall on", false, s, time.Hour, 0, time.Hour + 2*s, 0},
-		{"a day away", true, 24 * time.Hour, 0, 0, 24*time.Hour + s, 0},
+		{"new boot, wall clock back", false, s, -time.Hour, 0, Unknown, 4 * s},
+		{"new boot, wall clock ahead", false, s, time.Hour, 0, time.Hour + 2*s, 0},
+		{"restart after a day", true, 24 * time.Hour, 0, 0, 24*time.Hour + s, 0},
 	} {
 		p := Decide(kept(c.same, c.away, c.jump), classes, partners, time.Hour, 10*s)
 		m := p.Messages[0]
 		if m.Left != c.left || !m.Ran || m.Since != c.since || m.Zone != "z" || m.Attempts != 2 {
-			t.Errorf("%s: left %v, ran %v since %v in %q after %d", c.name, m.Left, m.Ran, m.Since, m.Zone, m.Attempts)
+			t.Errorf("%s: left %v, may have run %v since %v in zone %q, %d attempts", c.name, m.Left, m.Ran, m.Since, m.Zone, m.Attempts)
 		}
 		wait := time.Duration(0)
 		if len(p.Waits) > 0 {
 			wait = p.Waits[0].Left
 		}
 		if wait != c.wait {
-			t.Errorf("%s: wait %v", c.name, wait)
+			t.Errorf("%s: %v left of the wait", c.name, wait)
 		}
 		if len(p.Ends)+len(p.Drop) != 1 {
-			t.Errorf("%s: %v, %v", c.name, p.Ends, p.Drop)
+			t.Errorf("%s: ends %v, dropped %v, want one in all", c.name, p.Ends, p.Drop)
 		}
 	}
 }
 
-// A message that nobody can deliver any more ends at once: refused, unless it may
-// have run.
+// Guards against a message that stays without an answer because its partner is not configured any
+// more: it is refused, or fails if it may have run.
 func TestConfigurationChanged(t *testing.T) {
 	for ran, want := range map[bool]ledger.Verdict{true: ledger.Failed, false: ledger.Refused} {
 		k := kept(true, s/2, 0)
 		k.Messages[0].Partner = "gone"
 		k.Attempts[1][1].Clear = !ran
 		if m := Decide(k, classes, partners, time.Hour, 10*s).Messages[0]; m.Verdict != want {
-			t.Errorf("ran %v: %v", ran, m.Verdict)
+			t.Errorf("may have run %v: verdict %v", ran, m.Verdict)
 		}
 	}
 }
 
-// Whatever the records and clocks: a message with an attempt that is not clear
-// may have run, one without may not; nothing gets more time than it had; the order
-// is that of taking; what ended does not go on; what is owed is not dropped.
+// Checks, for arbitrary records and clocks: exactly the messages with an attempt that is not
+// clear may have run; no message gets more time than it had; messages keep the order of their
+// hand-in; ended messages are not restored; answers that the client has not received are kept.
 func TestPlans(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := &journal.Kept{Runs: map[uint32]journal.Run{}, Attempts: map[uint64][]journal.Attempt{}}
@@ -121,16 +121,16 @@
 				t.Fatalf("%+v", m)
 			}
 			if last = int64(m.Seq); m.Left < 0 || m.Left > min(time.Duration(m.Message.Left), 6*s) || m.Since < 0 {
-				t.Fatalf("left %v, since %v: %+v", m.Left, m.Since, m)
+				t.Fatalf("time left %v, since %v: %+v", m.Left, m.Since, m)
 			}
 		}
 		for _, id := range p.Drop {
 			if owed[id] {
-				t.Fatalf("%s is owed and dropped", id)
+				t.Fatalf("the answer of %s is dropped, but the client has not received it", id)
 			}
 		}
 		if len(p.Messages)+len(ended) != len(k.Messages) || len(p.Ends)+len(p.Drop) != len(k.Ends) {
-			t.Fatal("something is missing")
+			t.Fatal("a message or an ended identity is missing from the plan")
 		}
 	})
 }
