--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -13,36 +13,38 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
+// attempt is one attempt of a message. The attempts of a call with several messages are linked
+// by lead and with.
 type attempt struct {
 	m       *message
-	n       int
+	n       int // number of the attempt, from 0
 	host    string
-	zone    int // of the host as it was sent to
+	zone    int // zone of the host at the time of the send
 	partner int
 	sent    time.Duration
-	end     time.Duration // time-out
-	by      time.Duration // nothing is written after it; 0 for no such time
-	sock    Attempt
+	end     time.Duration // time of the time-out
+	by      time.Duration // latest time of the first write; 0 for none
+	sock    Attempt       // of the call, nil in attempts that have a lead
 	passed  atomic.Int64
-	settle  func(now time.Duration, passed int64, whole bool)
-	place   int        // in the heap, -1 if not there
-	lead    *attempt   // with which it travels; nil for one that goes alone or leads
-	with    []*attempt // those that travel with it
-	off     bool       // called off by the module
-	gate    *gated     // it waits for its record, or did; nil for one that had not to
-	doubted bool       // its outcome was another's
+	settle  func(now time.Duration, passed int64, whole bool) // see Toll.Sent; nil for none
+	place   int                                               // index in the heap of time-outs, -1 if not in it
+	lead    *attempt                                          // first attempt of the call; nil in that one
+	with    []*attempt                                        // in the first attempt: the others of the call
+	off     bool                                              // cancelled by the module
+	gate    *gated                                            // set if the call is or was delayed until its records are on disk
+	doubted bool                                              // the outcome was retracted: the response belonged to another call
 }
 
-// all are the attempts of one call.
+// all returns the attempts of a's call, of which a is the first.
 func (a *attempt) all() []*attempt { return append([]*attempt{a}, a.with...) }
 
-// harmful tells whether a second effect of a message would do harm: then each
-// attempt is recorded before its first byte.
+// harmful reports whether each attempt of a message is recorded before its first byte: if a
+// repeat would do harm, or if all attempts are recorded.
 func (c *Core) harmful(m *message) bool {
 	return m.kept && (c.opt.Every || c.opt.Settings.Classes[m.Class].Effect != choice.Safe)
 }
 
-// tried records an attempt of a message.
+// tried records an attempt; clear marks one that certainly had no effect.
 func (c *Core) tried(a *attempt, clear bool) {
 	zone := ""
 	if a.zone < len(c.opt.Names.Zones) {
@@ -51,7 +53,7 @@
 	c.opt.Journal.Tried(journal.Attempt{Seq: a.m.seq, N: a.n, Host: a.host, Zone: zone, At: c.opt.Journal.Stamp(), Clear: clear})
 }
 
-// clear records that an attempt had no effect, once that is confirmed.
+// clear records that an attempt had no effect, once its outcome is confirmed.
 func (c *Core) clear(a *attempt) {
 	if a.m.life.ConfirmedBy() <= c.now || a.m.life.Repeat != lifecycle.Never {
 		c.tried(a, true)
@@ -64,7 +66,7 @@
 	})
 }
 
-// over takes in how a call ended: each of its messages has its own end.
+// over processes the end of a call: it ends the attempt of each of its messages.
 func (c *Core) over(a *attempt, e Ending) {
 	for i, b := range a.all() {
 		one := e
@@ -76,7 +78,7 @@
 	}
 }
 
-// end takes in an attempt's outcome from its socket.
+// end processes the outcome of an attempt.
 func (c *Core) end(a *attempt, e Ending) {
 	m := a.m
 	if m.out != a {
@@ -100,7 +102,7 @@
 	if e.Unsettled > 0 && !m.answered {
 		c.unconfirmed(a, e, served)
 	}
-	if e.Over && !m.answered { // the platform says so: nobody is owed anything
+	if e.Over && !m.answered { // the platform has abandoned the message: no answer is due
 		c.answer(m, ledger.Answer{Verdict: ledger.Abandoned})
 	}
 	sure := e.Outcome == choice.Refused || e.Outcome == choice.NoConnection || e.Outcome == choice.NotSent
@@ -117,8 +119,8 @@
 	c.forget(m)
 }
 
-// abort ends an attempt for a time-out or a cancel. If its outcome was first,
-// that stands and comes by the inbox.
+// abort ends a call because of a time-out or at shutdown. If it has ended already, its
+// outcome counts and arrives through the inbox.
 func (c *Core) abort(a *attempt, why choice.Outcome) {
 	started, ok := a.sock.Abort()
 	if !ok {
@@ -127,7 +129,7 @@
 		}
 		return
 	}
-	if !started { // not one byte was handed over: it cannot have run
+	if !started { // no byte was sent: it cannot have run
 		if why = choice.NotSent; c.now >= a.end && a.begun() {
 			why = choice.NoConnection
 		}
@@ -135,7 +137,8 @@
 	c.over(a, Ending{Outcome: why, Took: c.now - a.sent})
 }
 
-// listed notes endpoints that no longer take new work.
+// listed updates the tables of endpoints, and adds to recall the endpoints that no longer
+// accept new calls.
 func (c *Core) listed(l *choice.Listing, recall map[string]bool) {
 	if l.Failed {
 		return
@@ -167,7 +170,8 @@
 	}
 }
 
-// hold notes endpoints that a told wait covers.
+// hold adds to recall the endpoints to which the wait that ended a applies: all of the
+// partner, unless its endpoints have limits of their own.
 func (c *Core) hold(a *attempt, recall map[string]bool) {
 	recall[a.host] = true
 	if c.kind(a.host).Apart {
@@ -180,7 +184,7 @@
 	}
 }
 
-// kind of an endpoint; that of one which has none carries one message a call.
+// kind returns the kind of an endpoint; one message a call if its kind is unknown.
 func (c *Core) kind(host string) choice.Kind {
 	if k := c.kinds[host]; k >= 0 && k < len(c.opt.Settings.Kinds) {
 		return c.opt.Settings.Kinds[k]
@@ -188,9 +192,9 @@
 	return choice.Kind{PerCall: 1}
 }
 
-// recall takes back attempts whose connection is not up yet, where the news
-// of this batch may have changed what the module would say: bytes must not go
-// out long after the decision that sent them.
+// recall ends calls to hosts whose connection is not established yet. The events of this
+// batch may have changed the module's decision, and no byte should be sent long after
+// the decision to send it. The module then decides again.
 func (c *Core) recall(hosts map[string]bool) {
 	for a := range c.outs {
 		if hosts[a.host] && a.lead == nil && a.sock.Recall() {
@@ -199,7 +203,7 @@
 	}
 }
 
-// sentLater tells whether an action sends to a host.
+// sentLater reports whether any of actions sends to a host.
 func sentLater(actions []choice.Action, host string) bool {
 	return slices.ContainsFunc(actions, func(a choice.Action) bool {
 		s, ok := a.(choice.Send)
@@ -207,7 +211,8 @@
 	})
 }
 
-// attempt makes that of a send, nil for a message that is no more.
+// attempt creates the attempt for a send. It returns nil if the message is gone or must not be
+// sent; the module then gets NotSent in the next batch.
 func (c *Core) attempt(s choice.Send) *attempt {
 	m := c.msgs[s.ID]
 	if m == nil {
@@ -235,7 +240,7 @@
 	return a
 }
 
-// fits tells whether one more attempt may travel with others in one call.
+// fits reports whether the message of a fits into a call with those of group.
 func (c *Core) fits(group []*attempt, a *attempt) bool {
 	if c.opt.Together == 0 || len(group) == 0 {
 		return true
@@ -247,10 +252,10 @@
 	return size <= c.opt.Together
 }
 
-// perItem bytes a message takes in a call that carries several, apart from what is its own.
+// perItem is the overhead of a message in a call with several, in bytes, besides its own fields.
 const perItem = 40
 
-// sendGroup begins one call with several attempts.
+// sendGroup sends several attempts as one call.
 func (c *Core) sendGroup(group []*attempt) {
 	if len(group) == 0 {
 		return
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -8,18 +8,18 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// recordWait is how long a call may wait for its records where the journal tells what waits:
-// the decision to send it, with its time-out and its place in the pace of its endpoint, is as
-// old then. It is what the platform allows every limit on sockets.
+// recordWait is the longest time that a call waits for its records with a Backlog. By then the
+// decision to send it, with its time-out and its slot in the rate of its endpoint, is that old.
+// The value is the tolerance that the platform allows for every time limit on sockets.
 const recordWait = 50 * time.Millisecond
 
-// gated is an attempt that waits for its record; not a byte is out before.
+// gated delays a call until its records are on disk or the answers it relies on are confirmed.
 type gated struct {
-	sock Attempt // once it has begun
-	off  bool
+	sock Attempt // the call, once it was sent; nil before
+	off  bool    // ended before it was sent
 }
 
-// Abort ends it.
+// Abort implements Attempt. A call that was not sent ends without a byte sent.
 func (g *gated) Abort() (started, ok bool) {
 	if g.sock != nil {
 		return g.sock.Abort()
@@ -29,7 +29,7 @@
 	return false, ok
 }
 
-// Recall ends it if it has not begun, or not reached the kernel.
+// Recall implements Attempt.
 func (g *gated) Recall() bool {
 	if g.sock != nil {
 		return g.sock.Recall()
@@ -39,12 +39,11 @@
 	return ok
 }
 
-// begun tells whether a call was handed to the caller: before, nothing that happens to it
-// tells of its endpoint.
+// begun reports whether the call was passed to the Caller. Until then nothing that happens to
+// it says anything about its endpoint.
 func (a *attempt) begun() bool { return a.gate == nil || a.gate.sock != nil }
 
-// send begins a call: an attempt, and those that travel with it, once the answers are confirmed
-// that it rests on.
+// send sends the call of an attempt, as soon as the outcomes that it relies on are confirmed.
 func (c *Core) send(a *attempt) {
 	if a == nil {
 		return
@@ -56,8 +55,8 @@
 	c.sendNow(a)
 }
 
-// sendNow begins a call. Where it has to wait for its records its time-out runs from its first
-// byte, for it measures the endpoint and not the disk.
+// sendNow sends a call, as soon as its records are on disk. The time-out of a call that waits for
+// its records starts with the first byte, since it measures the endpoint and not the disk.
 func (c *Core) sendNow(a *attempt) {
 	call, seqs := c.call(a)
 	timeout := a.end - a.sent
@@ -92,8 +91,8 @@
 	}
 }
 
-// call describes an attempt to the caller; seqs are the messages whose records must be on
-// disk before its first byte.
+// call builds the Call of an attempt and records its attempts where required. seqs are the
+// messages whose records must be on disk before the first byte.
 func (c *Core) call(a *attempt) (call Call, seqs []uint64) {
 	m := a.m
 	call = Call{ID: m.id, Name: m.Identity, Zone: a.zone, Passed: &a.passed, Host: a.host, Class: m.Class, Partner: m.Partner, Key: m.Key,
@@ -115,7 +114,7 @@
 	return call, seqs
 }
 
-// begin hands a call over.
+// begin passes a call to the Caller.
 func (c *Core) begin(a *attempt, call Call, timeout time.Duration) {
 	call.Patient = timeout
 	if by := a.latest(); by > 0 {
@@ -131,7 +130,7 @@
 	c.opt.Trace.Step(a.m.Identity, "begun", timeout.String())
 }
 
-// latest is when nothing of a call is written any more; 0 for no such time.
+// latest returns the latest time of the first write, over all messages of a call; 0 for none.
 func (a *attempt) latest() time.Duration {
 	by := time.Duration(0)
 	for _, b := range a.all() {
@@ -142,10 +141,10 @@
 	return by
 }
 
-// expire puts an attempt at its place among the time-outs.
+// expire adds an attempt to the heap of time-outs, or moves it after a's time-out has changed.
 func (c *Core) expire(a *attempt) {
 	switch {
-	case a.m.out != a: // ended meanwhile
+	case a.m.out != a: // the attempt has ended
 	case a.place >= 0:
 		heap.Fix(&c.waits, a.place)
 	default:
@@ -153,7 +152,7 @@
 	}
 }
 
-// recordsBy is how long an attempt waits for its records.
+// recordsBy returns the time until which an attempt waits for its records.
 func (c *Core) recordsBy(a *attempt) time.Duration {
 	if c.backlog != nil {
 		return a.sent + recordWait
@@ -161,8 +160,9 @@
 	return c.Now() + c.left(a)
 }
 
-// begins decides whether a call may still leave: nothing does once the relay leaves, and
-// nothing behind the time of one of its messages.
+// begins reports whether a call that waited may still be sent. It may not if the relay shuts
+// down, if the deadline or the latest write of one of its messages has passed, or if one of
+// them was answered or has another attempt.
 func (c *Core) begins(a *attempt) bool {
 	now, by := c.Now(), a.latest()
 	for _, b := range a.all() {
@@ -178,8 +178,8 @@
 	return true
 }
 
-// left is what is left of the time of a call's messages: where that is less than half of the
-// time-out that was meant, a call that waited is not begun, and the module decides anew.
+// left returns the time until the first deadline of a call's messages. If that is less than half
+// of the planned time-out, a call that waited is not sent, and the module decides again.
 func (c *Core) left(a *attempt) time.Duration {
 	by := a.m.due
 	for _, b := range a.with {
@@ -188,8 +188,8 @@
 	return by - c.Now()
 }
 
-// pauseSends has the module send nothing while records wait: no call could begin, and what
-// it believes of endpoints would be the disk's doing.
+// pauseSends pauses the sends of the module while records wait for the disk: no call could be
+// sent, and the module would blame endpoints for the delays of the disk.
 func (c *Core) pauseSends() {
 	if c.backlog == nil || !c.opt.Every {
 		return
@@ -200,7 +200,7 @@
 	}
 }
 
-// timers is a heap of attempts by time-out.
+// timers is a heap of attempts, ordered by time-out.
 type timers []*attempt
 
 func (t timers) Len() int           { return len(t) }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,11 @@
-// Package core is the relay's centre: one goroutine owns the decision module,
-// the ledger of identities and all attempts. Whatever happens reaches it as
-// events in batches; it hands them to the module and carries out what comes
-// back. It decides nothing about delivery.
+// Package core implements the relay's event loop. One goroutine owns the decision
+// module (package choice), the ledger of identities and all attempts. Events from
+// fronts, sockets, timers and the endpoint list reach it through one inbox; it
+// passes them to the module in batches and executes the actions that come back.
+//
+// The package takes no delivery decisions and opens no connections: choice decides,
+// lifecycle checks what is allowed, a Caller talks to partners and a Journal stores
+// records.
 package core
 
 import (
@@ -21,46 +25,47 @@
 	"basaltcross.example/basaltcross/internal/limit"
 )
 
-// Message is what a front hands in.
+// Message is a message as a front hands it in.
 type Message struct {
-	Source   string // the client, for its share of the inbox
-	Identity string // who handed it in and what they call it; empty if nothing tells it apart
-	Class    int    // index in Config.Classes
-	Partner  int    // index in the relay's partners
-	Key      string // key of the order
-	Left     time.Duration
-	Respond  time.Duration // whoever hands it in must hear of it within this; 0 for no such time
-	Now      bool          // sent at once or not at all, and not again
-	Once     bool          // a further hand-in of an identity that is known is turned away with ErrKnown
-	Front    string        // which front, and
-	Way      []byte        // what it needs to find the way back after a restart
-	Head     []byte        // further header lines for the partner, each with its CRLF
-	Body     []byte        // not changed after the hand-in
-	Reply    Reply         // where "taken" and the final answer go
-}
-
-// Reply receives what becomes of one hand-in. Its methods run on the core's
+	Source   string        // client, for fair sharing of the inbox
+	Identity string        // client and the client's name for the message, for deduplication; empty for none
+	Class    int           // index in Settings.Classes
+	Partner  int           // index in the relay's partners
+	Key      string        // ordering key, empty for none
+	Left     time.Duration // time left to deliver the message, counted from the hand-in
+	Respond  time.Duration // deadline of the response to the hand-in, counted from the hand-in; 0 for none
+	Now      bool          // sent in the step that takes the message, or not at all; no retry
+	Once     bool          // a hand-in with a known identity is rejected with ErrKnown instead of joining it
+	Front    string        // name of the front that handed the message in
+	Way      []byte        // data with which the front routes the answer to the client after a restart
+	Head     []byte        // additional header lines for the partner, each with its CRLF
+	Body     []byte        // must not be modified after the hand-in
+	Reply    Reply         // receiver of the acceptance and of the final answer
+}
+
+// Reply receives the results of one hand-in. Its methods run on the core's
 // goroutine: they must not block and must not call back into the core.
 type Reply interface {
-	// Taken is called once. With a nil error the message is owed an answer; it
-	// may have joined one under way, or an ended one whose answer follows.
+	// Taken is called once. With a nil error the message is accepted and a final
+	// answer follows; the hand-in may have joined a message with the same identity
+	// that is in progress or has ended.
 	Taken(err error)
 	// Answer is called once after Taken(nil), unless a later hand-in of the
-	// same identity has taken its place.
+	// same identity has replaced this Reply.
 	Answer(a ledger.Answer)
 }
 
-// Decider is a Reply that is told when the step that took its message is over: an
-// Answer that the module gave at once has come by then.
+// Decider is a Reply that is notified when the step that took its message is over.
+// An Answer that the module decided within that step comes before the notification.
 type Decider interface {
 	Decided()
-	// Undecided ends the wait for records that cannot be written in time, if Decided has not
-	// come: the message is held, by the next run too, and its final answer follows; or nobody
-	// knows it, and none does.
+	// Undecided is called instead of Decided if the records of the message cannot be
+	// written in time. With held the message is stored, also for the next process, and
+	// its final answer follows. Otherwise the message is dropped and no answer follows.
 	Undecided(held bool)
 }
 
-// Why a hand-in was not taken.
+// Reasons for which a hand-in is rejected.
 var (
 	ErrBusy       = errors.New("core: inbox is full, or this client's share of it")
 	ErrJournal    = errors.New("core: the journal takes nothing more now")
@@ -71,71 +76,72 @@
 
 // Item is one message of a call that carries several.
 type Item struct {
-	ID   string // as its client named it
+	ID   string // identity of the message
 	Key  string
-	Head []byte // as that of a call with one message
+	Head []byte // as Message.Head
 	Body []byte
 }
 
-// Call is one attempt as the caller of partners sees it, or one each of several
-// messages that travel together.
+// Call is one request to a host: an attempt of one message, or one attempt each of
+// several messages.
 type Call struct {
-	Name    string // of the message as its client gave it
-	Several []Item // nil for one message; else all of them, and Body is empty
-	ID      string // message, the same for each attempt
-	Host    string // endpoint address
+	Name    string // identity of the message
+	Several []Item // all messages of a call that carries several, with Body empty; nil for one message
+	ID      string // relay's id of the message, the same for each attempt
+	Host    string // address of the endpoint
 	Class   int
 	Partner int
 	Key     string
-	Zone    int           // of the endpoint, as the list has it now
-	Passed  *atomic.Int64 // counts the attempt's bytes on the socket, both ways
+	Zone    int           // current zone of the endpoint
+	Passed  *atomic.Int64 // counter of the bytes of the attempt on the socket, in both directions
 	Head    []byte
-	Idem    string // idempotency key; empty where the class keeps none
+	Idem    string // idempotency key; empty for classes without one
 	Body    []byte
-	Patient time.Duration // time-out, from the moment of sending
-	Within  time.Duration // nothing is written later than this after it; 0 for no such time
-	// Once: a second effect does harm, or messages of the same key go after it.
+	Patient time.Duration // time-out, counted from Send
+	Within  time.Duration // latest time of the first write, counted from Send; 0 for none
+	// Once marks a call of which a duplicate or an outcome taken from the wrong response
+	// does harm: a message must not be repeated, or other messages of its key wait for it.
 	Once bool
-	// End takes the attempt's outcome, once, from any goroutine.
+	// End receives the outcome of the attempt, once, from any goroutine.
 	End func(Ending)
-	// Doubted says, from any goroutine, that the outcome was another call's; nil for nobody to
-	// be told.
+	// Doubted retracts, from any goroutine, an outcome that was passed to End: the response
+	// belonged to another call. nil if the caller of Send ignores that.
 	Doubted func()
 }
 
-// Ending is how an attempt ended on its socket.
+// Ending is the result of an attempt on its socket.
 type Ending struct {
 	Outcome choice.Outcome
 	Took    time.Duration
-	Wait    time.Duration // told with a refusal
-	Over    bool          // with NotSent: the message is over, nothing more is owed
-	Spent   bool          // with NotSent: it has had all its attempts
+	Wait    time.Duration // wait that the host asked for, as by Retry-After; 0 for none
+	Over    bool          // with NotSent: the message is abandoned, no answer is due
+	Spent   bool          // with NotSent: the message has used up its attempts
 	Report  []float64     // load report, nil for none
-	// Unconfirmed is how long what rests on the answer waits, Unsettled how long it may turn out to be
-	// another call's; 0 for never.
+	// Unconfirmed is how long steps that rely on the outcome are delayed, since the response may prove to
+	// belong to another call; Unsettled is how long the outcome may still be retracted. 0 for neither.
 	Unconfirmed, Unsettled time.Duration
-	// Each tells of the messages of a call apart, in their order; nil where all fared the same.
+	// Each holds the results of the messages of a call, in their order; nil if they are all the same.
 	Each []Ending
 }
 
-// Attempt is a call that is out.
+// Attempt is a call in progress.
 type Attempt interface {
-	// Abort ends the attempt on its socket and reports how: started if
-	// anything was handed to the kernel. ok is false if it had ended already,
-	// and its Ending is delivered or on its way.
+	// Abort ends the attempt on its socket. started reports whether any byte was
+	// handed to the kernel. ok is false if the attempt had ended already; its
+	// Ending is then delivered or about to be.
 	Abort() (started, ok bool)
-	// Recall is Abort for an attempt of which not a byte was handed over; it
-	// reports false, and does nothing, for any other.
+	// Recall aborts an attempt of which no byte was handed to the kernel. It
+	// returns false, and does nothing, for any other.
 	Recall() bool
 }
 
-// Caller calls partners.
+// Caller sends calls to partners.
 type Caller interface {
 	Send(Call) Attempt
 	CloseIdle(host string)
 }
 
-// Observer is told what passes, for metrics and logs; nil methods are not allowed.
+// Observer receives events for metrics and logs.
 type Observer interface {
 	Taken(class int)
 	Answered(class int, a ledger.Answer, took time.Duration)
@@ -144,104 +150,107 @@
 	Gauge(held, calls, identities, inbox int)
 }
 
-// Toll tells which zones are open to a class, and books what crosses.
+// Toll is the budget for traffic between zones: it says which zones are open to a class
+// and accounts for the bytes that cross.
 type Toll interface {
-	// Tolls are news for the module; false if there is none.
+	// Tolls returns the current costs for the module, and false if they have not changed.
 	Tolls(now time.Duration) (choice.Tolls, bool)
-	// Sent returns what settles a send by the bytes that passed, nil for none.
+	// Sent reserves the cost of a call and returns the function that replaces the reservation
+	// by the bytes that passed; nil if nothing is accounted. whole is true if the response
+	// was received.
 	Sent(now time.Duration, class, partner, zone int) func(now time.Duration, passed int64, whole bool)
 }
 
-// Journal makes records durable; journal.Journal and journal.Log are. None of its methods blocks.
+// Journal makes records durable. journal.Journal and journal.Log implement it. Its methods do not block.
 type Journal interface {
 	Stamp() journal.Stamp
-	Room(bytes int) bool // for a message of that size
+	Room(bytes int) bool // whether a message of that size can be stored
 	Taken(journal.Message)
 	Tried(journal.Attempt)
 	Ended(journal.End)
 	Waits(journal.Wait)
 	Forget(identity string)
-	// Then calls done from any goroutine once all that was handed in is on disk; where
-	// it is there already, Then returns true instead.
+	// Then returns true if all earlier records are on disk. Otherwise it returns false and
+	// calls done, from any goroutine, once they are.
 	Then(done func()) bool
 }
 
-// Names are those that records have.
+// Names translates indices to the names that are stored in records.
 type Names struct {
 	Partner func(int) string
 	Zones   []string
 }
 
-// Sharer is a Toll that is shared by the fleet.
+// Sharer is a Toll that the relays of the fleet share.
 type Sharer interface {
 	Fleet(now time.Duration, relays int)
 }
 
-// Options of a Core.
+// Options configure a Core.
 type Options struct {
-	Toll     Toll // nil: all zones are open
+	Toll     Toll // nil if all zones are open
 	Settings choice.Settings
 	Seed     uint64
-	// Clock is the monotonic time; nil for the machine's. With a clock of its own
-	// a core is driven by Step instead of Run.
+	// Clock returns the monotonic time; nil for the machine's clock. With a simulated clock
+	// the core is driven by Step instead of Run.
 	Clock      func() time.Duration
-	Arrivals   int // hand-ins that wait for the core; past a client's share they are turned away with ErrBusy
-	Identities int
-	Keep       time.Duration
+	Arrivals   int           // capacity of the inbox in hand-ins, shared fairly among clients; ErrBusy beyond
+	Identities int           // capacity of the ledger in identities
+	Keep       time.Duration // retention of ended identities
 	Caller     Caller
 	Observer   Observer
-	Journal    Journal // nil: nothing survives a crash
-	Names      Names   // needed with a Journal
-	// Every attempt is recorded, not only those whose repeat would do harm: then
-	// those spent count in the next run too.
+	Journal    Journal // nil if nothing is stored
+	Names      Names   // required with a Journal
+	// Every records each attempt, not only those of messages whose repeat does harm, so that
+	// the count of attempts survives a restart.
 	Every bool
-	// Late: an answer that comes within this before a message's time is up may be too
-	// late by the clock of who handed it in, which began with the sending: the message
-	// counts as delivered only if its partner says so earlier. 0: every answer counts.
+	// Late is the margin before a message's deadline in which a successful response does not count as
+	// delivery: the deadline of whoever handed it in began with the sending, so by that clock the
+	// response may be too late. 0 if every response counts.
 	Late time.Duration
-	// Together bounds the content of a call that carries several messages, in bytes; 0 for
-	// no bound. Those that do not fit travel in a call of their own.
+	// Together limits the size of a call with several messages, in bytes; 0 for no limit.
+	// Messages that do not fit are sent in a further call.
 	Together int
 	Trace    lifecycle.Trace
-	// Undelivered is told of messages that were delivered by an answer which was another call's; it
-	// must not block. nil: nobody can be told.
+	// Undelivered is called for a message that was answered as delivered because of a response that
+	// belonged to another call. It must not block. nil if nobody can be notified.
 	Undelivered func(identity string)
-	// Guard decides whether a message may be sent and ended; nil for one that keeps no count.
+	// Guard counts violations of the lifecycle; nil to count none.
 	Guard *lifecycle.Guard
-	// Forgetful: waits and failures that endpoints told end with the process.
+	// Forgetful turns off records of the waits and failures of endpoints, which then end with the process.
 	Forgetful bool
 }
 
-// message is one message from hand-in to final answer and last outcome.
+// message is the state of a message from its hand-in to its final answer and last outcome.
 type message struct {
 	Message
 	id       string
 	entry    *ledger.Entry // nil without identity
 	taken    time.Duration
-	answered bool
-	due      time.Duration
-	tries    int
-	out      *attempt
+	answered bool          // the final answer is decided
+	due      time.Duration // deadline
+	tries    int           // attempts so far; number of the next one
+	out      *attempt      // attempt in progress, nil for none
 	seq      uint64
-	kept     bool // in the journal
+	kept     bool // stored in the journal
 	life     lifecycle.Message
-	told     bool // its final answer has left
+	told     bool // the final answer was passed to Reply
 }
 
-// event is one entry of the inbox.
+// event is one entry of the inbox. Exactly one of arrival, ended, listing, fleet, drop and call is set.
 type event struct {
 	arrival *Message
-	at      time.Duration
+	at      time.Duration // time of the hand-in
 	ended   *attempt
 	ending  Ending
 	listing *choice.Listing
 	fleet   *choice.Fleet
-	drop    string // identity withdrawn
-	by      Reply  // nobody is owed its answer, if it came with this; nil: it is still wanted
-	call    func()
+	drop    string // identity of a message that is withdrawn
+	by      Reply  // with drop: no answer is due, if the message has this Reply; nil if an answer is still due
+	call    func() // run on the core's goroutine
 }
 
-// Core runs one relay.
+// Core is the event loop of one relay.
 type Core struct {
 	opt   Options
 	ch    *choice.Chooser
@@ -253,40 +262,40 @@
 	arrivals *limit.Share
 	stopping bool
 	wake     chan struct{}
-	beat     atomic.Int64 // last heart beat, by Now
+	beat     atomic.Int64 // time of the last heartbeat
 
-	// Owned by Run.
+	// The fields below belong to the goroutine of Run.
 	now      time.Duration
-	msgs     map[string]*message
-	byEntry  map[*ledger.Entry]*message
-	waits    timers
-	outs     map[*attempt]struct{}
-	zones    map[string]int // by endpoint
-	kinds    map[string]int
-	wakeAt   time.Duration
-	next     uint64
-	owed     int
-	draining bool // shutting down: nothing further is taken
-	stopAt   time.Duration
+	msgs     map[string]*message        // by id
+	byEntry  map[*ledger.Entry]*message // messages in progress
+	waits    timers                     // time-outs of calls
+	outs     map[*attempt]struct{}      // attempts in progress
+	zones    map[string]int             // by endpoint
+	kinds    map[string]int             // by endpoint
+	wakeAt   time.Duration              // wake-up that the module asked for, below 0 for none
+	next     uint64                     // last sequence number in use
+	owed     int                        // messages without a final answer
+	draining bool                       // shutting down: hand-ins are rejected
+	stopAt   time.Duration              // end of the grace period at shutdown, below 0 for none
 	batch    []choice.Event
-	backlog  Backlog             // the journal, if it is one
-	records  records             // what waits for them
-	paused   bool                // nothing is sent: records wait
+	backlog  Backlog             // the journal, if it implements Backlog
+	records  records             // steps that wait for records
+	paused   bool                // the module sends nothing, since records are not on disk
 	noted    map[string]noted    // by endpoint, as recorded
-	waited   map[string]noted    // from an earlier run, for endpoints not yet listed
-	lastAt   time.Duration       // while shutting down: what waits for the journal is given up then
-	nows     []string            // messages that go in this step or not at all
-	fresh    []*message          // taken in this step, with a Decider
-	open     map[*message]bool   // Deciders that were not told yet
+	waited   map[string]noted    // state of endpoints from an earlier run that are not listed yet
+	lastAt   time.Duration       // at shutdown: end of the wait for the journal
+	nows     []string            // ids of messages with Now that arrived in this step
+	fresh    []*message          // messages with a Decider that arrived in this step
+	open     map[*message]bool   // messages whose Decider was not notified yet
 	untold   map[*message]func() // final answers that wait for their records
-	owing    map[string]string   // ids by identity: refused or failed, and not Settled
-	idle     func()              // to be called once nothing is out
-	parked   bool                // a later run goes on with what is held
+	owing    map[string]string   // ids of refused or failed messages without Settled, by identity
+	idle     func()              // called once no attempt is in progress
+	parked   bool                // the messages held are left to a later run
 	doubts   doubts
-	spare    []event
+	spare    []event // inbox of the previous step, for reuse
 }
 
-// New returns a core; Run makes it work.
+// New returns a core. Run starts it.
 func New(opt Options) (*Core, error) {
 	ch, err := choice.New(opt.Settings, opt.Seed)
 	if err != nil {
@@ -334,28 +343,29 @@
 	return nil
 }
 
-// Submit hands a message in. An error means that it was not taken and Reply
-// will not be called. Outcomes, list news and answers are never turned away:
-// they are bounded by the calls out and by their sources.
+// Submit hands in a message. An error means that the message was rejected and that Reply
+// will not be called. Only hand-ins are rejected: the number of other events is
+// limited by the calls in progress and by their sources.
 func (c *Core) Submit(m *Message) error { return c.put(event{arrival: m, at: c.Now()}) }
 
-// List hands in news of the endpoint list.
+// List passes on a change of the endpoint list.
 func (c *Core) List(l choice.Listing) { _ = c.put(event{listing: &l}) }
 
-// Fleet says how many relays there are, and which of them this is, from 0.
+// Fleet sets the number of relays and the index of this one, from 0.
 func (c *Core) Fleet(index, size int) {
 	_ = c.put(event{fleet: &choice.Fleet{Index: index, Size: size}})
 }
 
-// Withdraw says that nobody wants the message of an identity any more. It is
-// sent no further; its final answer says what became of it.
+// Withdraw cancels the message of an identity. It is not sent again; its final answer
+// is still due.
 func (c *Core) Withdraw(identity string) { _ = c.put(event{drop: identity}) }
 
-// Abandon is Withdraw where nobody is owed an answer any more. It does nothing
-// unless the message came with that Reply.
+// Abandon cancels the message of an identity without a final answer. It does nothing
+// unless the current Reply of the message is by.
 func (c *Core) Abandon(identity string, by Reply) { _ = c.put(event{drop: identity, by: by}) }
 
-// Settled says that a refusal or failure has reached who was owed it.
+// Settled reports that the client has received a refusal or failure, see
+// choice.Settings.Acknowledged.
 func (c *Core) Settled(identity string) {
 	_ = c.put(event{call: func() { c.settled(identity) }})
 }
@@ -367,8 +377,8 @@
 	}
 }
 
-// Park says that this run ends soon and a later one goes on with what is held:
-// nothing further is sent. idle is called, once, when nothing is out any more.
+// Park stops sending and keeps the messages held for a later run of the process.
+// idle is called once, when no attempt is in progress any more.
 func (c *Core) Park(idle func()) {
 	_ = c.put(event{call: func() {
 		c.batch = append(c.batch, choice.Stop{Keep: true})
@@ -376,7 +386,8 @@
 	}})
 }
 
-// Inspect runs f on the core's goroutine and waits for it.
+// Inspect runs f on the core's goroutine, with the numbers of messages held and of attempts
+// in progress, and waits for it.
 func (c *Core) Inspect(ctx context.Context, f func(held, out int)) error {
 	done := make(chan struct{})
 	_ = c.put(event{call: func() { f(c.owed, len(c.outs)); close(done) }})
@@ -388,7 +399,7 @@
 	}
 }
 
-// Sizes are those of the core's tables and of the module's.
+// Sizes returns the sizes of the core's and the module's tables, by name.
 func (c *Core) Sizes(ctx context.Context) (all map[string]int, err error) {
 	err = c.Inspect(ctx, func(int, int) {
 		all = c.ch.Sizes()
@@ -399,9 +410,10 @@
 	return all, err
 }
 
-// A heart beats every beat; one that is late by stall says that the whole
-// process stood still. Then the core waits, in rounds of settle, until the
-// sockets' news of that time has come in.
+// A goroutine of its own stores a heartbeat every beat. If the last one is older than
+// stall, the whole process was suspended. The core then waits until the events of that
+// time have come in from the sockets: it checks the inbox every settle, rounds times
+// at most.
 const (
 	beat   = 20 * time.Millisecond
 	stall  = 100 * time.Millisecond
@@ -409,8 +421,8 @@
 	rounds = 20
 )
 
-// Run works until ctx ends, then stops taking, gives what is out the time
-// grace to finish, has the rest answered by the module, and returns.
+// Run processes events until ctx ends. It then rejects hand-ins, gives attempts in progress
+// the time grace to finish, lets the module answer the remaining messages, and returns.
 func (c *Core) Run(ctx context.Context, grace time.Duration) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -443,15 +455,15 @@
 		}
 		c.now = c.Now()
 		c.work()
-		// A journal that failed never says that something is on disk.
+		// A journal that has failed never reports that a record is on disk.
 		if c.draining && len(c.msgs) == 0 && (c.records.none() || c.now >= c.lastAt) {
 			return
 		}
 	}
 }
 
-// Step does once what Run does over and over, for a model that keeps its own
-// time, and tells when it is to be done again at the latest; below 0 for never.
+// Step processes the inbox once, for a simulation with its own clock. It returns the time
+// of the next Step at the latest, below 0 for none.
 func (c *Core) Step() (next time.Duration) {
 	c.now = c.Now()
 	c.work()
@@ -471,9 +483,9 @@
 	}
 }
 
-// settle waits, after the process stood still, until no news has come for a
-// moment: answers that lie in the kernel's buffers count as in time if they
-// came before the time-out did.
+// settle waits, after the process was suspended, until no events have come in for a while.
+// Responses in the kernel's buffers then reach the inbox before their time-outs are
+// checked, and count as in time.
 func (c *Core) settle() {
 	seen := -1
 	for range rounds {
@@ -508,7 +520,8 @@
 	return at
 }
 
-// work takes in everything that happened and decides once.
+// work processes the inbox and all timers that are due, and has the module decide on them
+// in one step.
 func (c *Core) work() {
 	c.mu.Lock()
 	events := c.inbox
@@ -547,7 +560,7 @@
 		c.recall(recall)
 	}
 	c.confirmDue()
-	// Only now the time-outs: an answer in the same batch goes before its own.
+	// Time-outs come after the events, so that a response in the same batch counts.
 	for len(c.waits) > 0 && c.waits[0].end <= c.now {
 		c.abort(c.waits[0], choice.Timeout)
 	}
@@ -574,7 +587,7 @@
 	for len(c.batch) > 0 {
 		c.carryOut(c.ch.Step(c.now, c.batch))
 		c.batch = c.batch[:0]
-		for _, id := range c.nows { // had their chance
+		for _, id := range c.nows { // not sent in this step: withdrawn
 			if m := c.msgs[id]; m != nil && !m.answered {
 				c.batch = append(c.batch, choice.Withdrawn{ID: id, Owed: true})
 			}
@@ -584,7 +597,7 @@
 	}
 	for _, m := range c.fresh {
 		c.open[m] = true
-		c.durable(true, func() { // not before the record of what was taken is down
+		c.durable(true, func() { // not before the record of the message is on disk
 			if c.open[m] {
 				delete(c.open, m)
 				m.Reply.(Decider).Decided()
@@ -622,7 +635,7 @@
 			if e.Answer.Verdict == 0 && c.byEntry[e] != nil {
 				c.byEntry[e].Reply = in.Reply
 			}
-			a := e.Answer // of an ended one; else it follows
+			a := e.Answer // of an ended message; otherwise it follows
 			c.durable(true, func() {
 				in.Reply.Taken(nil)
 				if a.Verdict != 0 {
@@ -671,7 +684,8 @@
 	}
 }
 
-// answer gives a message its one final answer.
+// answer decides the final answer of a message. It is recorded and passed to Reply once the
+// record is on disk.
 func (c *Core) answer(m *message, a ledger.Answer) {
 	if m.answered || !m.life.MayEnd(c.opt.Guard, a.Verdict == ledger.Refused) {
 		return
@@ -709,10 +723,10 @@
 	c.forget(m)
 }
 
-// repeats translates effects.
+// repeats maps the module's effects to those of lifecycle.
 var repeats = [...]lifecycle.Repeat{choice.Safe: lifecycle.Freely, choice.Keyed: lifecycle.InWindow, choice.Unsafe: lifecycle.Never}
 
-// forget frees a message that is answered and has nothing out.
+// forget removes a message that is answered and has no attempt in progress.
 func (c *Core) forget(m *message) {
 	if m.answered && m.out == nil {
 		delete(c.msgs, m.id)
@@ -734,9 +748,9 @@
 	}
 }
 
-// carryOut does what the module said, in its order.
+// carryOut executes the actions of the module, in their order.
 func (c *Core) carryOut(actions []choice.Action) {
-	sends := map[string][]*attempt{} // to hosts that take several messages a call
+	sends := map[string][]*attempt{} // for hosts that accept several messages a call
 	for i, act := range actions {
 		switch act := act.(type) {
 		case choice.Send:
@@ -751,7 +765,7 @@
 				c.sendGroup(group)
 				group = nil
 			}
-			if a != nil { // without it too the others go, where it would have been the last
+			if a != nil { // the rest of the group is sent even if its last message is gone
 				group = append(group, a)
 			}
 			if sends[act.Host] = group; len(group) >= most || !sentLater(actions[i+1:], act.Host) {
@@ -773,11 +787,11 @@
 					a = a.lead
 				}
 				if slices.ContainsFunc(a.all(), func(b *attempt) bool { return !b.off && b.m.out == b }) {
-					continue // the others in this call are still wanted
+					continue // other messages of this call are not cancelled
 				}
 				started, ok := a.sock.Abort()
 				if !ok {
-					continue // the answer was first
+					continue // the response came first
 				}
 				e := Ending{Outcome: choice.Cancelled, Took: c.now - a.sent}
 				if !started {
@@ -797,11 +811,11 @@
 	}
 }
 
-// later puts an event of the core's own into its next batch.
+// later adds an event that the core itself raises; it is processed in the next batch.
 func (c *Core) later(e event) { _ = c.put(e) }
 
-// idem is the idempotency key: the identity where there is one, so that a
-// hand-in at another relay carries the same.
+// idem returns the idempotency key: the identity if there is one, so that a hand-in
+// at another relay carries the same key.
 func (m *message) idem() string {
 	if m.Identity != "" {
 		return m.Identity
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,13 +11,15 @@
 
 const ms = time.Millisecond
 
-// rig is a core without its goroutine: time and batches are the test's.
+// rig drives a core without its goroutine: the test sets the time and processes the batches. It is
+// also the Caller and the Observer.
 type rig struct {
 	*Core
 	calls []*fakeCall
 	log   []string
 }
 
+// fakeCall is a call that the test ends. With started, a byte of it was handed to the kernel.
 type fakeCall struct {
 	Call
 	started, ended, aborted bool
@@ -90,7 +92,8 @@
 	return r
 }
 
-// An answer in the same batch as its time-out: the answer stands.
+// Guards against a response that is lost because it is processed in the same batch as its time-out: the
+// response counts.
 func TestAnswerBeatsItsTimeOut(t *testing.T) {
 	r := newRig(t)
 	re := &reply{}
@@ -99,26 +102,26 @@
 	}
 	r.at(ms)
 	r.calls[0].finish(choice.Served, 0)
-	r.at(20 * time.Second) // stood still far past everything
+	r.at(20 * time.Second) // the process was suspended far beyond the time-out
 	if len(re.answers) != 1 || re.answers[0].Verdict != ledger.Delivered || r.calls[0].aborted {
-		t.Fatalf("answers %v, aborted %v", re.answers, r.calls[0].aborted)
+		t.Fatalf("answers %v, aborted %v, want one delivered", re.answers, r.calls[0].aborted)
 	}
 	if len(r.waits) != 0 || len(r.msgs) != 0 {
 		t.Errorf("%d timers and %d messages left", len(r.waits), len(r.msgs))
 	}
 }
 
-// A time-out whose answer is on its way from another goroutine: the answer
-// comes by the inbox, there is no second outcome.
+// Guards against two outcomes of one attempt: its time-out passes while its response is on the way
+// from another goroutine. The response counts.
 func TestTimeOutCrossesAnAnswer(t *testing.T) {
 	r := newRig(t)
 	re := &reply{}
 	_ = r.hand("m", 1, re, 6*time.Second)
 	r.at(ms)
-	r.calls[0].ended = true // its socket has it, its event is not here yet
+	r.calls[0].ended = true // ended on the socket; the event is not in the inbox yet
 	r.at(10 * time.Second)
 	if len(re.answers) != 0 {
-		t.Fatalf("answered %v before the outcome was known", re.answers)
+		t.Fatalf("answered %v before the outcome is known", re.answers)
 	}
 	r.calls[0].finish(choice.Served, 0)
 	r.at(10*time.Second + ms)
@@ -127,8 +130,9 @@
 	}
 }
 
-// The hand-in of a class that must never take effect twice needs an identity;
-// a repeat joins, and after the end gets the same answer without a call.
+// Guards against a second effect of repeated hand-ins. A class that must never take effect twice
+// requires an identity; a repeat joins the message in progress, and after its end gets the same
+// answer without a call.
 func TestIdentities(t *testing.T) {
 	r := newRig(t)
 	none, one, two, three := &reply{}, &reply{}, &reply{}, &reply{}
@@ -151,7 +155,7 @@
 	}
 }
 
-// At the bound of the inbox hand-ins are turned away, outcomes never.
+// Guards against outcomes that are lost because the inbox is full: only hand-ins are rejected.
 func TestInboxIsFull(t *testing.T) {
 	r := newRig(t)
 	re := &reply{}
@@ -164,20 +168,20 @@
 		}
 	}
 	if err := r.hand("z", 0, &reply{}, time.Second); !errors.Is(err, ErrBusy) {
-		t.Fatalf("at the bound: %v", err)
+		t.Fatalf("hand-in to a full inbox: %v, want ErrBusy", err)
 	}
 	r.calls[0].finish(choice.Served, 0)
 	r.at(2 * ms)
 	if len(re.answers) != 1 {
-		t.Errorf("the outcome was lost: %v", re.answers)
+		t.Errorf("answers %v, want one: the outcome was lost", re.answers)
 	}
 	if err := r.hand("z", 0, &reply{}, time.Second); err != nil {
-		t.Errorf("after the batch: %v", err)
+		t.Errorf("hand-in after the batch: %v", err)
 	}
 }
 
-// A connection that is still coming up carries no decision that news has
-// overtaken: a drain or a told wait takes it back.
+// Guards against calls that are sent although events since the decision forbid them: while the
+// connection is being established, the endpoint starts to drain or asks for a wait.
 func TestAttemptsAreRecalled(t *testing.T) {
 	for _, news := range []string{"drain", "wait"} {
 		r := newRig(t)
@@ -200,7 +204,8 @@
 	}
 }
 
-// A refusal's answer stands until the advised time; who comes after it is tried anew.
+// Guards against a refusal that outlives its time, or is lost before it: until then a repeated hand-in
+// gets the same answer, and after it is sent again.
 func TestComesAgainAfterARefusal(t *testing.T) {
 	r := newRig(t)
 	one, early, late := &reply{}, &reply{}, &reply{}
@@ -221,7 +226,7 @@
 	_ = r.hand("m", 1, early, time.Second)
 	r.at(ended)
 	if len(early.answers) != 1 || early.answers[0] != a {
-		t.Errorf("early: %v", early.answers)
+		t.Errorf("repeat before the time: answers %v", early.answers)
 	}
 	n := len(r.calls)
 	r.now = ended + a.After
@@ -230,6 +235,6 @@
 		r.at(now)
 	}
 	if len(late.answers) != 0 || len(r.calls) != n+1 {
-		t.Errorf("late: %v, %d calls", late.answers, len(r.calls)-n)
+		t.Errorf("repeat after the time: answers %v, %d calls, want one call", late.answers, len(r.calls)-n)
 	}
 }
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -14,11 +14,11 @@
 	"basaltcross.example/basaltcross/internal/recover"
 )
 
-// disk is a journal whose records reach it only as the test says; it is the plain
-// reference for what a crash leaves.
+// disk is a simple journal, the reference for the records that a crash leaves: the test decides
+// when records reach the disk.
 type disk struct {
 	now      func() time.Duration
-	pending  []func(*disk) // records, and what waits for them, in order
+	pending  []func(*disk) // records and the functions that wait for them, in order
 	messages map[uint64]journal.Message
 	attempts map[uint64]map[int]journal.Attempt
 	ends     map[string]journal.End
@@ -51,14 +51,14 @@
 
 func (d *disk) Then(done func()) bool {
 	d.put(func(d *disk) {
-		if !d.dead { // a crashed process hears nothing
+		if !d.dead { // a crashed process receives no calls
 			done()
 		}
 	})
 	return false
 }
 
-// sync lets the first n records reach the disk.
+// sync applies the first n pending entries.
 func (d *disk) sync(n int) {
 	for range n {
 		f := d.pending[0]
@@ -91,16 +91,16 @@
 	return k
 }
 
-// item is one message as its client and its partner know it.
+// item is a message as its client and its partner see it.
 type item struct {
 	id      string
 	class   int
 	taken   bool
 	answers []ledger.Verdict
-	ran     int // times that it took effect
-	again   int // sends after it may have run
+	ran     int // number of times that it took effect
+	again   int // number of calls after it may have run
 	served  bool
-	boot    int // the run in which it was handed in last
+	boot    int // run of the last hand-in
 }
 
 func (i *item) Taken(err error) {
@@ -114,9 +114,10 @@
 	{Name: "order", Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: choice.Keyed, Window: 10 * time.Second},
 	{Name: "charge", Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: choice.Unsafe, Ordered: true}}
 
-// Any schedule of hand-ins, outcomes, syncs and crashes, with any part of what
-// was not synced on disk: no charge takes effect twice or goes out again after it may
-// have run, what was taken is answered, no answer changes, delivered is true.
+// Guards against second effects, lost messages and wrong answers after crashes, for arbitrary
+// schedules of hand-ins, outcomes, syncs and crashes, where a crash keeps any prefix of the
+// unsynced records: no charge takes effect twice or is sent again after it may have run, each
+// message that was taken is answered, no answer changes, and delivered messages were served.
 func TestCrashSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
@@ -125,7 +126,7 @@
 		items := map[string]*item{}
 		var list []*item
 		var r *rig
-		seen := 0 // calls of this run that were counted
+		seen := 0 // number of calls of this run that were counted
 		boots := 0
 		boot := func() {
 			r = &rig{}
@@ -147,14 +148,14 @@
 			var waits []choice.Waited
 			for _, m := range plan.Messages {
 				class := map[string]int{"status": 0, "order": 1, "charge": 2}[m.Class]
-				items[m.Identity].taken = true // a front that owes it says so itself to who comes again
+				items[m.Identity].taken = true // a front tells a client that comes again itself
 				messages = append(messages, Restored{Message: Message{Identity: m.Identity, Class: class, Key: m.Key, Left: m.Left, Body: m.Body,
 					Reply: items[m.Identity]}, Seq: m.Seq, Attempts: m.Attempts, Ran: m.Ran, Since: m.Since})
 			}
 			for _, e := range plan.Ends {
 				a := ledger.Answer{Verdict: ledger.Verdict(e.Verdict), After: time.Duration(e.After)}
 				ended = append(ended, Ended{Identity: e.Identity, Answer: a, Age: e.Age})
-				items[e.Identity].Answer(a) // as a front hands over what is owed
+				items[e.Identity].Answer(a) // as a front passes it on after a restart
 			}
 			for _, w := range plan.Waits {
 				waits = append(waits, choice.Waited{Host: w.Host, Left: w.Left, Failing: w.Failing})
@@ -164,7 +165,7 @@
 			r.Step()
 		}
 		boot()
-		count := func() { // what the partner sees go out
+		count := func() { // what the partner receives
 			for ; seen < len(r.calls); seen++ {
 				c := r.calls[seen]
 				i := list[int(c.Body[0])]
@@ -202,9 +203,9 @@
 					_ = r.Submit(&Message{Source: "c", Identity: i.id, Class: i.class, Key: "k", Left: 6 * time.Second,
 						Body: []byte{byte(len(list) - 1)}, Reply: i})
 				}
-			case 2: // a client that heard nothing comes again
+			case 2: // a client without an answer hands in again
 				for n, i := range list {
-					if !i.taken && len(i.answers) == 0 && i.boot < boots { // its connection broke
+					if !i.taken && len(i.answers) == 0 && i.boot < boots { // its connection was lost in the crash
 						i.boot = boots
 						_ = r.Submit(&Message{Source: "c", Identity: i.id, Class: i.class, Key: "k", Left: 6 * time.Second, Body: []byte{byte(n)}, Reply: i})
 					}
@@ -227,7 +228,7 @@
 			r.Step()
 			count()
 		}
-		for range 160 { // on to the end
+		for range 160 { // until everything has ended
 			now += 50 * ms
 			d.sync(len(d.pending))
 			r.Step()
@@ -243,10 +244,10 @@
 		}
 		for _, i := range list {
 			if i.class == 2 && (i.ran > 1 || i.again > 0) {
-				t.Fatalf("%s: a charge ran %d times, and went out again %d times after it may have", i.id, i.ran, i.again)
+				t.Fatalf("%s: a charge ran %d times, and was sent %d times after it may have run", i.id, i.ran, i.again)
 			}
 			if i.taken && len(i.answers) == 0 {
-				t.Fatalf("%s was taken and never answered", i.id)
+				t.Fatalf("%s was taken but not answered", i.id)
 			}
 			for _, a := range i.answers {
 				if a != i.answers[0] {
@@ -254,14 +255,15 @@
 				}
 			}
 			if len(i.answers) > 0 && i.answers[0] == ledger.Delivered && !i.served {
-				t.Fatalf("%s: delivered, but nobody served it", i.id)
+				t.Fatalf("%s: answered as delivered, but not served", i.id)
 			}
 		}
 	})
 }
 
-// A told wait stays in the record when another call to the endpoint fails, and both
-// go when the endpoint does; a journal that never answers does not hold the end up.
+// Guards against a wait that is lost from its record because another call to the endpoint fails,
+// and against records of endpoints that were removed. Also checks that a journal which never
+// confirms its records does not block the shutdown.
 func TestRecordOfWaits(t *testing.T) {
 	now := time.Duration(0)
 	d := &disk{now: func() time.Duration { return now }, messages: map[uint64]journal.Message{},
@@ -296,13 +298,13 @@
 	}
 	list(choice.Gone)
 	if len(c.noted) != 1 || len(c.zones) != 0 {
-		t.Errorf("within the wait: %v, zones %v", c.noted, c.zones)
+		t.Errorf("endpoint gone within its wait: noted %v, zones %v", c.noted, c.zones)
 	}
 	now += 10 * time.Second
 	list(choice.Gone)
 	d.sync(len(d.pending))
 	if len(c.noted) != 0 || d.waits["h"].Left != 0 || d.waits["h"].Failing {
-		t.Errorf("gone: %v, %v", c.noted, d.waits)
+		t.Errorf("endpoint gone after its wait: noted %v, recorded %v", c.noted, d.waits)
 	}
 	end := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -313,8 +315,9 @@
 	select {
 	case <-end:
 	case <-time.After(20 * time.Second):
-		t.Error("the end waits for a journal that never answers")
+		t.Error("the shutdown waits for a journal that never confirms")
 	}
 }
 
+// begun is the epoch of the clock while Run works.
 var begun = time.Now().Add(-time.Hour)
--- a/internal/core/doubt.go
+++ b/internal/core/doubt.go
@@ -10,50 +10,54 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// mostDelivered messages that were delivered by an answer which may yet turn out to be another
-// call's are remembered; those that come when there are so many are believed.
+// mostDelivered is the number of messages remembered that were delivered by an unconfirmed
+// response. Beyond it responses count as confirmed.
 const mostDelivered = 4096
 
-// doubts are what is done, or undone, when answers that were not their call's own turn out to be.
+// doubts tracks outcomes that are not confirmed: the response may prove to belong to another call
+// of the same connection. It holds the steps that wait until outcomes are confirmed, and the
+// messages delivered by such outcomes.
 type doubts struct {
 	steps     confirmations
-	number    uint64                   // of the last step
-	delivered map[string]delivered     // by message
-	oldest    []string                 // of them, in their order
-	keys      map[orderKey]confirmedBy // the last message of a key: the next goes out then
+	number    uint64                   // number of the last step
+	delivered map[string]delivered     // by id of the message
+	oldest    []string                 // ids in delivered, the oldest first
+	keys      map[orderKey]confirmedBy // keys whose next message is not sent until then
 }
 
-// confirmation is a step for the moment in which an answer counts as its call's own.
+// confirmation is a step that is due once an outcome is confirmed.
 type confirmation struct {
 	at     time.Duration
 	number uint64
 	do     func()
 }
 
+// confirmedBy is the time from which an outcome is confirmed.
 type confirmedBy = time.Duration
 
-// orderKey is one key at one partner.
+// orderKey is an ordering key at a partner.
 type orderKey struct {
 	partner int
 	key     string
 }
 
-// delivered is a message that is over, by an answer that is not confirmed.
+// delivered is a message that has ended by an unconfirmed outcome.
 type delivered struct {
-	until time.Duration // nothing is undone later
-	n     int           // by this attempt
-	end   journal.End
-	kept  bool
+	until time.Duration // the outcome cannot be retracted later
+	n     int           // number of the attempt
+	end   journal.End   // to be recorded if the outcome is retracted
+	kept  bool          // the message is in the journal
 }
 
-// attempted names one attempt of a message.
+// attempted identifies an attempt without holding on to its message.
 type attempted struct {
 	id   string
 	n    int
 	sent time.Duration
 }
 
-// doubter is called where the outcome of a call turns out to be another's. It keeps no message.
+// doubter returns the function that retracts the outcome of a call. The function holds no reference
+// to the messages, since the Caller may keep it for long.
 func (c *Core) doubter(a *attempt) func() {
 	var all []attempted
 	for _, b := range a.all() {
@@ -68,9 +72,9 @@
 	}
 }
 
-// unconfirmed takes in the end of an attempt by an answer that is not confirmed: the message is not
-// sent again, nor refused where it may not be repeated, before it is. Nor does the next of its key go
-// out, unless it was served: keys whose messages come quickly would wait for nothing but silence.
+// unconfirmed processes an outcome that is not confirmed. Until it is, the message is not sent again,
+// and not refused if it must not be repeated. The next message of its key is not sent either, unless
+// this one was served: keys with frequent messages would otherwise wait after every response.
 func (c *Core) unconfirmed(a *attempt, e Ending, served bool) {
 	m := a.m
 	until := c.now + e.Unconfirmed
@@ -92,12 +96,12 @@
 	}
 }
 
-// ordered tells whether messages of the same key go after a message.
+// ordered reports whether other messages of its key wait for a message.
 func (c *Core) ordered(m *message) bool {
 	return m.Key != "" && c.opt.Settings.Classes[m.Class].Ordered
 }
 
-// keepDelivered keeps what is needed to end a message anew that was delivered.
+// keepDelivered remembers a delivered message, to end it as failed if its outcome is retracted.
 func (c *Core) keepDelivered(m *message, n int) {
 	d := &c.doubts
 	if len(d.oldest) >= mostDelivered {
@@ -111,13 +115,13 @@
 		Class: c.opt.Settings.Classes[m.Class].Name, Verdict: uint8(ledger.Failed), Front: m.Front, Way: m.Way}}
 }
 
-// confirm has something done at a moment.
+// confirm schedules a step for a time.
 func (c *Core) confirm(at time.Duration, do func()) {
 	c.doubts.number++
 	heap.Push(&c.doubts.steps, confirmation{at, c.doubts.number, do})
 }
 
-// next is when something is to be done or forgotten; below 0 for never.
+// next returns the time of the next step or expiry; below 0 for none.
 func (d *doubts) next() time.Duration {
 	at := time.Duration(-1)
 	if len(d.steps) > 0 {
@@ -131,8 +135,8 @@
 	return at
 }
 
-// confirmDue does the steps whose moment has come, in their order, and forgets what can't be undone
-// any more.
+// confirmDue runs the steps that are due, in their order, and removes delivered messages whose outcome
+// cannot be retracted any more.
 func (c *Core) confirmDue() {
 	d := &c.doubts
 	for len(d.steps) > 0 && d.steps[0].at <= c.now {
@@ -144,7 +148,7 @@
 	}
 }
 
-// confirmations is a heap by moment, those of one moment in the order in which they came.
+// confirmations is a heap of steps, ordered by time; steps of the same time run in the order of scheduling.
 type confirmations []confirmation
 
 func (s confirmations) Len() int      { return len(s) }
@@ -161,8 +165,9 @@
 	return x
 }
 
-// doubt takes in that the outcome of an attempt was another's. What was delivered by it is told as
-// failed: a notice for a message that is over does no harm. What was refused by it may have run.
+// doubt retracts the outcome of an attempt, since the response belonged to another call. A message
+// delivered by it is reported as failed: a notice for a message that has ended does no harm. A
+// message refused by it may have run.
 func (c *Core) doubt(b attempted) {
 	m := c.msgs[b.id]
 	switch {
@@ -175,7 +180,7 @@
 	}
 }
 
-// undeliver ends a message anew that was delivered by an answer which was not its own.
+// undeliver ends a delivered message as failed, once that is recorded.
 func (c *Core) undeliver(b attempted) {
 	x, known := c.doubts.delivered[b.id]
 	if !known || x.n != b.n || c.now > x.until || c.opt.Undelivered == nil {
@@ -194,14 +199,14 @@
 		x.end.At = c.opt.Journal.Stamp()
 		c.opt.Journal.Ended(x.end)
 	}
-	c.durable(x.kept, tell, x.end.Seq) // else the next process might send it after that
+	c.durable(x.kept, tell, x.end.Seq) // otherwise a later process might send it after the report
 	if !told {
 		c.confirm(x.until, tell)
 	}
 }
 
-// mayHaveRun takes in that a message whose call was refused may have run all the same. A further call
-// that waits for the refusal to be confirmed is not made where that would do harm.
+// mayHaveRun marks a message as possibly run although its call, sent at a time, was refused. If a
+// repeat would do harm, a further call that waits for the confirmation of the refusal is ended.
 func (c *Core) mayHaveRun(m *message, sent time.Duration) {
 	m.life.Doubt(sent)
 	if a := m.out; a != nil && m.life.Repeat == lifecycle.Never {
@@ -216,8 +221,8 @@
 	c.batch = append(c.batch, choice.Retracted{ID: m.id, Since: c.now - sent})
 }
 
-// refuse ends a message that the module refuses as far as that may be promised. A run that ends waits
-// for no answer to be confirmed.
+// refuse ends a message that the module refuses. If the message may have run and must not be repeated,
+// it fails instead; if its last outcome is unconfirmed, the refusal waits. At shutdown it does not wait.
 func (c *Core) refuse(m *message, after time.Duration) {
 	now := c.now
 	if c.draining {
@@ -233,7 +238,7 @@
 	}
 }
 
-// confirmedBy is when all answers are confirmed that the sending of a call rests on.
+// confirmedBy returns the time from which all outcomes are confirmed that the sending of a call relies on.
 func (c *Core) confirmedBy(a *attempt) (at time.Duration) {
 	for _, b := range a.all() {
 		at = max(at, b.m.life.ConfirmedBy())
@@ -244,7 +249,8 @@
 	return at
 }
 
-// delay sends a call later. Until then it may be called off like one that waits for its records.
+// delay sends a call at a later time. Until then it can be aborted like a call that waits for its
+// records.
 func (c *Core) delay(a *attempt, until time.Duration) {
 	timeout := a.end - a.sent
 	gate := &gated{}
@@ -270,8 +276,8 @@
 	})
 }
 
-// Waits takes in a wait that an endpoint told in an answer which no call had asked for: it may be the own
-// answer of a call that ended before. It is heeded like any other.
+// Waits reports a wait that an endpoint asked for in a response without a request. It may be the response
+// to a call that ended before, so the wait counts like any other.
 func (c *Core) Waits(host string, partner int, wait time.Duration) {
 	_ = c.put(event{call: func() {
 		c.batch = append(c.batch, choice.Waited{Host: host, Left: wait})
--- a/internal/core/doubt_test.go
+++ b/internal/core/doubt_test.go
@@ -8,13 +8,13 @@
 	"basaltcross.example/basaltcross/choice"
 )
 
-// answer ends a call by an answer that is not confirmed for 100 ms.
+// answer ends a call with a response that is unconfirmed for 100 ms.
 func (f *fakeCall) answer(o choice.Outcome) {
 	f.ended = true
 	f.End(Ending{Outcome: o, Took: 20 * ms, Unconfirmed: 100 * ms, Unsettled: 100 * ms})
 }
 
-// handed is a rig with a message handed in and called.
+// handed returns a rig with a message that was handed in and sent.
 func handed(t *testing.T, class int) (*rig, *reply) {
 	t.Helper()
 	r, re := newRig(t), &reply{}
@@ -30,7 +30,8 @@
 
 const unsafeClass = 1
 
-// Guards against a second effect: a message is sent again at once because of a refusal that was another call's.
+// Guards against a second effect: a message is sent again at once because of a refusal that belongs to another
+// call.
 func TestRefusedMessageIsSentAgainOnceItsAnswerIsConfirmed(t *testing.T) {
 	r, re := handed(t, unsafeClass)
 	r.calls[0].answer(choice.Refused)
@@ -43,7 +44,7 @@
 		r.at(at)
 	}
 	if len(r.calls) != 2 {
-		t.Fatal("a confirmed refusal is not followed by another call")
+		t.Fatal("not sent again after the refusal is confirmed")
 	}
 	if r.calls[1].finish(choice.Served, 0); len(r.waits) != 1 {
 		t.Errorf("%d time-outs", len(r.waits))
@@ -54,9 +55,10 @@
 	}
 }
 
-// Guards against a second effect, and a refusal of what has run, where the refusal turns out to be another call's.
+// Guards against a second effect, and against a refusal of a message that has run, if the refusal proves to belong
+// to another call.
 func TestMessageWhoseRefusalWasAnothersIsNotSentAgain(t *testing.T) {
-	for _, at := range []time.Duration{2 * ms, 50 * ms} { // with the answer, and while the next call waits
+	for _, at := range []time.Duration{2 * ms, 50 * ms} { // together with the response, and while the next call waits
 		r, re := handed(t, unsafeClass)
 		r.calls[0].answer(choice.Refused)
 		if at > 2*ms {
@@ -67,12 +69,13 @@
 			r.at(now)
 		}
 		if len(r.calls) != 1 || verdicts([]*reply{re}) != "failed " {
-			t.Errorf("doubted at %s: %d calls, answers %v", at, len(r.calls), re.answers)
+			t.Errorf("retracted at %s: %d calls, answers %v", at, len(r.calls), re.answers)
 		}
 	}
 }
 
-// Guards against a message that is neither delivered nor ended: its 200 was another call's.
+// Guards against a message that is answered as delivered but was not: the response of status 200 belonged to another
+// call.
 func TestMessageWhoseDeliveryWasAnothersIsToldAsFailed(t *testing.T) {
 	for _, class := range []int{0, unsafeClass} {
 		r, re := handed(t, class)
@@ -84,16 +87,16 @@
 		r.calls[0].Doubted()
 		r.at(300 * ms)
 		if verdicts([]*reply{re}) != "delivered " || fmt.Sprint(told) != "[m]" {
-			t.Errorf("answers %v, told %v, want m once", re.answers, told)
+			t.Errorf("answers %v, reported %v, want m once", re.answers, told)
 		}
 		if r.at(10 * time.Second); len(r.doubts.delivered)+len(r.doubts.oldest)+len(r.doubts.keys)+len(r.doubts.steps) != 0 {
-			t.Errorf("left: %+v", r.doubts)
+			t.Errorf("state left after the end: %+v", r.doubts)
 		}
 	}
 }
 
-// Guards against a key out of order: the next message goes out while the one before still runs, which an answer of another
-// call has ended as failed.
+// Guards against messages of a key out of order: the next one is sent while the one before, which a response to another
+// call has ended as failed, may still run.
 func TestNextOfAKeyWaitsUntilTheAnswerIsConfirmed(t *testing.T) {
 	r, re := newRig(t), &reply{}
 	r.opt.Settings.Classes[unsafeClass].Ordered = true
@@ -106,15 +109,16 @@
 	r.calls[0].answer(choice.Error)
 	for at := 2 * ms; at < 100*ms; at += ms {
 		if r.at(at); len(r.calls) > 1 {
-			t.Fatalf("at %s the next of the key is out", at)
+			t.Fatalf("the next message of the key is sent at %s", at)
 		}
 	}
 	if r.at(102 * ms); len(r.calls) != 2 {
-		t.Error("the next of the key is not out once the answer is confirmed")
+		t.Error("the next message of the key is not sent after the outcome is confirmed")
 	}
 }
 
-// Guards against an answer of a peer that repeats itself which is believed: it may have run.
+// Guards against a doubted outcome that counts as a refusal or a delivery. The message may have run: it fails if it must
+// not be repeated.
 func TestDoubtedAnswerEndsWhatMayNotBeRepeated(t *testing.T) {
 	for class, want := range []string{"none ", "failed "} {
 		r, re := handed(t, class)
@@ -126,7 +130,8 @@
 	}
 }
 
-// Guards against calls within a wait that an answer told which a copy had made nobody's.
+// Guards against calls within a wait that a response asked for which belongs to no call, because a copy of another
+// response came before it.
 func TestWaitOfAnUnaskedAnswerIsKept(t *testing.T) {
 	r, re := newRig(t), &reply{}
 	r.Waits("a", 0, 300*ms)
@@ -136,7 +141,7 @@
 	}
 	for at := 2 * ms; at < 300*ms; at += ms {
 		if r.at(at); len(r.calls) > 0 {
-			t.Fatalf("called at %s", at)
+			t.Fatalf("called at %s, within the wait", at)
 		}
 	}
 	for at := 300 * ms; len(r.calls) == 0 && at < 5*time.Second; at += ms {
@@ -147,7 +152,8 @@
 	}
 }
 
-// Guards against a message that is sent after it was told as dead: the next process does not know of that.
+// Guards against a message that a later process sends although it was reported as failed, because the record of its
+// end was not on disk.
 func TestUndeliveredIsToldOnceThatIsRecorded(t *testing.T) {
 	for _, heals := range []bool{true, false} {
 		j := newFailingDisk()
@@ -164,13 +170,13 @@
 		j.failing = true
 		r.calls[0].Doubted()
 		if r.at(r.now + ms); told != 0 {
-			t.Error("told before its record is written")
+			t.Error("reported before its record is written")
 		}
 		if heals {
 			j.heal()
 		}
-		if r.at(r.now + 6*time.Second); told != 1 { // at the message's time at the latest
-			t.Errorf("heals %v: told %d times, want once", heals, told)
+		if r.at(r.now + 6*time.Second); told != 1 { // at the message's deadline at the latest
+			t.Errorf("disk works again %v: reported %d times, want once", heals, told)
 		}
 	}
 }
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -11,13 +11,14 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// slowJournal keeps what waits for its records until the test writes them.
+// slowJournal delays all records until the test writes them.
 type slowJournal struct {
 	nothing
 	wait []func()
 	slow bool
 }
 
+// nothing implements the methods of a Journal that stores nothing, without Then.
 type nothing struct{}
 
 func (nothing) Stamp() journal.Stamp  { return journal.Stamp{} }
@@ -42,7 +43,7 @@
 	j.wait = nil
 }
 
-// decider is a reply that is told when its step is over.
+// decider is a Decider that counts its notifications.
 type decider struct {
 	reply
 	decided int
@@ -52,6 +53,7 @@
 func (d *decider) Decided()            { d.decided++ }
 func (d *decider) Undecided(held bool) { d.held = append(d.held, held) }
 
+// kept returns a rig with a journal, one endpoint, and a class whose repeats the destination drops for 2 s.
 func kept(t *testing.T, j Journal) *rig {
 	t.Helper()
 	r := &rig{}
@@ -73,8 +75,8 @@
 	return r
 }
 
-// A client hears that its message was taken only once the record of that is down: a kill
-// in between would lose what it was promised.
+// Guards against an accepted message that a kill of the process loses: the client is notified only once its
+// record is on disk.
 func TestDecidedWaitsForTheRecord(t *testing.T) {
 	j := &slowJournal{slow: true}
 	r := kept(t, j)
@@ -84,17 +86,17 @@
 	}
 	r.at(2 * ms)
 	if len(d.taken) != 0 || d.decided != 0 || len(r.calls) != 0 {
-		t.Fatalf("taken %d, decided %d, %d calls before the record is down", len(d.taken), d.decided, len(r.calls))
+		t.Fatalf("taken %d, decided %d, %d calls before the record is on disk", len(d.taken), d.decided, len(r.calls))
 	}
 	j.slow = false
 	j.write()
 	r.at(3 * ms)
 	if len(d.taken) != 1 || d.decided != 1 || len(r.calls) != 1 {
-		t.Errorf("taken %d, decided %d, %d calls after it", len(d.taken), d.decided, len(r.calls))
+		t.Errorf("taken %d, decided %d, %d calls after the record is on disk", len(d.taken), d.decided, len(r.calls))
 	}
 }
 
-// backlog is a slow journal that knows which messages it could not write.
+// backlog is a slow journal that reports which messages it could not write.
 type backlog struct {
 	slowJournal
 	unwritten map[uint64]bool
@@ -108,8 +110,8 @@
 
 func (b *backlog) Backlogged() bool { return b.slow }
 
-// Guards against requests that are closed without an answer because a record cannot be
-// written until the process ends: the next run has the message, or nobody will.
+// Guards against requests that are closed without a response because a record cannot be written
+// before the process ends: the client hears whether the next run will have the message.
 func TestResolveAnswersWhatWaitsForRecords(t *testing.T) {
 	j := &backlog{slowJournal: slowJournal{slow: true}, unwritten: map[uint64]bool{2: true}}
 	r := kept(t, j)
@@ -121,7 +123,7 @@
 		r.at(r.now + ms)
 	}
 	j.unwritten = map[uint64]bool{}
-	for seq := uint64(1); seq <= 2; seq++ { // by the order in which they were handed in
+	for seq := uint64(1); seq <= 2; seq++ { // in the order of their hand-in
 		for _, m := range r.msgs {
 			j.unwritten[m.seq] = m.Identity == "unwritten"
 		}
@@ -130,23 +132,23 @@
 	r.Resolve(func() { told = true })
 	r.at(r.now + ms)
 	if !told || !slices.Equal(written.held, []bool{true}) || !slices.Equal(unwritten.held, []bool{false}) {
-		t.Errorf("told %v, written %v, unwritten %v", told, written.held, unwritten.held)
+		t.Errorf("done %v, written %v, unwritten %v", told, written.held, unwritten.held)
 	}
 	j.slow = false
-	j.write() // too late: nothing is told twice
+	j.write() // too late: no second notification
 	r.at(r.now + ms)
 	if written.decided+unwritten.decided > 0 || len(written.held)+len(unwritten.held) != 2 {
-		t.Errorf("told again: %+v, %+v", written, unwritten)
+		t.Errorf("notified again: %+v, %+v", written, unwritten)
 	}
 }
 
-// Guards against notices that come too late because the record of the end cannot be written:
-// past its time no later run sends a message, and its end is told without the record.
+// Guards against notices that come too late because the record of the final answer cannot be written.
+// After its deadline no later run sends the message, and the answer does not wait for the record.
 func TestOverdueEndsAreToldWithoutTheirRecord(t *testing.T) {
 	j := &slowJournal{}
 	r := kept(t, j)
 	r.opt.Settings.Acknowledged = true
-	r.List(choice.Listing{Whole: true}) // nobody takes it
+	r.List(choice.Listing{Whole: true}) // no endpoint
 	r.at(r.now + ms)
 	d := &decider{}
 	if err := r.Submit(&Message{Identity: "m", Left: 5 * time.Second, Reply: d}); err != nil {
@@ -155,30 +157,30 @@
 	r.at(r.now + ms)
 	j.slow = true
 	due := r.now + 5*time.Second
-	r.Withdraw("m") // ended before its time
+	r.Withdraw("m") // ends before its deadline
 	r.at(r.now + ms)
 	if len(d.answers) != 0 {
-		t.Fatalf("told %v before the record", d.answers)
+		t.Fatalf("answered %v before the record is written", d.answers)
 	}
 	if next := r.nextTime(); next < 0 || next > due {
-		t.Errorf("the next look is at %v, want %v at the latest", next, due)
+		t.Errorf("the next step is at %v, want %v at the latest", next, due)
 	}
 	if r.at(due); len(d.answers) != 1 {
-		t.Errorf("told %v at the end of its time", d.answers)
+		t.Errorf("answered %v at the deadline, want one answer", d.answers)
 	}
 	j.slow = false
 	j.write()
 	if r.at(r.now + ms); len(d.answers) != 1 {
-		t.Errorf("told %v, want one answer", d.answers)
+		t.Errorf("answered %v, want one answer", d.answers)
 	}
 }
 
-// Guards against calls that leave after the relay began to end, or after their message's
-// time, because they had waited for their record.
+// Guards against calls that are sent during the shutdown or after the deadline of their message,
+// because they had waited for their record.
 func TestCallsThatWaitedAreDecidedAnew(t *testing.T) {
 	for name, pass := range map[string]func(r *rig){
-		"its time is over": func(r *rig) { r.at(r.now + 6*time.Second) },
-		"the relay leaves": func(r *rig) { r.Park(func() {}); r.at(r.now + ms) },
+		"the deadline has passed": func(r *rig) { r.at(r.now + 6*time.Second) },
+		"the relay shuts down":    func(r *rig) { r.Park(func() {}); r.at(r.now + ms) },
 	} {
 		j := &slowJournal{slow: true}
 		r := kept(t, j)
@@ -191,13 +193,13 @@
 		j.write()
 		r.at(r.now + ms)
 		if len(r.calls) != 0 {
-			t.Errorf("%s: %d calls", name, len(r.calls))
+			t.Errorf("%s: %d calls, want none", name, len(r.calls))
 		}
 	}
 }
 
-// The time in which a repeat is remembered is counted from the first send, over a restart
-// and whatever it takes; what is left of it goes with the call.
+// Guards against a repeat after the window in which the destination drops repeats. The window counts from the
+// first send, across restarts and including the time of the start; the call gets what is left of it.
 func TestWindowOverRestart(t *testing.T) {
 	r := kept(t, &slowJournal{})
 	restore := func(id string, seq uint64, since time.Duration) *reply {
@@ -208,24 +210,24 @@
 	}
 	restore("left", 1, 1200*ms)
 	over := restore("over", 2, 1800*ms)
-	r.at(500 * ms) // the start took so long
+	r.at(500 * ms) // duration of the start
 	if len(r.calls) != 1 || r.calls[0].Name != "left" {
-		t.Fatalf("%d calls, want one: the other's window is over", len(r.calls))
+		t.Fatalf("%d calls, want one: the window of the other message is over", len(r.calls))
 	}
 	if w := r.calls[0].Within; w <= 0 || w > 300*ms+ms {
-		t.Errorf("to be sent within %v, want what is left of 2 s: about 300 ms", w)
+		t.Errorf("to be sent within %v, want the rest of 2 s: about 300 ms", w)
 	}
 	if len(over.answers) != 1 || over.answers[0].Verdict != ledger.Failed {
 		t.Errorf("answers %+v, want failed", over.answers)
 	}
 }
 
-// What would make one call's content too long for its host travels in a second one: a call
-// that is refused for its length would be refused for ever.
+// Guards against calls that are too large for their host, which would refuse them at each attempt: messages that do
+// not fit are sent in a further call.
 func TestLongBodiesTravelApart(t *testing.T) {
 	r, _ := several(t)
 	r.opt.Together = 2000
-	r.List(choice.Listing{Whole: true}) // nothing is sent before all are there
+	r.List(choice.Listing{Whole: true}) // no endpoint until all messages are handed in
 	r.at(3 * ms)
 	for _, id := range []string{"a", "b", "c"} {
 		if err := r.Submit(&Message{Identity: id, Left: 5 * time.Second, Reply: &reply{}, Body: make([]byte, 600)}); err != nil {
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -12,39 +12,40 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// Backlog is a Journal that tells what of it is not on disk yet; journal.Log is one.
+// Backlog is a Journal that reports which records are not on disk yet. journal.Log implements it.
 type Backlog interface {
-	// Waiting tells whether a record about a message waits to be written.
+	// Waiting reports whether any record about a message is not on disk yet.
 	Waiting(seq uint64) bool
-	// Cancel takes back a message whose own record waits; false where that is on disk.
+	// Cancel removes a message whose Taken record is not on disk yet. It returns false if it is.
 	Cancel(seq uint64) bool
-	// Backlogged tells whether any record waits.
+	// Backlogged reports whether any record is not on disk yet.
 	Backlogged() bool
-	// Progress has a function called, from any goroutine, each time that records which
-	// waited have been written.
+	// Progress registers a function that is called, from any goroutine, whenever delayed
+	// records have been written.
 	Progress(func())
 }
 
-// records are the steps that wait for records to be on disk.
+// records holds the steps that wait for records to be on disk.
 type records struct {
-	// With a Backlog: in their order, each for the records of its own messages alone.
+	// With a Backlog: steps in their order; each waits for the records of its own messages only.
 	steps  []step
-	queued map[uint64]int // how many steps wait for a message
-	// With another Journal: each for all that was recorded before it.
+	queued map[uint64]int // number of steps that wait for the records of a message
+	// With another Journal: each waits for all records before it.
 	all  []func()
-	done uint64 // steps that were done
+	done uint64 // number of steps of all that were done
 }
 
-// step is one that waits for the records of messages.
+// step is a function that waits for the records of messages.
 type step struct {
 	of []uint64
 	do func()
 }
 
-// none tells whether nothing waits.
+// none reports whether no step waits.
 func (r *records) none() bool { return len(r.steps)+len(r.all) == 0 }
 
-// next is when something is owed whether its records are written or not; below 0 for never.
+// next returns the time at which a response or answer is due even if its records are not
+// written; below 0 for none.
 func (r *records) next(c *Core) time.Duration {
 	at := time.Duration(-1)
 	sooner := func(t time.Duration) {
@@ -65,7 +66,7 @@
 	return at
 }
 
-// watchBacklog has the core look again whenever records have been written.
+// watchBacklog wakes the core whenever delayed records have been written.
 func (c *Core) watchBacklog() {
 	c.records.queued = map[uint64]int{}
 	b, ok := c.opt.Journal.(Backlog)
@@ -76,14 +77,14 @@
 	b.Progress(func() { _ = c.put(event{call: func() {}}) })
 }
 
-// numberOf is the number of a message by its name within the relay.
+// numberOf returns the sequence number of a message from the relay's id of it.
 func numberOf(id string) uint64 {
-	n, _ := strconv.ParseUint(id, 36, 64) // as the core wrote it
+	n, _ := strconv.ParseUint(id, 36, 64) // ids are formatted by the core
 	return n
 }
 
-// durable does something once what was recorded of messages is on disk; at once where nothing
-// is kept, or all is there. It is done on the core's goroutine, for one message in order.
+// durable runs do once all records of the messages are on disk: at once if nothing is stored, or
+// all of it is written. do runs on the core's goroutine; steps for the same message keep their order.
 func (c *Core) durable(kept bool, do func(), of ...uint64) {
 	switch {
 	case c.backlog == nil && kept && c.opt.Journal != nil:
@@ -98,12 +99,12 @@
 	}
 }
 
-// blocked tells whether a record of one of some messages waits, or a step before this one.
+// blocked reports whether a record of one of the messages, or an earlier step for one, waits.
 func (c *Core) blocked(of []uint64) bool {
 	return slices.ContainsFunc(of, func(seq uint64) bool { return c.records.queued[seq] > 0 || c.backlog.Waiting(seq) })
 }
 
-// releaseWritten does the steps whose records are on disk.
+// releaseWritten runs the steps whose records are on disk.
 func (c *Core) releaseWritten() {
 	r := &c.records
 	if len(r.steps) == 0 {
@@ -131,7 +132,7 @@
 	r.steps = append(stay, r.steps...)
 }
 
-// afterAll does something once all that was recorded so far is on disk, in order.
+// afterAll runs do, in order, once all records so far are on disk.
 func (c *Core) afterAll(do func()) {
 	number := c.records.done + uint64(len(c.records.all)) + 1
 	down := c.opt.Journal.Then(func() { c.release(number) })
@@ -140,12 +141,12 @@
 		return
 	}
 	c.records.all = append(c.records.all, do)
-	if down { // behind those whose turn is in the inbox already
+	if down { // after earlier steps whose events are in the inbox already
 		c.release(number)
 	}
 }
 
-// release has the steps up to a number done, in their order.
+// release runs the steps up to a number, in their order, in the next batch.
 func (c *Core) release(number uint64) {
 	r := &c.records
 	_ = c.put(event{call: func() {
@@ -159,13 +160,14 @@
 	}})
 }
 
-// recorded tells whether all that was recorded of a message is on disk.
+// recorded reports whether all records of a message are on disk.
 func (c *Core) recorded(m *message) bool {
 	return c.backlog == nil || !c.backlog.Waiting(m.seq)
 }
 
-// takeBack takes a message back whose own record is not on disk yet: no later run will know
-// it, and nothing about it waits for the disk any more. It reports false for any other.
+// takeBack removes a message from the journal whose Taken record is not on disk yet. No later run
+// will know the message, and nothing about it waits for the disk any more. It returns false, and
+// does nothing, for any other message.
 func (c *Core) takeBack(m *message) bool {
 	if c.backlog == nil || !m.kept || !c.backlog.Cancel(m.seq) {
 		return false
@@ -176,8 +178,8 @@
 	return true
 }
 
-// respondOverdue answers hand-ins whose records are not on disk when they must have their
-// answer.
+// respondOverdue responds to hand-ins whose response is due although their records are not on
+// disk.
 func (c *Core) respondOverdue() {
 	for _, m := range c.openInOrder() {
 		if m.life.RespondBy > 0 && c.now >= m.life.RespondBy {
@@ -186,7 +188,7 @@
 	}
 }
 
-// openInOrder are the hand-ins that wait for their answer, the first one first.
+// openInOrder returns the messages whose Decider was not notified yet, in the order of arrival.
 func (c *Core) openInOrder() []*message {
 	if len(c.open) == 0 {
 		return nil
@@ -194,7 +196,7 @@
 	return slices.SortedFunc(maps.Keys(c.open), func(x, y *message) int { return cmp.Compare(x.seq, y.seq) })
 }
 
-// respond answers a hand-in as far as its records allow by then.
+// respond notifies the Decider of a hand-in, as far as its records allow at the time by.
 func (c *Core) respond(m *message, by time.Duration) {
 	switch m.life.MayRespond(by, c.recorded(m), func() bool { return c.takeBack(m) }) {
 	case lifecycle.TakenOn:
@@ -206,11 +208,12 @@
 		c.opt.Trace.Step(m.Identity, "overdue", "taken back")
 		m.Reply.(Decider).Undecided(false)
 		c.unheard(m)
-	case lifecycle.Wait, lifecycle.Decision: // its step comes
+	case lifecycle.Wait, lifecycle.Decision: // notified once the records are on disk
 	}
 }
 
-// unheard ends a message that was taken back: what was decided of it is told to nobody.
+// unheard ends a message that was taken back. Its final answer, if one was decided, is not
+// reported.
 func (c *Core) unheard(m *message) {
 	if !m.answered {
 		c.batch = append(c.batch, choice.Withdrawn{ID: m.id})
@@ -222,9 +225,9 @@
 	c.settled(m.Identity)
 }
 
-// Resolve ends the wait of clients for records that cannot be written, before the process
-// ends: a message that the next run will hold counts as taken, of the others nobody knows.
-// done is called when all have heard.
+// Resolve notifies all Deciders that wait for records which cannot be written, before the
+// process ends: a message that the next run will hold counts as taken, the others are dropped.
+// done is called after the notifications.
 func (c *Core) Resolve(done func()) {
 	_ = c.put(event{call: func() {
 		c.releaseWritten()
@@ -238,8 +241,8 @@
 	}})
 }
 
-// tellOverdue tells final answers whose records cannot be written, once their messages'
-// time is over: later they would be of no use, and no later run sends these messages.
+// tellOverdue reports final answers whose records are not written by the deadline of their
+// messages. Later the answers would be useless, and no later run sends these messages.
 func (c *Core) tellOverdue() {
 	if len(c.untold) == 0 {
 		return
--- a/internal/core/records_test.go
+++ b/internal/core/records_test.go
@@ -10,12 +10,12 @@
 	"basaltcross.example/basaltcross/internal/ledger"
 )
 
-// failingDisk is a journal whose writes fail as the test says, and which tells what waits.
+// failingDisk is a Backlog whose writes fail while the test says so.
 type failingDisk struct {
 	nothing
 	failing  bool
-	waiting  map[uint64]bool // messages with a record that waits
-	own      map[uint64]bool // those whose own record does
+	waiting  map[uint64]bool // messages with a record that is not written
+	own      map[uint64]bool // messages whose Taken record is not written
 	ended    []journal.End
 	cleared  int
 	progress func()
@@ -63,7 +63,7 @@
 	return true
 }
 
-// heal has all that waits written.
+// heal makes writes work again and writes all records that wait.
 func (d *failingDisk) heal() {
 	d.failing = false
 	clear(d.waiting)
@@ -81,8 +81,8 @@
 	r.at(r.now + ms)
 }
 
-// Guards against a request that hears nothing while its client waits, because its own record cannot be written: it
-// is refused in time, and neither this run nor the next one sends it.
+// Guards against a request that gets no response in time because the Taken record of its message cannot be written:
+// it is refused in time, and neither this run nor the next one sends the message.
 func TestUnrecordedHandInIsTakenBackInTime(t *testing.T) {
 	j := newFailingDisk()
 	r := kept(t, j)
@@ -91,25 +91,25 @@
 	by := r.now + respond
 	r.submit(t, "m", d)
 	if r.at(by - ms); len(d.held)+d.decided > 0 {
-		t.Fatal("answered before its record or its time")
+		t.Fatal("responded before the record is written or the response is due")
 	}
 	if next := r.nextTime(); next < 0 || next > by {
-		t.Fatalf("the next look is at %v, want %v at the latest", next, by)
+		t.Fatalf("the next step is at %v, want %v at the latest", next, by)
 	}
 	if r.at(by); len(d.held) != 1 || d.held[0] {
-		t.Fatalf("held %v, want one answer that it is not", d.held)
+		t.Fatalf("held %v, want [false]", d.held)
 	}
 	if len(j.waiting) > 0 {
-		t.Errorf("records of %v still wait", j.waiting)
+		t.Errorf("records of messages %v still wait", j.waiting)
 	}
 	j.heal()
 	if r.at(r.now + ms); len(r.calls) > 0 || d.decided > 0 || len(d.answers) > 0 && d.answers[0].Verdict != ledger.Abandoned {
-		t.Errorf("%d calls, decided %d, answers %v for a message that was refused", len(r.calls), d.decided, d.answers)
+		t.Errorf("%d calls, decided %d, answers %v for a message that was dropped", len(r.calls), d.decided, d.answers)
 	}
 }
 
-// Guards against a request that hears nothing while its client waits, because a later record about it cannot be
-// written: it was taken on, and its final answer follows.
+// Guards against a request that gets no response in time because a later record about its message cannot be written:
+// the message is accepted, and its final answer follows.
 func TestRecordedHandInIsTakenOnInTime(t *testing.T) {
 	j := newFailingDisk()
 	r := kept(t, j)
@@ -118,19 +118,19 @@
 		t.Fatal(err)
 	}
 	r.opt.Journal = failsAfterTaken{j}
-	r.at(r.now + ms) // its own record is written, that of its attempt is not
+	r.at(r.now + ms) // the Taken record is written, that of the attempt is not
 	if d.decided > 0 || !j.failing {
 		t.Fatalf("decided %d, failing %v", d.decided, j.failing)
 	}
 	if r.at(r.now + respond); len(d.held) != 1 || !d.held[0] {
-		t.Fatalf("held %v, want one answer that it is", d.held)
+		t.Fatalf("held %v, want [true]", d.held)
 	}
 	j.heal()
 	for range 3 {
 		r.at(r.now + ms)
 	}
 	if len(r.calls) != 1 {
-		t.Fatalf("%d calls once the disk works", len(r.calls))
+		t.Fatalf("%d calls once the disk works again, want one", len(r.calls))
 	}
 	r.calls[0].finish(choice.Served, 0)
 	if r.at(r.now + ms); len(d.answers) != 1 || d.answers[0].Verdict != ledger.Delivered || d.decided > 0 || len(d.held) != 1 {
@@ -138,7 +138,7 @@
 	}
 }
 
-// failsAfterTaken is a disk that fails once a message's own record is written.
+// failsAfterTaken is a disk that fails once the Taken record of a message is written.
 type failsAfterTaken struct{ *failingDisk }
 
 func (f failsAfterTaken) Taken(m journal.Message) {
@@ -146,12 +146,12 @@
 	f.failing = true
 }
 
-// Guards against a refusal that waits for the disk, or that the next run decides anew: where the message's own
-// record is not written, the refusal is told at once and leaves nothing to be recorded.
+// Guards against a refusal that waits for the disk, or that the next run decides again: if the Taken record is not
+// written, the refusal is reported at once, and no record is left.
 func TestRefusalOfAnUnrecordedHandInIsToldAtOnce(t *testing.T) {
 	j := newFailingDisk()
 	r := kept(t, j)
-	r.List(choice.Listing{Whole: true}) // nobody takes it
+	r.List(choice.Listing{Whole: true}) // no endpoint
 	r.at(r.now + ms)
 	j.failing = true
 	d := &decider{}
@@ -163,11 +163,11 @@
 		t.Errorf("decided %d, answers %v, taken %v", d.decided, d.answers, d.taken)
 	}
 	if len(j.ended)+len(j.waiting) > 0 {
-		t.Errorf("recorded %v, %v waits", j.ended, j.waiting)
+		t.Errorf("recorded ends %v, records of %v wait, want none", j.ended, j.waiting)
 	}
 }
 
-// Guards against a request that waits for the records of others: only its own count.
+// Guards against a request that waits for the records of other messages.
 func TestHandInWaitsForItsOwnRecordsAlone(t *testing.T) {
 	j := newFailingDisk()
 	r := kept(t, j)
@@ -177,20 +177,20 @@
 	j.failing = false
 	r.submit(t, "second", second)
 	if first.decided != 0 || second.decided != 1 {
-		t.Errorf("decided %d and %d, want the second alone", first.decided, second.decided)
+		t.Errorf("decided %d and %d, want only the second", first.decided, second.decided)
 	}
 	j.heal()
 	if r.at(r.now + ms); first.decided != 1 || second.decided != 1 {
-		t.Errorf("decided %d and %d once the disk works", first.decided, second.decided)
+		t.Errorf("decided %d and %d once the disk works again, want both", first.decided, second.decided)
 	}
 }
 
-// sentAfter hands a message in whose attempt's record waits for a while, and returns the calls that were made by then.
+// sentAfter hands in a message whose attempt record is delayed by wait, and returns the rig with its calls.
 func sentAfter(t *testing.T, wait time.Duration) (r *rig, j *failingDisk) {
 	t.Helper()
 	j = newFailingDisk()
 	r = kept(t, j)
-	for i := range 100 { // for a table of latencies
+	for i := range 100 { // to fill the latency statistics
 		r.submit(t, fmt.Sprint("before", i), &decider{})
 		r.calls[i].finish(choice.Served, 0)
 		r.at(r.now + ms)
@@ -199,7 +199,7 @@
 	r.opt.Journal = failsAfterTaken{j}
 	r.submit(t, "m", &decider{})
 	if wait > 0 && len(r.calls) > 0 {
-		t.Fatal("a call left before its record")
+		t.Fatal("a call was sent before its record is on disk")
 	}
 	for end := r.now + wait; r.now < end; {
 		r.at(r.now + ms)
@@ -212,8 +212,8 @@
 	return r, j
 }
 
-// Guards against calls that begin with what a failing disk left of their time-out, and are given up as they arrive:
-// the time-out runs from the first byte.
+// Guards against calls that have only the rest of their time-out because the disk delayed them, and time out before the
+// endpoint can respond: the time-out starts with the first byte.
 func TestCallThatWaitedHasItsWholeTimeout(t *testing.T) {
 	prompt, _ := sentAfter(t, 0)
 	late, _ := sentAfter(t, recordWait-10*ms)
@@ -224,22 +224,22 @@
 		t.Errorf("a time-out of %v, want %v", got, want)
 	}
 	if late.at(late.now + late.calls[0].Patient - 20*ms); late.calls[0].aborted {
-		t.Error("given up before its time-out, counted from its first byte, was over")
+		t.Error("aborted before the time-out, counted from the first byte, was over")
 	}
 }
 
-// Guards against calls that leave long after they were decided, in a burst once the disk works again, and against
-// endpoints that are blamed for the wait: the module decides anew.
+// Guards against calls that are sent long after their decision, in a burst once the disk works again, and against
+// endpoints that are blamed for the delay: the module decides again.
 func TestCallThatWaitedTooLongIsDecidedAnew(t *testing.T) {
 	r, j := sentAfter(t, 3*time.Second)
 	if len(r.calls) != 1 {
 		t.Fatalf("%d calls, want one", len(r.calls))
 	}
 	if j.cleared != 1 {
-		t.Errorf("%d attempts were recorded as not made, want one for the whole wait", j.cleared)
+		t.Errorf("%d attempts were recorded as without effect, want one for the whole wait", j.cleared)
 	}
 	if len(r.log) > 0 {
-		t.Errorf("the module says %q", r.log)
+		t.Errorf("the module logged %q", r.log)
 	}
 	if left := 5*time.Second - r.now; r.calls[0].Patient > left+20*ms {
 		t.Errorf("a time-out of %v with %v left", r.calls[0].Patient, left)
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -11,14 +11,14 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// noted is what is recorded of an endpoint.
+// noted is the recorded state of an endpoint.
 type noted struct {
-	until   time.Duration // of a told wait
-	failing bool
+	until   time.Duration // end of the wait that it asked for
+	failing bool          // its last call failed
 }
 
-// note records waits that an endpoint told, and whether it fails. A wait that is in
-// force stays in the record whatever else happens there.
+// note records whether an endpoint fails and the wait that it asked for. A wait in force stays
+// in the record whatever the outcome of other calls.
 func (c *Core) note(host string, e Ending) {
 	if c.opt.Journal == nil || c.opt.Forgetful {
 		return
@@ -34,8 +34,8 @@
 	}
 }
 
-// remember tells the module what an earlier run knew of endpoints that are listed
-// now, and drops the records of those that went.
+// remember passes the state of newly listed endpoints from an earlier run to the module, and
+// drops the records of endpoints that were removed.
 func (c *Core) remember(l *choice.Listing) {
 	for _, h := range l.Hosts {
 		if w, ok := c.waited[h.Addr]; ok && h.State != choice.Gone {
@@ -53,33 +53,33 @@
 	}
 }
 
-// Restored is a message of an earlier run.
+// Restored is a message of an earlier run that is not answered.
 type Restored struct {
 	Message
 	Seq      uint64
-	Attempts int
-	Ran      bool
-	Since    time.Duration
-	Zone     int // below 0 if it is not known any more
+	Attempts int           // attempts made
+	Ran      bool          // one of them may have run
+	Since    time.Duration // time since the first of those was sent
+	Zone     int           // zone that it was sent to; below 0 if it is not known any more
 }
 
-// Ended is an identity of an earlier run that got its final answer.
+// Ended is an identity of an earlier run with its final answer.
 type Ended struct {
-	// Owed: the answer has not reached who is owed it. Until Settled its message
-	// holds its place in the order of its key.
+	// Owed marks an answer that the client has not received. Until Settled the message keeps
+	// its place in the order of its key.
 	Owed     bool
 	Seq      uint64
 	Class    int
 	Key      string
 	Identity string
 	Answer   ledger.Answer
-	Age      time.Duration
-	Forget   bool
+	Age      time.Duration // time since the answer
+	Forget   bool          // may be evicted early: a repeat does no harm
 }
 
-// Restore takes in what an earlier run left, before Run. Answers that were given
-// then count from the first moment on; the module is told of the messages in its
-// first step, in their order.
+// Restore loads the state of an earlier run, before Run. Ended identities are known at once;
+// the module receives the messages in its first step, in their order. last is the last
+// sequence number that was used.
 func (c *Core) Restore(messages []Restored, ended []Ended, waits []choice.Waited, last uint64) {
 	c.now = c.Now()
 	c.next = last
@@ -115,7 +115,7 @@
 	began := c.now
 	_ = c.put(event{call: func() {
 		c.batch = append(c.batch, owed...)
-		for _, r := range first { // the time that the start took is gone
+		for _, r := range first { // the time that the start took counts
 			if m := c.msgs[r.ID]; m != nil {
 				r.Left = m.due - c.now
 				r.Since += min(c.now-began, math.MaxInt64-r.Since)
--- a/internal/core/several_test.go
+++ b/internal/core/several_test.go
@@ -11,8 +11,8 @@
 	"basaltcross.example/basaltcross/internal/ledger"
 )
 
-// several is a rig over a host that takes three messages a call, with some handed in
-// before it is listed, so that one step sends them all.
+// several returns a rig with a host that accepts three messages a call. A message of each of the classes is
+// handed in before the host is listed, so that one step sends them all.
 func several(t *testing.T, classes ...int) (*rig, []*reply) {
 	t.Helper()
 	r := &rig{}
@@ -43,6 +43,7 @@
 	return r, all
 }
 
+// verdicts returns the verdicts of the replies, each followed by a space; "none" without an answer.
 func verdicts(all []*reply) (out string) {
 	for _, re := range all {
 		v := ledger.Verdict(0)
@@ -57,8 +58,8 @@
 	return out
 }
 
-// The sends of one step to one host travel as one call, up to the kind's number, and
-// each message in it has its own end.
+// Guards against messages that share a call and get the outcome of another one. The sends of one step to a host
+// share calls up to the limit of the kind.
 func TestSeveralInOneCall(t *testing.T) {
 	r, all := several(t, 1, 1, 1, 1)
 	if len(r.calls) != 2 || len(r.calls[0].Call.Several) != 3 || r.calls[1].Call.Several != nil || len(r.waits) != 2 {
@@ -76,14 +77,14 @@
 	r.calls[1].finish(choice.Served, 0)
 	r.at(3 * ms)
 	if got := verdicts(all); got != "delivered failed abandoned delivered " {
-		t.Errorf("ends: %s", got)
+		t.Errorf("verdicts: %s", got)
 	}
 	if len(r.outs) != 0 || len(r.waits) != 0 || len(r.msgs) != 0 {
 		t.Errorf("%d out, %d timers, %d messages left", len(r.outs), len(r.waits), len(r.msgs))
 	}
 }
 
-// One time-out counts for all in a call, and so does a reset.
+// Guards against messages that stay without an outcome when their shared call times out or is reset.
 func TestOneEndForAll(t *testing.T) {
 	for _, timeOut := range []bool{true, false} {
 		r, all := several(t, 1, 1, 1)
@@ -94,28 +95,30 @@
 			r.at(3 * ms)
 		}
 		if got := verdicts(all); got != "failed failed failed " || r.calls[0].aborted != timeOut {
-			t.Errorf("time-out %v: ends %s, aborted %v", timeOut, got, r.calls[0].aborted)
+			t.Errorf("time-out %v: verdicts %s, aborted %v", timeOut, got, r.calls[0].aborted)
 		}
 	}
 }
 
-// A Cancel of some messages in a call leaves it to the others; that of the last ends it.
+// Guards against a Cancel of one message that aborts the call of the others: the call ends with the Cancel of its
+// last message.
 func TestCancelOfOneLeavesTheOthers(t *testing.T) {
 	r, all := several(t, 1, 1, 1)
 	id := func(i int) string { return r.led.Find(r.now, fmt.Sprint("m", i)).ID }
 	r.carryOut([]choice.Action{choice.Cancel{ID: id(1)}})
 	r.at(3 * ms)
 	if r.calls[0].aborted || verdicts(all) != "none none none " {
-		t.Fatalf("aborted %v, ends %s", r.calls[0].aborted, verdicts(all))
+		t.Fatalf("one cancelled: aborted %v, verdicts %s", r.calls[0].aborted, verdicts(all))
 	}
 	r.carryOut([]choice.Action{choice.Cancel{ID: id(0)}, choice.Cancel{ID: id(2)}})
 	r.at(4 * ms)
 	if !r.calls[0].aborted || verdicts(all) != "failed failed failed " {
-		t.Errorf("aborted %v, ends %s", r.calls[0].aborted, verdicts(all))
+		t.Errorf("all cancelled: aborted %v, verdicts %s", r.calls[0].aborted, verdicts(all))
 	}
 }
 
-// Who withdraws a message nobody is owed anything, unless somebody else handed it in.
+// Guards against an Abandon that ends the message of another client: it counts only from the Reply with which the
+// message came.
 func TestAbandon(t *testing.T) {
 	r := newRig(t)
 	one, other := &reply{}, &reply{}
@@ -126,12 +129,12 @@
 	r.Abandon("m", other)
 	r.at(2 * ms)
 	if len(one.answers) != 0 {
-		t.Fatalf("%v: somebody else's message was withdrawn", one.answers)
+		t.Fatalf("answers %v: the message of another Reply was abandoned", one.answers)
 	}
 	r.Abandon("m", one)
 	r.at(3 * ms)
 	if verdicts([]*reply{one}) != "abandoned " {
-		t.Errorf("%v", one.answers)
+		t.Errorf("answers %v, want abandoned", one.answers)
 	}
 	r.calls[0].finish(choice.Error, 0)
 	r.at(4 * ms)
@@ -140,8 +143,8 @@
 	}
 }
 
-// A refusal that was heard gives up its place in the order of its key, whatever became
-// of its identity meanwhile.
+// Guards against a key that is blocked for ever, or released too early, by a refused message: the message keeps its
+// place in the order of its key until Settled.
 func TestSettledRefusals(t *testing.T) {
 	r := newRig(t)
 	set := r.opt.Settings
@@ -156,7 +159,7 @@
 	one, two := &reply{}, &reply{}
 	_ = r.hand("one", 1, one, 100*ms)
 	_ = r.hand("two", 1, two, 6*time.Second)
-	for at := ms; at < 200*ms; at += ms { // no host is listed: the first one's time passes
+	for at := ms; at < 200*ms; at += ms { // no host is listed: the deadline of the first message passes
 		r.at(at)
 	}
 	if verdicts([]*reply{one, two}) != "refused none " {
@@ -165,17 +168,17 @@
 	r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
 	r.at(300 * ms)
 	if len(r.calls) != 0 {
-		t.Fatal("sent before the one ahead was settled")
+		t.Fatal("sent before the message ahead was settled")
 	}
 	r.Settled("one")
 	r.at(400 * ms)
 	if len(r.calls) != 1 || len(r.owing) != 0 {
-		t.Errorf("%d calls once the one ahead was settled, %d owing", len(r.calls), len(r.owing))
+		t.Errorf("%d calls once the message ahead was settled, %d messages not settled", len(r.calls), len(r.owing))
 	}
 }
 
-// An answer at the very end of a message's time may be late by the clock of who handed
-// it in: then its end is told, and its key goes on once that was heard.
+// Guards against a delivery that is too late for the client: a response just before the deadline may be after it by
+// the client's clock, and the message then fails.
 func TestAnswersAtTheVeryEnd(t *testing.T) {
 	for at, want := range map[time.Duration]string{500 * ms: "delivered ", 950 * ms: "failed "} {
 		r := newRig(t)
@@ -186,12 +189,12 @@
 		r.calls[0].finish(choice.Served, 0)
 		r.at(at)
 		if verdicts([]*reply{re}) != want || len(r.msgs) != 0 {
-			t.Errorf("served after %v of a second: %s", at, verdicts([]*reply{re}))
+			t.Errorf("served %v after the hand-in, with 1 s to deliver: %s", at, verdicts([]*reply{re}))
 		}
 	}
 }
 
-// instant is a journal that has everything on disk at once, and keeps nothing.
+// instant is a journal that reports every record as on disk at once, and stores nothing.
 type instant struct{}
 
 func (instant) Stamp() journal.Stamp  { return journal.Stamp{} }
@@ -203,7 +206,7 @@
 func (instant) Forget(string)         {}
 func (instant) Then(func()) bool      { return true }
 
-// The time that a start takes is off the time of what it restores.
+// Guards against restored messages whose deadline moves by the time that the start takes.
 func TestRestoredTimesCountFromTheRestore(t *testing.T) {
 	r := newRig(t)
 	r.opt.Journal = instant{}
@@ -214,6 +217,6 @@
 		r.at(at)
 	}
 	if verdicts([]*reply{re}) != "refused " {
-		t.Errorf("%s: nothing was said within its time", verdicts([]*reply{re}))
+		t.Errorf("verdicts %s, want a refusal within its time", verdicts([]*reply{re}))
 	}
 }
