--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -188,8 +188,8 @@
 	return by - c.Now()
 }
 
-// pauseSends pauses the sends of the module while records wait for the disk: no call could be
-// sent, and the module would blame endpoints for the delays of the disk.
+// pauseSends pauses the sends of the module while records wait for the disk, if all attempts are
+// recorded: no call could be sent, and the module would blame endpoints for delays of the disk.
 func (c *Core) pauseSends() {
 	if c.backlog == nil || !c.opt.Every {
 		return
--- a/internal/core/doubt.go
+++ b/internal/core/doubt.go
@@ -57,7 +57,7 @@
 }
 
 // doubter returns the function that retracts the outcome of a call. The function holds no reference
-// to the messages, since the Caller may keep it for long.
+// to the messages.
 func (c *Core) doubter(a *attempt) func() {
 	var all []attempted
 	for _, b := range a.all() {
@@ -238,7 +238,7 @@
 	}
 }
 
-// confirmedBy returns the time from which all outcomes are confirmed that the sending of a call relies on.
+// confirmedBy returns the time from which all outcomes are confirmed that a call relies on.
 func (c *Core) confirmedBy(a *attempt) (at time.Duration) {
 	for _, b := range a.all() {
 		at = max(at, b.m.life.ConfirmedBy())
