--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -224,75 +224,75 @@
 // message is the state of a message from its hand-in to its final answer and last outcome.
 type message struct {
 	Message
-	id       string
-	entry    *ledger.Entry // nil without identity
-	taken    time.Duration
-	answered bool          // the final answer is decided
-	due      time.Duration // deadline
-	tries    int           // attempts so far; number of the next one
-	out      *attempt      // attempt in progress, nil for none
-	seq      uint64
-	kept     bool // stored in the journal
-	life     lifecycle.Message
-	told     bool // the final answer was passed to Reply
-}
-
-// event is one entry of the inbox. Exactly one of arrival, ended, listing, fleet, drop and call is set.
+	id         string
+	entry      *ledger.Entry // nil without identity
+	takenAt    time.Duration
+	answered   bool          // the final answer is decided
+	deadline   time.Duration // deadline
+	attempts   int           // attempts so far; number of the next one
+	current    *attempt      // attempt in progress, nil for none
+	seq        uint64
+	journaled  bool // stored in the journal
+	state      lifecycle.Message
+	answerSent bool // the final answer was passed to Reply
+}
+
+// event is one entry of the inbox. Exactly one of arrival, ended, listing, fleet, withdrawn and call is set.
 type event struct {
-	arrival *Message
-	at      time.Duration // time of the hand-in
-	ended   *attempt
-	ending  Ending
-	listing *choice.Listing
-	fleet   *choice.Fleet
-	drop    string // identity of a message that is withdrawn
-	by      Reply  // with drop: no answer is due, if the message has this Reply; nil if an answer is still due
-	call    func() // run on the core's goroutine
+	arrival   *Message
+	at        time.Duration // time of the hand-in
+	ended     *attempt
+	ending    Ending
+	listing   *choice.Listing
+	fleet     *choice.Fleet
+	withdrawn string // identity of a message that is withdrawn
+	by        Reply  // with withdrawn: no answer is due, if the message has this Reply; nil if an answer is still due
+	call      func() // run on the core's goroutine
 }
 
 // Core is the event loop of one relay.
 type Core struct {
-	opt   Options
-	ch    *choice.Chooser
-	led   *ledger.Ledger
-	clock func() time.Duration // monotonic, from 0
-
-	mu       sync.Mutex
-	inbox    []event
-	arrivals *limit.Share
-	stopping bool
-	wake     chan struct{}
-	beat     atomic.Int64 // time of the last heartbeat
+	opt            Options
+	chooser        *choice.Chooser
+	identityLedger *ledger.Ledger
+	clock          func() time.Duration // monotonic, from 0
+
+	mu            sync.Mutex
+	inbox         []event
+	arrivals      *limit.Share
+	stopping      bool
+	wake          chan struct{}
+	lastHeartbeat atomic.Int64 // time of the last heartbeat
 
 	// The fields below belong to the goroutine of Run.
-	now      time.Duration
-	msgs     map[string]*message        // by id
-	byEntry  map[*ledger.Entry]*message // messages in progress
-	waits    timers                     // time-outs of calls
-	outs     map[*attempt]struct{}      // attempts in progress
-	zones    map[string]int             // by endpoint
-	kinds    map[string]int             // by endpoint
-	wakeAt   time.Duration              // wake-up that the module asked for, below 0 for none
-	next     uint64                     // last sequence number in use
-	owed     int                        // messages without a final answer
-	draining bool                       // shutting down: hand-ins are rejected
-	stopAt   time.Duration              // end of the grace period at shutdown, below 0 for none
-	batch    []choice.Event
-	backlog  Backlog             // the journal, if it implements Backlog
-	records  records             // steps that wait for records
-	paused   bool                // the module sends nothing, since records are not on disk
-	noted    map[string]noted    // by endpoint, as recorded
-	waited   map[string]noted    // state of endpoints from an earlier run that are not listed yet
-	lastAt   time.Duration       // at shutdown: end of the wait for the journal
-	nows     []string            // ids of messages with Now that arrived in this step
-	fresh    []*message          // messages with a Decider that arrived in this step
-	open     map[*message]bool   // messages whose Decider was not notified yet
-	untold   map[*message]func() // final answers that wait for their records
-	owing    map[string]string   // ids of refused or failed messages without Settled, by identity
-	idle     func()              // called once no attempt is in progress
-	parked   bool                // the messages held are left to a later run
-	doubts   doubts
-	spare    []event // inbox of the previous step, for reuse
+	now             time.Duration
+	byID            map[string]*message        // by id
+	byEntry         map[*ledger.Entry]*message // messages in progress
+	timeouts        timeoutHeap                // time-outs of calls
+	inFlight        map[*attempt]struct{}      // attempts in progress
+	zones           map[string]int             // by endpoint
+	kinds           map[string]int             // by endpoint
+	wakeAt          time.Duration              // wake-up that the module asked for, below 0 for none
+	lastSeq         uint64                     // last sequence number in use
+	unanswered      int                        // messages without a final answer
+	draining        bool                       // shutting down: hand-ins are rejected
+	graceEnd        time.Duration              // end of the grace period at shutdown, below 0 for none
+	batch           []choice.Event
+	backlog         Backlog              // the journal, if it implements Backlog
+	pendingSteps    pendingSteps         // steps that wait for records
+	paused          bool                 // the module sends nothing, since records are not on disk
+	recordedHosts   map[string]hostState // by endpoint, as recorded
+	restoredHosts   map[string]hostState // state of endpoints from an earlier run that are not listed yet
+	journalDeadline time.Duration        // at shutdown: end of the wait for the journal
+	immediate       []string             // ids of messages with Now that arrived in this step
+	newlyTaken      []*message           // messages with a Decider that arrived in this step
+	undecided       map[*message]bool    // messages whose Decider was not notified yet
+	pendingAnswers  map[*message]func()  // final answers that wait for their records
+	unsettledIDs    map[string]string    // ids of refused or failed messages without Settled, by identity
+	onIdle          func()               // called once no attempt is in progress
+	parked          bool                 // the messages held are left to a later run
+	retractions     retractions
+	spareInbox      []event // inbox of the previous step, for reuse
 }
 
 // New returns a core. Run starts it.
@@ -310,22 +310,25 @@
 	if opt.Journal != nil {
 		led.Dropped = opt.Journal.Forget
 	}
-	c := &Core{opt: opt, ch: ch, arrivals: limit.NewShare(opt.Arrivals), led: led,
+	c := &Core{opt: opt, chooser: ch, arrivals: limit.NewShare(opt.Arrivals), identityLedger: led,
 		clock: clock,
-		wake:  make(chan struct{}, 1), msgs: map[string]*message{}, byEntry: map[*ledger.Entry]*message{},
-		open: map[*message]bool{}, untold: map[*message]func(){}, outs: map[*attempt]struct{}{}, zones: map[string]int{}, kinds: map[string]int{}, wakeAt: -1, stopAt: -1,
-		owing: map[string]string{}, noted: map[string]noted{}, waited: map[string]noted{}, lastAt: -1}
+		wake:  make(chan struct{}, 1), byID: map[string]*message{}, byEntry: map[*ledger.Entry]*message{},
+		undecided: map[*message]bool{}, pendingAnswers: map[*message]func(){},
+		inFlight: map[*attempt]struct{}{}, zones: map[string]int{}, kinds: map[string]int{},
+		wakeAt: -1, graceEnd: -1, unsettledIDs: map[string]string{},
+		recordedHosts: map[string]hostState{}, restoredHosts: map[string]hostState{}, journalDeadline: -1}
 	c.watchBacklog()
 	return c, nil
 }
 
-// Now is the core's monotonic clock.
+// Now returns the time of the core's monotonic clock.
 func (c *Core) Now() time.Duration { return c.clock() }
 
-func (c *Core) put(e event) error {
+// enqueue adds an event to the inbox and wakes the core. It returns an error only for hand-ins.
+func (c *Core) enqueue(e event) error {
 	c.mu.Lock()
 	if e.arrival != nil {
-		if c.stopping || !c.arrivals.Enter(e.arrival.Source) {
+		if c.stopping || !c.arrivals.Acquire(e.arrival.Source) {
 			stopping := c.stopping
 			c.mu.Unlock()
 			if stopping {
@@ -346,33 +349,34 @@
 // Submit hands in a message. An error means that the message was rejected and that Reply
 // will not be called. Only hand-ins are rejected: the number of other events is
 // limited by the calls in progress and by their sources.
-func (c *Core) Submit(m *Message) error { return c.put(event{arrival: m, at: c.Now()}) }
+func (c *Core) Submit(m *Message) error { return c.enqueue(event{arrival: m, at: c.Now()}) }
 
 // List passes on a change of the endpoint list.
-func (c *Core) List(l choice.Listing) { _ = c.put(event{listing: &l}) }
+func (c *Core) List(l choice.Listing) { _ = c.enqueue(event{listing: &l}) }
 
 // Fleet sets the number of relays and the index of this one, from 0.
 func (c *Core) Fleet(index, size int) {
-	_ = c.put(event{fleet: &choice.Fleet{Index: index, Size: size}})
+	_ = c.enqueue(event{fleet: &choice.Fleet{Index: index, Size: size}})
 }
 
 // Withdraw cancels the message of an identity. It is not sent again; its final answer
 // is still due.
-func (c *Core) Withdraw(identity string) { _ = c.put(event{drop: identity}) }
+func (c *Core) Withdraw(identity string) { _ = c.enqueue(event{withdrawn: identity}) }
 
 // Abandon cancels the message of an identity without a final answer. It does nothing
 // unless the current Reply of the message is by.
-func (c *Core) Abandon(identity string, by Reply) { _ = c.put(event{drop: identity, by: by}) }
+func (c *Core) Abandon(identity string, by Reply) { _ = c.enqueue(event{withdrawn: identity, by: by}) }
 
 // Settled reports that the client has received a refusal or failure, see
 // choice.Settings.Acknowledged.
 func (c *Core) Settled(identity string) {
-	_ = c.put(event{call: func() { c.settled(identity) }})
+	_ = c.enqueue(event{call: func() { c.clearUnsettled(identity) }})
 }
 
-func (c *Core) settled(identity string) {
-	if id, ok := c.owing[identity]; ok {
-		delete(c.owing, identity)
+// clearUnsettled tells the module that the refusal or failure of an identity was received.
+func (c *Core) clearUnsettled(identity string) {
+	if id, ok := c.unsettledIDs[identity]; ok {
+		delete(c.unsettledIDs, identity)
 		c.batch = append(c.batch, choice.Settled{ID: id})
 	}
 }
@@ -380,9 +384,9 @@
 // Park stops sending and keeps the messages held for a later run of the process.
 // idle is called once, when no attempt is in progress any more.
 func (c *Core) Park(idle func()) {
-	_ = c.put(event{call: func() {
+	_ = c.enqueue(event{call: func() {
 		c.batch = append(c.batch, choice.Stop{Keep: true})
-		c.idle, c.parked = idle, true
+		c.onIdle, c.parked = idle, true
 	}})
 }
 
@@ -390,7 +394,7 @@
 // in progress, and waits for it.
 func (c *Core) Inspect(ctx context.Context, f func(held, out int)) error {
 	done := make(chan struct{})
-	_ = c.put(event{call: func() { f(c.owed, len(c.outs)); close(done) }})
+	_ = c.enqueue(event{call: func() { f(c.unanswered, len(c.inFlight)); close(done) }})
 	select {
 	case <-done:
 		return nil
@@ -402,23 +406,25 @@
 // Sizes returns the sizes of the core's and the module's tables, by name.
 func (c *Core) Sizes(ctx context.Context) (all map[string]int, err error) {
 	err = c.Inspect(ctx, func(int, int) {
-		all = c.ch.Sizes()
-		all["messages"], all["identities"], all["outs"], all["noted"] = len(c.msgs), c.led.Len(), len(c.outs), len(c.noted)
-		all["owing"], all["doubts"], all["delivered"] = len(c.owing), len(c.doubts.steps), len(c.doubts.delivered)
-		all["endpoints"], all["timers"] = max(len(c.zones), len(c.kinds)), len(c.waits)
+		all = c.chooser.Sizes()
+		all["messages"], all["identities"], all["outs"], all["noted"] =
+			len(c.byID), c.identityLedger.Len(), len(c.inFlight), len(c.recordedHosts)
+		all["owing"], all["doubts"], all["delivered"] =
+			len(c.unsettledIDs), len(c.retractions.steps), len(c.retractions.delivered)
+		all["endpoints"], all["timers"] = max(len(c.zones), len(c.kinds)), len(c.timeouts)
 	})
 	return all, err
 }
 
-// A goroutine of its own stores a heartbeat every beat. If the last one is older than
-// stall, the whole process was suspended. The core then waits until the events of that
-// time have come in from the sockets: it checks the inbox every settle, rounds times
-// at most.
+// A goroutine of its own stores a heartbeat every heartbeatInterval. If the last one is older
+// than suspendThreshold, the whole process was suspended. The core then waits until the
+// events of that time have come in from the sockets: it checks the inbox every
+// settleInterval, settleRounds times at most.
 const (
-	beat   = 20 * time.Millisecond
-	stall  = 100 * time.Millisecond
-	settle = 10 * time.Millisecond
-	rounds = 20
+	heartbeatInterval = 20 * time.Millisecond
+	suspendThreshold  = 100 * time.Millisecond
+	settleInterval    = 10 * time.Millisecond
+	settleRounds      = 20
 )
 
 // Run processes events until ctx ends. It then rejects hand-ins, gives attempts in progress
@@ -426,10 +432,10 @@
 func (c *Core) Run(ctx context.Context, grace time.Duration) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	c.beat.Store(int64(c.Now()))
+	c.lastHeartbeat.Store(int64(c.Now()))
 	over := make(chan struct{})
 	defer close(over)
-	go c.pulse(over)
+	go c.runHeartbeat(over)
 	done := ctx.Done()
 	for {
 		sleep := time.Hour
@@ -447,16 +453,16 @@
 			c.mu.Lock()
 			c.stopping = true
 			c.mu.Unlock()
-			c.stopAt, c.draining = c.Now()+grace, true
-			c.lastAt = c.stopAt + grace
+			c.graceEnd, c.draining = c.Now()+grace, true
+			c.journalDeadline = c.graceEnd + grace
 		}
-		if c.Now()-time.Duration(c.beat.Load()) > stall {
-			c.settle()
+		if c.Now()-time.Duration(c.lastHeartbeat.Load()) > suspendThreshold {
+			c.awaitLateEvents()
 		}
 		c.now = c.Now()
-		c.work()
+		c.processInbox()
 		// A journal that has failed never reports that a record is on disk.
-		if c.draining && len(c.msgs) == 0 && (c.records.none() || c.now >= c.lastAt) {
+		if c.draining && len(c.byID) == 0 && (c.pendingSteps.empty() || c.now >= c.journalDeadline) {
 			return
 		}
 	}
@@ -466,29 +472,30 @@
 // of the next Step at the latest, below 0 for none.
 func (c *Core) Step() (next time.Duration) {
 	c.now = c.Now()
-	c.work()
+	c.processInbox()
 	return c.nextTime()
 }
 
-func (c *Core) pulse(over <-chan struct{}) {
-	tick := time.NewTicker(beat)
+// runHeartbeat stores a heartbeat every heartbeatInterval until over is closed.
+func (c *Core) runHeartbeat(over <-chan struct{}) {
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-over:
 			return
 		case <-tick.C:
-			c.beat.Store(int64(c.Now()))
+			c.lastHeartbeat.Store(int64(c.Now()))
 		}
 	}
 }
 
-// settle waits, after the process was suspended, until no events have come in for a while.
+// awaitLateEvents waits, after the process was suspended, until no events have come in for a while.
 // Responses in the kernel's buffers then reach the inbox before their time-outs are
 // checked, and count as in time.
-func (c *Core) settle() {
+func (c *Core) awaitLateEvents() {
 	seen := -1
-	for range rounds {
+	for range settleRounds {
 		c.mu.Lock()
 		n := len(c.inbox)
 		c.mu.Unlock()
@@ -496,80 +503,81 @@
 			return
 		}
 		seen = n
-		time.Sleep(settle)
+		time.Sleep(settleInterval)
 	}
 }
 
+// nextTime returns the time at which the inbox has to be processed at the latest; below 0 for none.
 func (c *Core) nextTime() time.Duration {
 	at := c.wakeAt
-	if len(c.waits) > 0 && (at < 0 || c.waits[0].end < at) {
-		at = c.waits[0].end
+	if len(c.timeouts) > 0 && (at < 0 || c.timeouts[0].timeoutAt < at) {
+		at = c.timeouts[0].timeoutAt
 	}
-	if c.stopAt >= 0 && (at < 0 || c.stopAt < at) {
-		at = c.stopAt
+	if c.graceEnd >= 0 && (at < 0 || c.graceEnd < at) {
+		at = c.graceEnd
 	}
-	if due := c.records.next(c); due >= 0 && (at < 0 || due < at) {
+	if due := c.pendingSteps.next(c); due >= 0 && (at < 0 || due < at) {
 		at = due
 	}
-	if due := c.doubts.next(); due >= 0 && (at < 0 || due < at) {
+	if due := c.retractions.next(); due >= 0 && (at < 0 || due < at) {
 		at = due
 	}
-	if c.draining && (at < 0 || c.lastAt < at) {
-		at = c.lastAt
+	if c.draining && (at < 0 || c.journalDeadline < at) {
+		at = c.journalDeadline
 	}
 	return at
 }
 
-// work processes the inbox and all timers that are due, and has the module decide on them
+// processInbox processes the inbox and all timers that are due, and has the module decide on them
 // in one step.
-func (c *Core) work() {
+func (c *Core) processInbox() {
 	c.mu.Lock()
 	events := c.inbox
-	c.inbox = c.spare[:0]
-	c.arrivals.Clear()
+	c.inbox = c.spareInbox[:0]
+	c.arrivals.ReleaseAll()
 	c.mu.Unlock()
 	c.batch = c.batch[:0]
 	recall := map[string]bool{}
 	for i := range events {
 		switch e := &events[i]; {
 		case e.ended != nil:
-			c.over(e.ended, e.ending)
+			c.endCall(e.ended, e.ending)
 			if e.ending.Wait > 0 {
-				c.hold(e.ended, recall)
+				c.addWaitingHosts(e.ended, recall)
 			}
 		case e.arrival != nil:
-			c.arrive(e.arrival, e.at)
+			c.handleArrival(e.arrival, e.at)
 		case e.listing != nil:
 			c.batch = append(c.batch, *e.listing)
-			c.listed(e.listing, recall)
-			c.remember(e.listing)
+			c.applyListing(e.listing, recall)
+			c.restoreHosts(e.listing)
 		case e.fleet != nil:
 			c.batch = append(c.batch, *e.fleet)
 			if t, ok := c.opt.Toll.(Sharer); ok {
 				t.Fleet(c.now, e.fleet.Size)
 			}
-		case e.drop != "":
-			c.withdraw(e.drop, e.by)
+		case e.withdrawn != "":
+			c.withdraw(e.withdrawn, e.by)
 		case e.call != nil:
 			e.call()
 		}
 		events[i] = event{}
 	}
-	c.spare = events
+	c.spareInbox = events
 	if len(recall) > 0 {
 		c.recall(recall)
 	}
-	c.confirmDue()
+	c.runDue()
 	// Time-outs come after the events, so that a response in the same batch counts.
-	for len(c.waits) > 0 && c.waits[0].end <= c.now {
-		c.abort(c.waits[0], choice.Timeout)
+	for len(c.timeouts) > 0 && c.timeouts[0].timeoutAt <= c.now {
+		c.abortCall(c.timeouts[0], choice.Timeout)
 	}
-	if c.stopAt >= 0 && c.now >= c.stopAt {
-		c.stopAt = -1
+	if c.graceEnd >= 0 && c.now >= c.graceEnd {
+		c.graceEnd = -1
 		c.batch = append(c.batch, choice.Stop{})
-		for a := range c.outs {
-			if a.lead == nil {
-				c.abort(a, choice.Cancelled)
+		for a := range c.inFlight {
+			if a.leader == nil {
+				c.abortCall(a, choice.Cancelled)
 			}
 		}
 	}
@@ -585,37 +593,39 @@
 	c.respondOverdue()
 	c.pauseSends()
 	for len(c.batch) > 0 {
-		c.carryOut(c.ch.Step(c.now, c.batch))
+		c.carryOut(c.chooser.Step(c.now, c.batch))
 		c.batch = c.batch[:0]
-		for _, id := range c.nows { // not sent in this step: withdrawn
-			if m := c.msgs[id]; m != nil && !m.answered {
+		for _, id := range c.immediate { // not sent in this step: withdrawn
+			if m := c.byID[id]; m != nil && !m.answered {
 				c.batch = append(c.batch, choice.Withdrawn{ID: id, Owed: true})
 			}
 		}
-		c.nows = c.nows[:0]
+		c.immediate = c.immediate[:0]
 		c.pauseSends()
 	}
-	for _, m := range c.fresh {
-		c.open[m] = true
-		c.durable(true, func() { // not before the record of the message is on disk
-			if c.open[m] {
-				delete(c.open, m)
+	for _, m := range c.newlyTaken {
+		c.undecided[m] = true
+		c.whenDurable(true, func() { // not before the record of the message is on disk
+			if c.undecided[m] {
+				delete(c.undecided, m)
 				m.Reply.(Decider).Decided()
 			}
 		}, m.seq)
 	}
-	clear(c.fresh)
-	c.fresh = c.fresh[:0]
-	c.releaseWritten()
-	c.tellOverdue()
-	if c.idle != nil && len(c.outs) == 0 {
-		c.idle()
-		c.idle = nil
+	clear(c.newlyTaken)
+	c.newlyTaken = c.newlyTaken[:0]
+	c.runWritten()
+	c.reportOverdue()
+	if c.onIdle != nil && len(c.inFlight) == 0 {
+		c.onIdle()
+		c.onIdle = nil
 	}
-	c.opt.Observer.Gauge(c.owed, len(c.waits), c.led.Len(), len(events))
+	c.opt.Observer.Gauge(c.unanswered, len(c.timeouts), c.identityLedger.Len(), len(events))
 }
 
-func (c *Core) arrive(in *Message, at time.Duration) {
+// handleArrival processes a hand-in that was made at a time: it rejects it, joins it to a message with
+// the same identity, or takes it as a new message.
+func (c *Core) handleArrival(in *Message, at time.Duration) {
 	k := &c.opt.Settings.Classes[in.Class]
 	if k.Effect == choice.Unsafe && in.Identity == "" {
 		in.Reply.Taken(ErrNoIdentity)
@@ -625,9 +635,9 @@
 		in.Reply.Taken(ErrStopping)
 		return
 	}
-	m := &message{Message: *in, taken: c.now, due: at + min(in.Left, k.Deadline)}
+	m := &message{Message: *in, takenAt: c.now, deadline: at + min(in.Left, k.Deadline)}
 	if in.Identity != "" {
-		if e := c.led.Find(c.now, in.Identity); e != nil {
+		if e := c.identityLedger.Find(c.now, in.Identity); e != nil {
 			if in.Once {
 				in.Reply.Taken(ErrKnown)
 				return
@@ -636,12 +646,12 @@
 				c.byEntry[e].Reply = in.Reply
 			}
 			a := e.Answer // of an ended message; otherwise it follows
-			c.durable(true, func() {
+			c.whenDurable(true, func() {
 				in.Reply.Taken(nil)
 				if a.Verdict != 0 {
 					in.Reply.Answer(a)
 				}
-			}, numberOf(e.ID))
+			}, seqOf(e.ID))
 			return
 		}
 	}
@@ -649,92 +659,96 @@
 		in.Reply.Taken(ErrJournal)
 		return
 	}
-	c.next++
-	m.seq, m.id = c.next, strconv.FormatUint(c.next, 36)
-	m.kept = c.opt.Journal != nil && in.Identity != ""
+	c.lastSeq++
+	m.seq, m.id = c.lastSeq, strconv.FormatUint(c.lastSeq, 36)
+	m.journaled = c.opt.Journal != nil && in.Identity != ""
 	if in.Identity != "" {
-		e, err := c.led.Open(c.now, in.Identity, m.id, k.Effect == choice.Safe)
+		e, err := c.identityLedger.Open(c.now, in.Identity, m.id, k.Effect == choice.Safe)
 		if err != nil {
 			in.Reply.Taken(err)
 			return
 		}
 		m.entry, c.byEntry[e] = e, m
 	}
-	m.life = lifecycle.Message{ID: m.Identity, Repeat: repeats[k.Effect], Window: k.Window, Due: m.due, Kept: m.kept}
+	m.state = lifecycle.Message{ID: m.Identity, Repeat: repeatPolicies[k.Effect], Window: k.Window, Due: m.deadline,
+		Kept: m.journaled}
 	if in.Respond > 0 {
-		m.life.RespondBy = at + in.Respond
+		m.state.RespondBy = at + in.Respond
 	}
-	c.msgs[m.id] = m
-	c.owed++
-	if m.kept {
+	c.byID[m.id] = m
+	c.unanswered++
+	if m.journaled {
 		c.opt.Journal.Taken(journal.Message{Seq: m.seq, Identity: m.Identity, Source: m.Source, Class: k.Name,
-			Partner: c.opt.Names.Partner(m.Partner), Key: m.Key, At: c.opt.Journal.Stamp(), Left: int64(m.due - c.now),
-			Head: m.Head, Body: m.Body, Front: m.Front, Way: m.Way})
+			Partner: c.opt.Names.Partner(m.Partner), Key: m.Key, At: c.opt.Journal.Stamp(),
+			Left: int64(m.deadline - c.now), Head: m.Head, Body: m.Body, Front: m.Front, Way: m.Way})
 	}
-	c.durable(m.kept, func() { in.Reply.Taken(nil) }, m.seq)
+	c.whenDurable(m.journaled, func() { in.Reply.Taken(nil) }, m.seq)
 	c.opt.Trace.Step(m.Identity, "taken", m.id)
 	c.opt.Observer.Taken(in.Class)
 	c.batch = append(c.batch, choice.Arrival{ID: m.id, Class: in.Class, Dest: in.Partner,
-		Left: m.due - c.now, Key: in.Key})
+		Left: m.deadline - c.now, Key: in.Key})
 	if _, ok := in.Reply.(Decider); ok {
-		c.fresh = append(c.fresh, m)
+		c.newlyTaken = append(c.newlyTaken, m)
 	}
 	if in.Now {
-		c.nows = append(c.nows, m.id)
+		c.immediate = append(c.immediate, m.id)
 	}
 }
 
 // answer decides the final answer of a message. It is recorded and passed to Reply once the
 // record is on disk.
 func (c *Core) answer(m *message, a ledger.Answer) {
-	if m.answered || !m.life.MayEnd(c.opt.Guard, a.Verdict == ledger.Refused) {
+	if m.answered || !m.state.MayEnd(c.opt.Guard, a.Verdict == ledger.Refused) {
 		return
 	}
 	m.answered = true
-	c.owed--
+	c.unanswered--
 	if m.entry != nil {
-		c.led.End(c.now, m.entry, a)
+		c.identityLedger.End(c.now, m.entry, a)
 		delete(c.byEntry, m.entry)
 	}
 	if c.opt.Settings.Acknowledged && (a.Verdict == ledger.Refused || a.Verdict == ledger.Failed) {
-		c.owing[m.Identity] = m.id
+		c.unsettledIDs[m.Identity] = m.id
 	}
-	if m.kept && !c.takeBack(m) {
+	if m.journaled && !c.takeBack(m) {
 		c.opt.Journal.Ended(journal.End{Seq: m.seq, Identity: m.Identity, Class: c.opt.Settings.Classes[m.Class].Name,
 			Verdict: uint8(a.Verdict), After: int64(a.After), At: c.opt.Journal.Stamp(), Front: m.Front, Way: m.Way})
 	}
 	tell := func() {
-		if m.told {
+		if m.answerSent {
 			return
 		}
-		m.told = true
-		delete(c.untold, m)
-		if m.life.MayTell(c.opt.Guard, c.now, c.recorded(m)) {
+		m.answerSent = true
+		delete(c.pendingAnswers, m)
+		if m.state.MayTell(c.opt.Guard, c.now, c.recorded(m)) {
 			c.opt.Trace.Step(m.Identity, "told", a.Verdict.String())
 			m.Reply.Answer(a)
 		}
 	}
 	c.opt.Trace.Step(m.Identity, "ended", a.Verdict.String())
 	if c.opt.Settings.Acknowledged {
-		c.untold[m] = tell
+		c.pendingAnswers[m] = tell
 	}
-	c.durable(m.kept, tell, m.seq)
-	c.opt.Observer.Answered(m.Class, a, c.now-m.taken)
-	c.forget(m)
+	c.whenDurable(m.journaled, tell, m.seq)
+	c.opt.Observer.Answered(m.Class, a, c.now-m.takenAt)
+	c.removeFinished(m)
 }
 
-// repeats maps the module's effects to those of lifecycle.
-var repeats = [...]lifecycle.Repeat{choice.Safe: lifecycle.Freely, choice.Keyed: lifecycle.InWindow, choice.Unsafe: lifecycle.Never}
+// repeatPolicies maps the module's effects to those of lifecycle.
+var repeatPolicies = [...]lifecycle.Repeat{choice.Safe: lifecycle.Freely, choice.Keyed: lifecycle.InWindow,
+	choice.Unsafe: lifecycle.Never}
 
-// forget removes a message that is answered and has no attempt in progress.
-func (c *Core) forget(m *message) {
-	if m.answered && m.out == nil {
-		delete(c.msgs, m.id)
+// removeFinished removes a message that is answered and has no attempt in progress.
+func (c *Core) removeFinished(m *message) {
+	if m.answered && m.current == nil {
+		delete(c.byID, m.id)
 	}
 }
 
+// withdraw cancels the message of an identity that is in progress. With by nil its final answer is
+// still due; otherwise the message is abandoned, provided that by is its current Reply.
 func (c *Core) withdraw(identity string, by Reply) {
-	e := c.led.Find(c.now, identity)
+	e := c.identityLedger.Find(c.now, identity)
 	if e == nil || e.Answer.Verdict != 0 {
 		return
 	}
@@ -750,54 +764,57 @@
 
 // carryOut executes the actions of the module, in their order.
 func (c *Core) carryOut(actions []choice.Action) {
-	sends := map[string][]*attempt{} // for hosts that accept several messages a call
+	groups := map[string][]*attempt{} // for hosts that accept several messages a call
 	for i, act := range actions {
 		switch act := act.(type) {
 		case choice.Send:
-			a := c.attempt(act)
-			most := c.kind(act.Host).PerCall
-			if most <= 1 {
+			a := c.newAttempt(act)
+			perCall := c.kind(act.Host).PerCall
+			if perCall <= 1 {
 				c.send(a)
 				continue
 			}
-			group := sends[act.Host]
-			if a != nil && !c.fits(group, a) {
+			group := groups[act.Host]
+			if a != nil && !c.fitsCall(group, a) {
 				c.sendGroup(group)
 				group = nil
 			}
 			if a != nil { // the rest of the group is sent even if its last message is gone
 				group = append(group, a)
 			}
-			if sends[act.Host] = group; len(group) >= most || !sentLater(actions[i+1:], act.Host) {
-				delete(sends, act.Host)
+			if groups[act.Host] = group; len(group) >= perCall || !anySendTo(actions[i+1:], act.Host) {
+				delete(groups, act.Host)
 				c.sendGroup(group)
 			}
 		case choice.Refuse:
-			if m := c.msgs[act.ID]; m != nil {
+			if m := c.byID[act.ID]; m != nil {
 				c.refuse(m, act.After)
 			}
 		case choice.Fail:
-			if m := c.msgs[act.ID]; m != nil {
+			if m := c.byID[act.ID]; m != nil {
 				c.answer(m, ledger.Answer{Verdict: ledger.Failed})
 			}
 		case choice.Cancel:
-			if m := c.msgs[act.ID]; m != nil && m.out != nil && m.out.n == act.Attempt {
-				a := m.out
-				if a.off = true; a.lead != nil {
-					a = a.lead
+			if m := c.byID[act.ID]; m != nil && m.current != nil && m.current.attemptNo == act.Attempt {
+				a := m.current
+				if a.cancelled = true; a.leader != nil {
+					a = a.leader
 				}
-				if slices.ContainsFunc(a.all(), func(b *attempt) bool { return !b.off && b.m.out == b }) {
+				if slices.ContainsFunc(a.members(), func(b *attempt) bool {
+					return !b.cancelled &&
+						b.msg.current == b
+				}) {
 					continue // other messages of this call are not cancelled
 				}
-				started, ok := a.sock.Abort()
+				started, ok := a.handle.Abort()
 				if !ok {
 					continue // the response came first
 				}
-				e := Ending{Outcome: choice.Cancelled, Took: c.now - a.sent}
+				e := Ending{Outcome: choice.Cancelled, Took: c.now - a.sentAt}
 				if !started {
 					e.Outcome = choice.NotSent
 				}
-				c.later(event{ended: a, ending: e})
+				c.enqueueOwn(event{ended: a, ending: e})
 			}
 		case choice.CloseIdle:
 			c.opt.Caller.CloseIdle(act.Host)
@@ -811,12 +828,12 @@
 	}
 }
 
-// later adds an event that the core itself raises; it is processed in the next batch.
-func (c *Core) later(e event) { _ = c.put(e) }
+// enqueueOwn adds an event that the core itself raises; it is processed in the next batch.
+func (c *Core) enqueueOwn(e event) { _ = c.enqueue(e) }
 
-// idem returns the idempotency key: the identity if there is one, so that a hand-in
+// idempotencyKey returns the idempotency key: the identity if there is one, so that a hand-in
 // at another relay carries the same key.
-func (m *message) idem() string {
+func (m *message) idempotencyKey() string {
 	if m.Identity != "" {
 		return m.Identity
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -58,8 +58,8 @@
 func (r *rig) Attempted(_ int, o choice.Outcome, _ time.Duration) {}
 func (r *rig) Log(text string)                                    { r.log = append(r.log, text) }
 func (r *rig) Gauge(int, int, int, int)                           {}
-func (r *rig) at(d time.Duration)                                 { r.now = d; r.work() }
-func (r *rig) hand(id string, class int, re *reply, left time.Duration) error {
+func (r *rig) at(d time.Duration)                                 { r.now = d; r.processInbox() }
+func (r *rig) handIn(id string, class int, re *reply, left time.Duration) error {
 	return r.Submit(&Message{Identity: id, Class: class, Partner: 0, Key: "k", Left: left, Reply: re})
 }
 
@@ -97,7 +97,7 @@
 func TestAnswerBeatsItsTimeOut(t *testing.T) {
 	r := newRig(t)
 	re := &reply{}
-	if err := r.hand("m", 1, re, 6*time.Second); err != nil {
+	if err := r.handIn("m", 1, re, 6*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	r.at(ms)
@@ -106,8 +106,8 @@
 	if len(re.answers) != 1 || re.answers[0].Verdict != ledger.Delivered || r.calls[0].aborted {
 		t.Fatalf("answers %v, aborted %v, want one delivered", re.answers, r.calls[0].aborted)
 	}
-	if len(r.waits) != 0 || len(r.msgs) != 0 {
-		t.Errorf("%d timers and %d messages left", len(r.waits), len(r.msgs))
+	if len(r.timeouts) != 0 || len(r.byID) != 0 {
+		t.Errorf("%d timers and %d messages left", len(r.timeouts), len(r.byID))
 	}
 }
 
@@ -116,7 +116,7 @@
 func TestTimeOutCrossesAnAnswer(t *testing.T) {
 	r := newRig(t)
 	re := &reply{}
-	_ = r.hand("m", 1, re, 6*time.Second)
+	_ = r.handIn("m", 1, re, 6*time.Second)
 	r.at(ms)
 	r.calls[0].ended = true // ended on the socket; the event is not in the inbox yet
 	r.at(10 * time.Second)
@@ -136,16 +136,16 @@
 func TestIdentities(t *testing.T) {
 	r := newRig(t)
 	none, one, two, three := &reply{}, &reply{}, &reply{}, &reply{}
-	_ = r.hand("", 1, none, time.Second)
-	_ = r.hand("m", 1, one, time.Second)
-	_ = r.hand("m", 1, two, time.Second)
+	_ = r.handIn("", 1, none, time.Second)
+	_ = r.handIn("m", 1, one, time.Second)
+	_ = r.handIn("m", 1, two, time.Second)
 	r.at(ms)
 	if len(none.taken) != 1 || !errors.Is(none.taken[0], ErrNoIdentity) {
 		t.Errorf("without identity: %v", none.taken)
 	}
 	r.calls[0].finish(choice.Reset, 0)
 	r.at(2 * ms)
-	_ = r.hand("m", 1, three, time.Second)
+	_ = r.handIn("m", 1, three, time.Second)
 	r.at(3 * ms)
 	if len(one.answers) != 0 || len(two.answers) != 1 || len(three.answers) != 1 || len(r.calls) != 1 {
 		t.Fatalf("answers %v %v %v, %d calls", one.answers, two.answers, three.answers, len(r.calls))
@@ -159,7 +159,7 @@
 func TestInboxIsFull(t *testing.T) {
 	r := newRig(t)
 	re := &reply{}
-	_ = r.hand("m", 0, re, 6*time.Second)
+	_ = r.handIn("m", 0, re, 6*time.Second)
 	r.at(ms)
 	for i := range 8 {
 		m := &Message{Source: string(rune('a' + i)), Left: time.Second, Reply: &reply{}}
@@ -167,7 +167,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := r.hand("z", 0, &reply{}, time.Second); !errors.Is(err, ErrBusy) {
+	if err := r.handIn("z", 0, &reply{}, time.Second); !errors.Is(err, ErrBusy) {
 		t.Fatalf("hand-in to a full inbox: %v, want ErrBusy", err)
 	}
 	r.calls[0].finish(choice.Served, 0)
@@ -175,7 +175,7 @@
 	if len(re.answers) != 1 {
 		t.Errorf("answers %v, want one: the outcome was lost", re.answers)
 	}
-	if err := r.hand("z", 0, &reply{}, time.Second); err != nil {
+	if err := r.handIn("z", 0, &reply{}, time.Second); err != nil {
 		t.Errorf("hand-in after the batch: %v", err)
 	}
 }
@@ -185,8 +185,8 @@
 func TestAttemptsAreRecalled(t *testing.T) {
 	for _, news := range []string{"drain", "wait"} {
 		r := newRig(t)
-		_ = r.hand("m", 0, &reply{}, 6*time.Second)
-		_ = r.hand("n", 0, &reply{}, 6*time.Second)
+		_ = r.handIn("m", 0, &reply{}, 6*time.Second)
+		_ = r.handIn("n", 0, &reply{}, 6*time.Second)
 		r.at(ms)
 		if len(r.calls) != 2 {
 			t.Fatalf("%d calls", len(r.calls))
@@ -209,7 +209,7 @@
 func TestComesAgainAfterARefusal(t *testing.T) {
 	r := newRig(t)
 	one, early, late := &reply{}, &reply{}, &reply{}
-	_ = r.hand("m", 1, one, 6*time.Second)
+	_ = r.handIn("m", 1, one, 6*time.Second)
 	r.at(ms)
 	r.calls[0].finish(choice.Refused, 3*time.Second)
 	r.at(2 * ms)
@@ -223,7 +223,7 @@
 		t.Fatalf("answer %v", a)
 	}
 	ended := r.now
-	_ = r.hand("m", 1, early, time.Second)
+	_ = r.handIn("m", 1, early, time.Second)
 	r.at(ended)
 	if len(early.answers) != 1 || early.answers[0] != a {
 		t.Errorf("repeat before the time: answers %v", early.answers)
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -23,7 +23,7 @@
 	attempts map[uint64]map[int]journal.Attempt
 	ends     map[string]journal.End
 	waits    map[string]journal.Wait
-	dead     bool
+	crashed  bool
 }
 
 func (d *disk) Stamp() journal.Stamp    { return journal.Stamp{Run: 1, Clock: int64(d.now())} }
@@ -51,7 +51,7 @@
 
 func (d *disk) Then(done func()) bool {
 	d.put(func(d *disk) {
-		if !d.dead { // a crashed process receives no calls
+		if !d.crashed { // a crashed process receives no calls
 			done()
 		}
 	})
@@ -69,7 +69,8 @@
 
 func (d *disk) kept() *journal.Kept {
 	now := journal.Run{Number: 1, Boot: "x", Clock: int64(d.now())}
-	k := &journal.Kept{Runs: map[uint32]journal.Run{1: {Number: 1, Boot: "x"}}, Now: now, Attempts: map[uint64][]journal.Attempt{}}
+	k := &journal.Kept{Runs: map[uint32]journal.Run{1: {Number: 1, Boot: "x"}}, Now: now,
+		Attempts: map[uint64][]journal.Attempt{}}
 	for seq, m := range d.messages {
 		k.Messages = append(k.Messages, m)
 		k.Last = max(k.Last, seq)
@@ -98,9 +99,9 @@
 	taken   bool
 	answers []ledger.Verdict
 	ran     int // number of times that it took effect
-	again   int // number of calls after it may have run
+	resent  int // number of calls after it may have run
 	served  bool
-	boot    int // run of the last hand-in
+	run     int // run of the last hand-in
 }
 
 func (i *item) Taken(err error) {
@@ -111,7 +112,8 @@
 func (i *item) Answer(a ledger.Answer) { i.answers = append(i.answers, a.Verdict) }
 
 var crashClasses = []choice.Class{{Name: "status", Aim: time.Second, Deadline: 6 * time.Second, Worth: 1},
-	{Name: "order", Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: choice.Keyed, Window: 10 * time.Second},
+	{Name: "order", Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: choice.Keyed,
+		Window: 10 * time.Second},
 	{Name: "charge", Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: choice.Unsafe, Ordered: true}}
 
 // Guards against second effects, lost messages and wrong answers after crashes, for arbitrary
@@ -122,7 +124,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
 		d := &disk{now: func() time.Duration { return now }, messages: map[uint64]journal.Message{},
-			attempts: map[uint64]map[int]journal.Attempt{}, ends: map[string]journal.End{}, waits: map[string]journal.Wait{}}
+			attempts: map[uint64]map[int]journal.Attempt{}, ends: map[string]journal.End{},
+			waits: map[string]journal.Wait{}}
 		items := map[string]*item{}
 		var list []*item
 		var r *rig
@@ -134,22 +137,25 @@
 			seen = 0
 			c, err := New(Options{Seed: 1, Arrivals: 100, Identities: 100, Keep: time.Hour, Caller: r, Observer: r,
 				Clock: d.now, Journal: d, Names: Names{func(int) string { return "p" }, []string{"z"}},
-				Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, Certain: true,
-					ReportLimit: -1, MaxRetryAfter: time.Second, Classes: crashClasses, Kinds: []choice.Kind{{PerCall: 1}},
+				Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms,
+					Cancels: true, Certain: true, ReportLimit: -1, MaxRetryAfter: time.Second,
+					Classes: crashClasses, Kinds: []choice.Kind{{PerCall: 1}},
 					Rules: choice.Rules{Fall: time.Second, Cold: 2 * time.Second, ColdFrom: 0.2, OverloadFactor: 2}}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			r.Core = c
 			plan := recover.Decide(d.kept(), map[string]recover.Class{"status": {Deadline: 6 * time.Second},
-				"order": {Deadline: 6 * time.Second, Keep: true}, "charge": {Deadline: 6 * time.Second, Keep: true}}, map[string]bool{"p": true}, time.Hour, 2*time.Second)
+				"order": {Deadline: 6 * time.Second, Keep: true}, "charge": {Deadline: 6 * time.Second,
+					Keep: true}}, map[string]bool{"p": true}, time.Hour, 2*time.Second)
 			var messages []Restored
 			var ended []Ended
 			var waits []choice.Waited
 			for _, m := range plan.Messages {
 				class := map[string]int{"status": 0, "order": 1, "charge": 2}[m.Class]
 				items[m.Identity].taken = true // a front tells a client that comes again itself
-				messages = append(messages, Restored{Message: Message{Identity: m.Identity, Class: class, Key: m.Key, Left: m.Left, Body: m.Body,
+				messages = append(messages, Restored{Message: Message{Identity: m.Identity, Class: class, Key: m.Key,
+					Left: m.Left, Body: m.Body,
 					Reply: items[m.Identity]}, Seq: m.Seq, Attempts: m.Attempts, Ran: m.Ran, Since: m.Since})
 			}
 			for _, e := range plan.Ends {
@@ -161,7 +167,8 @@
 				waits = append(waits, choice.Waited{Host: w.Host, Left: w.Left, Failing: w.Failing})
 			}
 			r.Restore(messages, ended, waits, d.kept().Last)
-			r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "h1", State: choice.Ready}, {Addr: "h2", State: choice.Ready}}})
+			r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "h1", State: choice.Ready},
+				{Addr: "h2", State: choice.Ready}}})
 			r.Step()
 		}
 		boot()
@@ -170,7 +177,7 @@
 				c := r.calls[seen]
 				i := list[int(c.Body[0])]
 				if i.class == 2 && i.ran > 0 {
-					i.again++
+					i.resent++
 				}
 				c.started = true
 				if rapid.IntRange(0, 3).Draw(t, "runs") > 0 {
@@ -191,23 +198,26 @@
 			case ran:
 				c.finish([]choice.Outcome{choice.Error, choice.Reset}[o-2], 0)
 			default:
-				c.finish([]choice.Outcome{choice.Refused, choice.NoConnection, choice.Error, choice.Reset}[o], time.Duration(o)*500*ms)
+				c.finish([]choice.Outcome{choice.Refused, choice.NoConnection, choice.Error, choice.Reset}[o],
+					time.Duration(o)*500*ms)
 			}
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1:
 				if len(list) < 12 {
-					i := &item{id: fmt.Sprint("i", len(list)), class: rapid.IntRange(0, 2).Draw(t, "class"), boot: boots}
+					i := &item{id: fmt.Sprint("i", len(list)), class: rapid.IntRange(0, 2).Draw(t, "class"),
+						run: boots}
 					items[i.id], list = i, append(list, i)
 					_ = r.Submit(&Message{Source: "c", Identity: i.id, Class: i.class, Key: "k", Left: 6 * time.Second,
 						Body: []byte{byte(len(list) - 1)}, Reply: i})
 				}
 			case 2: // a client without an answer hands in again
 				for n, i := range list {
-					if !i.taken && len(i.answers) == 0 && i.boot < boots { // its connection was lost in the crash
-						i.boot = boots
-						_ = r.Submit(&Message{Source: "c", Identity: i.id, Class: i.class, Key: "k", Left: 6 * time.Second, Body: []byte{byte(n)}, Reply: i})
+					if !i.taken && len(i.answers) == 0 && i.run < boots { // its connection was lost in the crash
+						i.run = boots
+						_ = r.Submit(&Message{Source: "c", Identity: i.id, Class: i.class, Key: "k",
+							Left: 6 * time.Second, Body: []byte{byte(n)}, Reply: i})
 					}
 				}
 			case 3, 4:
@@ -219,9 +229,9 @@
 			case 7, 8:
 				now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * ms
 			case 9:
-				d.dead = true
+				d.crashed = true
 				d.sync(rapid.IntRange(0, len(d.pending)).Draw(t, "left"))
-				d.pending, d.dead = nil, false
+				d.pending, d.crashed = nil, false
 				now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "away")) * ms
 				boot()
 			}
@@ -243,8 +253,9 @@
 			}
 		}
 		for _, i := range list {
-			if i.class == 2 && (i.ran > 1 || i.again > 0) {
-				t.Fatalf("%s: a charge ran %d times, and was sent %d times after it may have run", i.id, i.ran, i.again)
+			if i.class == 2 && (i.ran > 1 || i.resent > 0) {
+				t.Fatalf("%s: a charge ran %d times, and was sent %d times after it may have run", i.id, i.ran,
+					i.resent)
 			}
 			if i.taken && len(i.answers) == 0 {
 				t.Fatalf("%s was taken but not answered", i.id)
@@ -267,12 +278,14 @@
 func TestRecordOfWaits(t *testing.T) {
 	now := time.Duration(0)
 	d := &disk{now: func() time.Duration { return now }, messages: map[uint64]journal.Message{},
-		attempts: map[uint64]map[int]journal.Attempt{}, ends: map[string]journal.End{}, waits: map[string]journal.Wait{}}
+		attempts: map[uint64]map[int]journal.Attempt{}, ends: map[string]journal.End{},
+		waits: map[string]journal.Wait{}}
 	r := &rig{}
 	c, err := New(Options{Seed: 1, Arrivals: 100, Identities: 100, Keep: time.Hour, Caller: r, Observer: r,
 		Clock: d.now, Journal: d, Names: Names{func(int) string { return "p" }, []string{"z"}},
-		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Certain: true, ReportLimit: -1,
-			Classes: crashClasses, Kinds: []choice.Kind{{PerCall: 1}},
+		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Certain: true,
+			ReportLimit: -1,
+			Classes:     crashClasses, Kinds: []choice.Kind{{PerCall: 1}},
 			Rules: choice.Rules{Fall: time.Second, Cold: 2 * time.Second, ColdFrom: 0.2, OverloadFactor: 2}}})
 	if err != nil {
 		t.Fatal(err)
@@ -297,18 +310,18 @@
 		t.Errorf("%+v", w)
 	}
 	list(choice.Gone)
-	if len(c.noted) != 1 || len(c.zones) != 0 {
-		t.Errorf("endpoint gone within its wait: noted %v, zones %v", c.noted, c.zones)
+	if len(c.recordedHosts) != 1 || len(c.zones) != 0 {
+		t.Errorf("endpoint gone within its wait: noted %v, zones %v", c.recordedHosts, c.zones)
 	}
 	now += 10 * time.Second
 	list(choice.Gone)
 	d.sync(len(d.pending))
-	if len(c.noted) != 0 || d.waits["h"].Left != 0 || d.waits["h"].Failing {
-		t.Errorf("endpoint gone after its wait: noted %v, recorded %v", c.noted, d.waits)
+	if len(c.recordedHosts) != 0 || d.waits["h"].Left != 0 || d.waits["h"].Failing {
+		t.Errorf("endpoint gone after its wait: noted %v, recorded %v", c.recordedHosts, d.waits)
 	}
 	end := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
-	c.clock = func() time.Duration { return time.Since(begun) }
+	c.clock = func() time.Duration { return time.Since(clockEpoch) }
 	_ = r.Submit(&Message{Source: "c", Identity: "late", Left: time.Second, Reply: &item{}})
 	go func() { c.Run(ctx, 20*ms); close(end) }()
 	cancel()
@@ -319,5 +332,5 @@
 	}
 }
 
-// begun is the epoch of the clock while Run works.
-var begun = time.Now().Add(-time.Hour)
+// clockEpoch is the epoch of the clock while Run works.
+var clockEpoch = time.Now().Add(-time.Hour)
--- a/internal/core/doubt.go
+++ b/internal/core/doubt.go
@@ -10,30 +10,30 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// mostDelivered is the number of messages remembered that were delivered by an unconfirmed
+// maxDelivered is the number of messages remembered that were delivered by an unconfirmed
 // response. Beyond it responses count as confirmed.
-const mostDelivered = 4096
+const maxDelivered = 4096
 
-// doubts tracks outcomes that are not confirmed: the response may prove to belong to another call
+// retractions tracks outcomes that are not confirmed: the response may prove to belong to another call
 // of the same connection. It holds the steps that wait until outcomes are confirmed, and the
 // messages delivered by such outcomes.
-type doubts struct {
-	steps     confirmations
-	number    uint64                   // number of the last step
-	delivered map[string]delivered     // by id of the message
-	oldest    []string                 // ids in delivered, the oldest first
-	keys      map[orderKey]confirmedBy // keys whose next message is not sent until then
+type retractions struct {
+	steps          delayedSteps
+	lastNumber     uint64                        // number of the last step
+	delivered      map[string]delivered          // by id of the message
+	deliveredOrder []string                      // ids in delivered, the oldest first
+	heldKeys       map[orderKey]confirmationTime // keys whose next message is not sent until then
 }
 
-// confirmation is a step that is due once an outcome is confirmed.
-type confirmation struct {
+// delayedStep is a step that is due once an outcome is confirmed.
+type delayedStep struct {
 	at     time.Duration
 	number uint64
 	do     func()
 }
 
-// confirmedBy is the time from which an outcome is confirmed.
-type confirmedBy = time.Duration
+// confirmationTime is the time from which an outcome is confirmed.
+type confirmationTime = time.Duration
 
 // orderKey is an ordering key at a partner.
 type orderKey struct {
@@ -43,56 +43,56 @@
 
 // delivered is a message that has ended by an unconfirmed outcome.
 type delivered struct {
-	until time.Duration // the outcome cannot be retracted later
-	n     int           // number of the attempt
-	end   journal.End   // to be recorded if the outcome is retracted
-	kept  bool          // the message is in the journal
+	retractableUntil time.Duration // the outcome cannot be retracted later
+	attemptNo        int           // number of the attempt
+	end              journal.End   // to be recorded if the outcome is retracted
+	journaled        bool          // the message is in the journal
 }
 
-// attempted identifies an attempt without holding on to its message.
-type attempted struct {
-	id   string
-	n    int
-	sent time.Duration
+// attemptRef identifies an attempt without holding on to its message.
+type attemptRef struct {
+	id        string
+	attemptNo int
+	sentAt    time.Duration
 }
 
-// doubter returns the function that retracts the outcome of a call. The function holds no reference
+// retractor returns the function that retracts the outcome of a call. The function holds no reference
 // to the messages.
-func (c *Core) doubter(a *attempt) func() {
-	var all []attempted
-	for _, b := range a.all() {
-		all = append(all, attempted{b.m.id, b.n, a.sent})
+func (c *Core) retractor(a *attempt) func() {
+	var all []attemptRef
+	for _, b := range a.members() {
+		all = append(all, attemptRef{b.msg.id, b.attemptNo, a.sentAt})
 	}
 	return func() {
-		_ = c.put(event{call: func() {
+		_ = c.enqueue(event{call: func() {
 			for _, b := range all {
-				c.doubt(b)
+				c.retract(b)
 			}
 		}})
 	}
 }
 
-// unconfirmed processes an outcome that is not confirmed. Until it is, the message is not sent again,
+// handleUnconfirmed processes an outcome that is not confirmed. Until it is, the message is not sent again,
 // and not refused if it must not be repeated. The next message of its key is not sent either, unless
 // this one was served: keys with frequent messages would otherwise wait after every response.
-func (c *Core) unconfirmed(a *attempt, e Ending, served bool) {
-	m := a.m
+func (c *Core) handleUnconfirmed(a *attempt, e Ending, served bool) {
+	m := a.msg
 	until := c.now + e.Unconfirmed
 	c.opt.Trace.Step(m.Identity, "unconfirmed", e.Unconfirmed.String())
-	if nextWaits := m.life.Unconfirmed(until, served); nextWaits && c.ordered(m) {
+	if nextWaits := m.state.Unconfirmed(until, served); nextWaits && c.ordered(m) {
 		key := orderKey{m.Partner, m.Key}
-		if c.doubts.keys == nil {
-			c.doubts.keys = map[orderKey]confirmedBy{}
+		if c.retractions.heldKeys == nil {
+			c.retractions.heldKeys = map[orderKey]confirmationTime{}
 		}
-		c.doubts.keys[key] = max(c.doubts.keys[key], until)
-		c.confirm(until, func() {
-			if c.doubts.keys[key] <= c.now {
-				delete(c.doubts.keys, key)
+		c.retractions.heldKeys[key] = max(c.retractions.heldKeys[key], until)
+		c.schedule(until, func() {
+			if c.retractions.heldKeys[key] <= c.now {
+				delete(c.retractions.heldKeys, key)
 			}
 		})
 	}
 	if served || e.Over {
-		c.keepDelivered(m, a.n)
+		c.rememberDelivered(m, a.attemptNo)
 	}
 }
 
@@ -101,121 +101,122 @@
 	return m.Key != "" && c.opt.Settings.Classes[m.Class].Ordered
 }
 
-// keepDelivered remembers a delivered message, to end it as failed if its outcome is retracted.
-func (c *Core) keepDelivered(m *message, n int) {
-	d := &c.doubts
-	if len(d.oldest) >= mostDelivered {
+// rememberDelivered remembers a delivered message, to end it as failed if its outcome is retracted.
+func (c *Core) rememberDelivered(m *message, n int) {
+	d := &c.retractions
+	if len(d.deliveredOrder) >= maxDelivered {
 		return
 	}
 	if d.delivered == nil {
 		d.delivered = map[string]delivered{}
 	}
-	d.oldest = append(d.oldest, m.id)
-	d.delivered[m.id] = delivered{until: min(m.due, c.now+lifecycle.LongestDoubt), n: n, kept: m.kept, end: journal.End{Seq: m.seq, Identity: m.Identity,
-		Class: c.opt.Settings.Classes[m.Class].Name, Verdict: uint8(ledger.Failed), Front: m.Front, Way: m.Way}}
+	d.deliveredOrder = append(d.deliveredOrder, m.id)
+	d.delivered[m.id] = delivered{retractableUntil: min(m.deadline, c.now+lifecycle.LongestDoubt), attemptNo: n,
+		journaled: m.journaled, end: journal.End{Seq: m.seq, Identity: m.Identity,
+			Class: c.opt.Settings.Classes[m.Class].Name, Verdict: uint8(ledger.Failed), Front: m.Front, Way: m.Way}}
 }
 
-// confirm schedules a step for a time.
-func (c *Core) confirm(at time.Duration, do func()) {
-	c.doubts.number++
-	heap.Push(&c.doubts.steps, confirmation{at, c.doubts.number, do})
+// schedule adds a step that runDue runs at a time.
+func (c *Core) schedule(at time.Duration, do func()) {
+	c.retractions.lastNumber++
+	heap.Push(&c.retractions.steps, delayedStep{at, c.retractions.lastNumber, do})
 }
 
 // next returns the time of the next step or expiry; below 0 for none.
-func (d *doubts) next() time.Duration {
+func (d *retractions) next() time.Duration {
 	at := time.Duration(-1)
 	if len(d.steps) > 0 {
 		at = d.steps[0].at
 	}
-	if len(d.oldest) > 0 {
-		if until := d.delivered[d.oldest[0]].until; at < 0 || until < at {
+	if len(d.deliveredOrder) > 0 {
+		if until := d.delivered[d.deliveredOrder[0]].retractableUntil; at < 0 || until < at {
 			at = until
 		}
 	}
 	return at
 }
 
-// confirmDue runs the steps that are due, in their order, and removes delivered messages whose outcome
+// runDue runs the steps that are due, in their order, and removes delivered messages whose outcome
 // cannot be retracted any more.
-func (c *Core) confirmDue() {
-	d := &c.doubts
+func (c *Core) runDue() {
+	d := &c.retractions
 	for len(d.steps) > 0 && d.steps[0].at <= c.now {
-		heap.Pop(&d.steps).(confirmation).do()
+		heap.Pop(&d.steps).(delayedStep).do()
 	}
-	for len(d.oldest) > 0 && d.delivered[d.oldest[0]].until <= c.now {
-		delete(d.delivered, d.oldest[0])
-		d.oldest = d.oldest[1:]
+	for len(d.deliveredOrder) > 0 && d.delivered[d.deliveredOrder[0]].retractableUntil <= c.now {
+		delete(d.delivered, d.deliveredOrder[0])
+		d.deliveredOrder = d.deliveredOrder[1:]
 	}
 }
 
-// confirmations is a heap of steps, ordered by time; steps of the same time run in the order of scheduling.
-type confirmations []confirmation
+// delayedSteps is a heap of steps, ordered by time; steps of the same time run in the order of scheduling.
+type delayedSteps []delayedStep
 
-func (s confirmations) Len() int      { return len(s) }
-func (s confirmations) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s confirmations) Less(i, j int) bool {
+func (s delayedSteps) Len() int      { return len(s) }
+func (s delayedSteps) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s delayedSteps) Less(i, j int) bool {
 	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].number < s[j].number
 }
-func (s *confirmations) Push(x any) { *s = append(*s, x.(confirmation)) }
-func (s *confirmations) Pop() any {
+func (s *delayedSteps) Push(x any) { *s = append(*s, x.(delayedStep)) }
+func (s *delayedSteps) Pop() any {
 	old := *s
 	x := old[len(old)-1]
-	old[len(old)-1] = confirmation{}
+	old[len(old)-1] = delayedStep{}
 	*s = old[:len(old)-1]
 	return x
 }
 
-// doubt retracts the outcome of an attempt, since the response belonged to another call. A message
+// retract retracts the outcome of an attempt, since the response belonged to another call. A message
 // delivered by it is reported as failed: a notice for a message that has ended does no harm. A
 // message refused by it may have run.
-func (c *Core) doubt(b attempted) {
-	m := c.msgs[b.id]
+func (c *Core) retract(b attemptRef) {
+	m := c.byID[b.id]
 	switch {
 	case m == nil || m.answered:
-		c.undeliver(b)
-	case m.out != nil && m.out.n == b.n:
-		m.out.doubted = true
+		c.retractDelivered(b)
+	case m.current != nil && m.current.attemptNo == b.attemptNo:
+		m.current.retracted = true
 	default:
-		c.mayHaveRun(m, b.sent)
+		c.markMayHaveRun(m, b.sentAt)
 	}
 }
 
-// undeliver ends a delivered message as failed, once that is recorded.
-func (c *Core) undeliver(b attempted) {
-	x, known := c.doubts.delivered[b.id]
-	if !known || x.n != b.n || c.now > x.until || c.opt.Undelivered == nil {
+// retractDelivered ends a delivered message as failed, once that is recorded.
+func (c *Core) retractDelivered(b attemptRef) {
+	x, known := c.retractions.delivered[b.id]
+	if !known || x.attemptNo != b.attemptNo || c.now > x.retractableUntil || c.opt.Undelivered == nil {
 		return
 	}
-	delete(c.doubts.delivered, b.id)
+	delete(c.retractions.delivered, b.id)
 	c.opt.Trace.Step(x.end.Identity, "ended", ledger.Failed.String())
-	told := false
-	tell := func() {
-		if !told {
-			told = true
+	reported := false
+	report := func() {
+		if !reported {
+			reported = true
 			c.opt.Undelivered(x.end.Identity)
 		}
 	}
-	if x.kept {
+	if x.journaled {
 		x.end.At = c.opt.Journal.Stamp()
 		c.opt.Journal.Ended(x.end)
 	}
-	c.durable(x.kept, tell, x.end.Seq) // otherwise a later process might send it after the report
-	if !told {
-		c.confirm(x.until, tell)
+	c.whenDurable(x.journaled, report, x.end.Seq) // otherwise a later process might send it after the report
+	if !reported {
+		c.schedule(x.retractableUntil, report)
 	}
 }
 
-// mayHaveRun marks a message as possibly run although its call, sent at a time, was refused. If a
+// markMayHaveRun marks a message as possibly run although its call, sent at a time, was refused. If a
 // repeat would do harm, a further call that waits for the confirmation of the refusal is ended.
-func (c *Core) mayHaveRun(m *message, sent time.Duration) {
-	m.life.Doubt(sent)
-	if a := m.out; a != nil && m.life.Repeat == lifecycle.Never {
+func (c *Core) markMayHaveRun(m *message, sent time.Duration) {
+	m.state.Doubt(sent)
+	if a := m.current; a != nil && m.state.Repeat == lifecycle.Never {
 		lead := a
-		if a.lead != nil {
-			lead = a.lead
+		if a.leader != nil {
+			lead = a.leader
 		}
-		if !lead.begun() && lead.sock.Recall() {
-			c.over(lead, Ending{Outcome: choice.NotSent, Took: c.now - lead.sent})
+		if !lead.dispatched() && lead.handle.Recall() {
+			c.endCall(lead, Ending{Outcome: choice.NotSent, Took: c.now - lead.sentAt})
 		}
 	}
 	c.batch = append(c.batch, choice.Retracted{ID: m.id, Since: c.now - sent})
@@ -226,11 +227,11 @@
 func (c *Core) refuse(m *message, after time.Duration) {
 	now := c.now
 	if c.draining {
-		now = max(now, m.life.ConfirmedBy())
+		now = max(now, m.state.ConfirmedBy())
 	}
-	switch m.life.Refusal(now) {
+	switch m.state.Refusal(now) {
 	case lifecycle.RefuseLater:
-		c.confirm(m.life.ConfirmedBy(), func() { c.refuse(m, after) })
+		c.schedule(m.state.ConfirmedBy(), func() { c.refuse(m, after) })
 	case lifecycle.FailInstead:
 		c.answer(m, ledger.Answer{Verdict: ledger.Failed})
 	case lifecycle.RefuseNow:
@@ -240,38 +241,38 @@
 
 // confirmedBy returns the time from which all outcomes are confirmed that a call relies on.
 func (c *Core) confirmedBy(a *attempt) (at time.Duration) {
-	for _, b := range a.all() {
-		at = max(at, b.m.life.ConfirmedBy())
-		if c.ordered(b.m) {
-			at = max(at, c.doubts.keys[orderKey{b.m.Partner, b.m.Key}])
+	for _, b := range a.members() {
+		at = max(at, b.msg.state.ConfirmedBy())
+		if c.ordered(b.msg) {
+			at = max(at, c.retractions.heldKeys[orderKey{b.msg.Partner, b.msg.Key}])
 		}
 	}
 	return at
 }
 
-// delay sends a call at a later time. Until then it can be aborted like a call that waits for its
+// delayCall sends a call at a later time. Until then it can be aborted like a call that waits for its
 // records.
-func (c *Core) delay(a *attempt, until time.Duration) {
-	timeout := a.end - a.sent
-	gate := &gated{}
-	a.gate, a.sock = gate, gate
-	a.end = c.now + c.left(a)
-	heap.Push(&c.waits, a)
-	c.confirm(until, func() {
-		if gate.off {
+func (c *Core) delayCall(a *attempt, until time.Duration) {
+	timeout := a.timeoutAt - a.sentAt
+	gate := &delayedCall{}
+	a.gate, a.handle = gate, gate
+	a.timeoutAt = c.now + c.timeLeft(a)
+	heap.Push(&c.timeouts, a)
+	c.schedule(until, func() {
+		if gate.cancelled {
 			return
 		}
-		if a.place >= 0 {
-			heap.Remove(&c.waits, a.place)
+		if a.heapIndex >= 0 {
+			heap.Remove(&c.timeouts, a.heapIndex)
 		}
-		a.gate, a.sock = nil, nil
-		if by := a.latest(); c.parked || c.left(a) <= 0 || by > 0 && c.now >= by {
-			gate.off = true
-			a.sock, a.gate = gate, gate
-			c.later(event{ended: a, ending: Ending{Outcome: choice.NotSent, Took: c.now - a.sent}})
+		a.gate, a.handle = nil, nil
+		if by := a.writeDeadline(); c.parked || c.timeLeft(a) <= 0 || by > 0 && c.now >= by {
+			gate.cancelled = true
+			a.handle, a.gate = gate, gate
+			c.enqueueOwn(event{ended: a, ending: Ending{Outcome: choice.NotSent, Took: c.now - a.sentAt}})
 			return
 		}
-		a.sent, a.end = c.now, c.now+timeout
+		a.sentAt, a.timeoutAt = c.now, c.now+timeout
 		c.sendNow(a)
 	})
 }
@@ -279,11 +280,11 @@
 // Waits reports a wait that an endpoint asked for in a response without a request. It may be the response
 // to a call that ended before, so the wait counts like any other.
 func (c *Core) Waits(host string, partner int, wait time.Duration) {
-	_ = c.put(event{call: func() {
+	_ = c.enqueue(event{call: func() {
 		c.batch = append(c.batch, choice.Waited{Host: host, Left: wait})
 		hosts := map[string]bool{host: true}
 		if !c.kind(host).Apart {
-			for a := range c.outs {
+			for a := range c.inFlight {
 				hosts[a.host] = hosts[a.host] || a.partner == partner
 			}
 		}
--- a/internal/core/doubt_test.go
+++ b/internal/core/doubt_test.go
@@ -8,17 +8,17 @@
 	"basaltcross.example/basaltcross/choice"
 )
 
-// answer ends a call with a response that is unconfirmed for 100 ms.
-func (f *fakeCall) answer(o choice.Outcome) {
+// finishUnconfirmed ends a call with a response that is unconfirmed for 100 ms.
+func (f *fakeCall) finishUnconfirmed(o choice.Outcome) {
 	f.ended = true
 	f.End(Ending{Outcome: o, Took: 20 * ms, Unconfirmed: 100 * ms, Unsettled: 100 * ms})
 }
 
-// handed returns a rig with a message that was handed in and sent.
-func handed(t *testing.T, class int) (*rig, *reply) {
+// sentMessage returns a rig with a message that was handed in and sent.
+func sentMessage(t *testing.T, class int) (*rig, *reply) {
 	t.Helper()
 	r, re := newRig(t), &reply{}
-	if err := r.hand("m", class, re, 6*time.Second); err != nil {
+	if err := r.handIn("m", class, re, 6*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	r.at(ms)
@@ -33,8 +33,8 @@
 // Guards against a second effect: a message is sent again at once because of a refusal that belongs to another
 // call.
 func TestRefusedMessageIsSentAgainOnceItsAnswerIsConfirmed(t *testing.T) {
-	r, re := handed(t, unsafeClass)
-	r.calls[0].answer(choice.Refused)
+	r, re := sentMessage(t, unsafeClass)
+	r.calls[0].finishUnconfirmed(choice.Refused)
 	for at := 2 * ms; at < 100*ms; at += ms {
 		if r.at(at); len(r.calls) > 1 || len(re.answers) > 0 {
 			t.Fatalf("at %s: %d calls, answers %v", at, len(r.calls), re.answers)
@@ -46,12 +46,13 @@
 	if len(r.calls) != 2 {
 		t.Fatal("not sent again after the refusal is confirmed")
 	}
-	if r.calls[1].finish(choice.Served, 0); len(r.waits) != 1 {
-		t.Errorf("%d time-outs", len(r.waits))
+	if r.calls[1].finish(choice.Served, 0); len(r.timeouts) != 1 {
+		t.Errorf("%d time-outs", len(r.timeouts))
 	}
 	r.at(5 * time.Second)
-	if verdicts([]*reply{re}) != "delivered " || len(r.msgs)+len(r.waits)+len(r.doubts.steps) != 0 {
-		t.Errorf("answers %v, %d messages, %d time-outs, %d steps left", re.answers, len(r.msgs), len(r.waits), len(r.doubts.steps))
+	if verdicts([]*reply{re}) != "delivered " || len(r.byID)+len(r.timeouts)+len(r.retractions.steps) != 0 {
+		t.Errorf("answers %v, %d messages, %d time-outs, %d steps left", re.answers, len(r.byID), len(r.timeouts),
+			len(r.retractions.steps))
 	}
 }
 
@@ -59,8 +60,8 @@
 // to another call.
 func TestMessageWhoseRefusalWasAnothersIsNotSentAgain(t *testing.T) {
 	for _, at := range []time.Duration{2 * ms, 50 * ms} { // together with the response, and while the next call waits
-		r, re := handed(t, unsafeClass)
-		r.calls[0].answer(choice.Refused)
+		r, re := sentMessage(t, unsafeClass)
+		r.calls[0].finishUnconfirmed(choice.Refused)
 		if at > 2*ms {
 			r.at(2 * ms)
 		}
@@ -78,10 +79,10 @@
 // call.
 func TestMessageWhoseDeliveryWasAnothersIsToldAsFailed(t *testing.T) {
 	for _, class := range []int{0, unsafeClass} {
-		r, re := handed(t, class)
+		r, re := sentMessage(t, class)
 		var told []string
 		r.opt.Undelivered = func(identity string) { told = append(told, identity) }
-		r.calls[0].answer(choice.Served)
+		r.calls[0].finishUnconfirmed(choice.Served)
 		r.at(2 * ms)
 		r.calls[0].Doubted()
 		r.calls[0].Doubted()
@@ -89,24 +90,25 @@
 		if verdicts([]*reply{re}) != "delivered " || fmt.Sprint(told) != "[m]" {
 			t.Errorf("answers %v, reported %v, want m once", re.answers, told)
 		}
-		if r.at(10 * time.Second); len(r.doubts.delivered)+len(r.doubts.oldest)+len(r.doubts.keys)+len(r.doubts.steps) != 0 {
-			t.Errorf("state left after the end: %+v", r.doubts)
+		if r.at(10 * time.Second); len(r.retractions.delivered)+len(r.retractions.deliveredOrder)+
+			len(r.retractions.heldKeys)+len(r.retractions.steps) != 0 {
+			t.Errorf("state left after the end: %+v", r.retractions)
 		}
 	}
 }
 
-// Guards against messages of a key out of order: the next one is sent while the one before, which a response to another
-// call has ended as failed, may still run.
+// Guards against messages of a key out of order: the next one is sent while the one before, which a response to
+// another call has ended as failed, may still run.
 func TestNextOfAKeyWaitsUntilTheAnswerIsConfirmed(t *testing.T) {
 	r, re := newRig(t), &reply{}
 	r.opt.Settings.Classes[unsafeClass].Ordered = true
 	for _, id := range []string{"m", "n"} {
-		if err := r.hand(id, unsafeClass, re, 6*time.Second); err != nil {
+		if err := r.handIn(id, unsafeClass, re, 6*time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
 	r.at(ms)
-	r.calls[0].answer(choice.Error)
+	r.calls[0].finishUnconfirmed(choice.Error)
 	for at := 2 * ms; at < 100*ms; at += ms {
 		if r.at(at); len(r.calls) > 1 {
 			t.Fatalf("the next message of the key is sent at %s", at)
@@ -117,11 +119,11 @@
 	}
 }
 
-// Guards against a doubted outcome that counts as a refusal or a delivery. The message may have run: it fails if it must
-// not be repeated.
+// Guards against a doubted outcome that counts as a refusal or a delivery. The message may have run: it fails if
+// it must not be repeated.
 func TestDoubtedAnswerEndsWhatMayNotBeRepeated(t *testing.T) {
 	for class, want := range []string{"none ", "failed "} {
-		r, re := handed(t, class)
+		r, re := sentMessage(t, class)
 		r.calls[0].finish(choice.Doubted, 0)
 		r.at(2 * ms)
 		if got := verdicts([]*reply{re}); got != want {
@@ -136,7 +138,7 @@
 	r, re := newRig(t), &reply{}
 	r.Waits("a", 0, 300*ms)
 	r.at(ms)
-	if err := r.hand("m", 0, re, 6*time.Second); err != nil {
+	if err := r.handIn("m", 0, re, 6*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	for at := 2 * ms; at < 300*ms; at += ms {
@@ -157,7 +159,7 @@
 func TestUndeliveredIsToldOnceThatIsRecorded(t *testing.T) {
 	for _, heals := range []bool{true, false} {
 		j := newFailingDisk()
-		r := kept(t, j)
+		r := newJournalRig(t, j)
 		told := 0
 		r.opt.Undelivered = func(string) { told++ }
 		d := &decider{}
@@ -165,7 +167,7 @@
 		if len(r.calls) != 1 {
 			t.Fatalf("%d calls", len(r.calls))
 		}
-		r.calls[0].answer(choice.Served)
+		r.calls[0].finishUnconfirmed(choice.Served)
 		r.at(r.now + ms)
 		j.failing = true
 		r.calls[0].Doubted()
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -13,21 +13,21 @@
 
 // slowJournal delays all records until the test writes them.
 type slowJournal struct {
-	nothing
+	nullJournal
 	wait []func()
 	slow bool
 }
 
-// nothing implements the methods of a Journal that stores nothing, without Then.
-type nothing struct{}
+// nullJournal implements the methods of a Journal that stores nothing, without Then.
+type nullJournal struct{}
 
-func (nothing) Stamp() journal.Stamp  { return journal.Stamp{} }
-func (nothing) Room(int) bool         { return true }
-func (nothing) Taken(journal.Message) {}
-func (nothing) Tried(journal.Attempt) {}
-func (nothing) Ended(journal.End)     {}
-func (nothing) Waits(journal.Wait)    {}
-func (nothing) Forget(string)         {}
+func (nullJournal) Stamp() journal.Stamp  { return journal.Stamp{} }
+func (nullJournal) Room(int) bool         { return true }
+func (nullJournal) Taken(journal.Message) {}
+func (nullJournal) Tried(journal.Attempt) {}
+func (nullJournal) Ended(journal.End)     {}
+func (nullJournal) Waits(journal.Wait)    {}
+func (nullJournal) Forget(string)         {}
 
 func (j *slowJournal) Then(done func()) bool {
 	if j.slow {
@@ -53,15 +53,18 @@
 func (d *decider) Decided()            { d.decided++ }
 func (d *decider) Undecided(held bool) { d.held = append(d.held, held) }
 
-// kept returns a rig with a journal, one endpoint, and a class whose repeats the destination drops for 2 s.
-func kept(t *testing.T, j Journal) *rig {
+// newJournalRig returns a rig with a journal, one endpoint, and a class whose repeats the destination drops for 2 s.
+func newJournalRig(t *testing.T, j Journal) *rig {
 	t.Helper()
 	r := &rig{}
-	class := choice.Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: choice.Keyed, Window: 2 * time.Second}
-	c, err := New(Options{Seed: 1, Arrivals: 20, Identities: 200, Keep: time.Minute, Caller: r, Observer: r, Journal: j, Every: true,
+	class := choice.Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: choice.Keyed,
+		Window: 2 * time.Second}
+	c, err := New(Options{Seed: 1, Arrivals: 20, Identities: 200, Keep: time.Minute, Caller: r, Observer: r,
+		Journal: j, Every: true,
 		Guard: &lifecycle.Guard{Strict: true},
 		Names: Names{Partner: func(int) string { return "p" }},
-		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, Certain: true,
+		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Cancels: true,
+			Certain:     true,
 			ReportLimit: -1, Classes: []choice.Class{class}, Kinds: []choice.Kind{{PerCall: 1}},
 			Rules: choice.Rules{OverloadFactor: 2, Fall: time.Second, ColdFrom: 0.2, Cold: 5 * time.Second}}})
 	if err != nil {
@@ -79,7 +82,7 @@
 // record is on disk.
 func TestDecidedWaitsForTheRecord(t *testing.T) {
 	j := &slowJournal{slow: true}
-	r := kept(t, j)
+	r := newJournalRig(t, j)
 	d := &decider{}
 	if err := r.Submit(&Message{Identity: "m", Left: 5 * time.Second, Reply: d}); err != nil {
 		t.Fatal(err)
@@ -114,7 +117,7 @@
 // before the process ends: the client hears whether the next run will have the message.
 func TestResolveAnswersWhatWaitsForRecords(t *testing.T) {
 	j := &backlog{slowJournal: slowJournal{slow: true}, unwritten: map[uint64]bool{2: true}}
-	r := kept(t, j)
+	r := newJournalRig(t, j)
 	written, unwritten := &decider{}, &decider{}
 	for id, d := range map[string]*decider{"written": written, "unwritten": unwritten} {
 		if err := r.Submit(&Message{Identity: id, Left: 5 * time.Second, Reply: d}); err != nil {
@@ -124,7 +127,7 @@
 	}
 	j.unwritten = map[uint64]bool{}
 	for seq := uint64(1); seq <= 2; seq++ { // in the order of their hand-in
-		for _, m := range r.msgs {
+		for _, m := range r.byID {
 			j.unwritten[m.seq] = m.Identity == "unwritten"
 		}
 	}
@@ -146,7 +149,7 @@
 // After its deadline no later run sends the message, and the answer does not wait for the record.
 func TestOverdueEndsAreToldWithoutTheirRecord(t *testing.T) {
 	j := &slowJournal{}
-	r := kept(t, j)
+	r := newJournalRig(t, j)
 	r.opt.Settings.Acknowledged = true
 	r.List(choice.Listing{Whole: true}) // no endpoint
 	r.at(r.now + ms)
@@ -183,7 +186,7 @@
 		"the relay shuts down":    func(r *rig) { r.Park(func() {}); r.at(r.now + ms) },
 	} {
 		j := &slowJournal{slow: true}
-		r := kept(t, j)
+		r := newJournalRig(t, j)
 		if err := r.Submit(&Message{Identity: "m", Left: 5 * time.Second, Reply: &decider{}}); err != nil {
 			t.Fatal(err)
 		}
@@ -201,10 +204,11 @@
 // Guards against a repeat after the window in which the destination drops repeats. The window counts from the
 // first send, across restarts and including the time of the start; the call gets what is left of it.
 func TestWindowOverRestart(t *testing.T) {
-	r := kept(t, &slowJournal{})
+	r := newJournalRig(t, &slowJournal{})
 	restore := func(id string, seq uint64, since time.Duration) *reply {
 		re := &reply{}
-		r.Restore([]Restored{{Message: Message{Identity: id, Left: 5 * time.Second, Reply: re}, Seq: seq, Attempts: 1, Ran: true,
+		r.Restore([]Restored{{Message: Message{Identity: id, Left: 5 * time.Second, Reply: re}, Seq: seq, Attempts: 1,
+			Ran:   true,
 			Since: since, Zone: 0}}, nil, nil, seq)
 		return re
 	}
@@ -225,19 +229,21 @@
 // Guards against calls that are too large for their host, which would refuse them at each attempt: messages that do
 // not fit are sent in a further call.
 func TestLongBodiesTravelApart(t *testing.T) {
-	r, _ := several(t)
+	r, _ := newBatchRig(t)
 	r.opt.Together = 2000
 	r.List(choice.Listing{Whole: true}) // no endpoint until all messages are handed in
 	r.at(3 * ms)
 	for _, id := range []string{"a", "b", "c"} {
-		if err := r.Submit(&Message{Identity: id, Left: 5 * time.Second, Reply: &reply{}, Body: make([]byte, 600)}); err != nil {
+		if err := r.Submit(&Message{Identity: id, Left: 5 * time.Second, Reply: &reply{},
+			Body: make([]byte, 600)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	r.at(4 * ms)
 	r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
 	r.at(5 * ms)
-	if len(r.calls) != 2 || len(r.calls[0].Call.Several) != 2 || r.calls[1].Call.Several != nil || r.calls[1].Name != "c" {
+	if len(r.calls) != 2 || len(r.calls[0].Call.Several) != 2 || r.calls[1].Call.Several != nil ||
+		r.calls[1].Name != "c" {
 		t.Fatalf("%d calls, want one with two messages and one with the third", len(r.calls))
 	}
 }
--- a/internal/core/records_test.go
+++ b/internal/core/records_test.go
@@ -12,17 +12,17 @@
 
 // failingDisk is a Backlog whose writes fail while the test says so.
 type failingDisk struct {
-	nothing
-	failing  bool
-	waiting  map[uint64]bool // messages with a record that is not written
-	own      map[uint64]bool // messages whose Taken record is not written
-	ended    []journal.End
-	cleared  int
-	progress func()
+	nullJournal
+	failing   bool
+	waiting   map[uint64]bool // messages with a record that is not written
+	unwritten map[uint64]bool // messages whose Taken record is not written
+	ended     []journal.End
+	cleared   int
+	progress  func()
 }
 
 func newFailingDisk() *failingDisk {
-	return &failingDisk{waiting: map[uint64]bool{}, own: map[uint64]bool{}}
+	return &failingDisk{waiting: map[uint64]bool{}, unwritten: map[uint64]bool{}}
 }
 
 func (d *failingDisk) record(seq uint64) {
@@ -33,7 +33,7 @@
 
 func (d *failingDisk) Taken(m journal.Message) {
 	d.record(m.Seq)
-	d.own[m.Seq] = d.failing
+	d.unwritten[m.Seq] = d.failing
 }
 
 func (d *failingDisk) Tried(a journal.Attempt) {
@@ -55,10 +55,10 @@
 func (d *failingDisk) Backlogged() bool { return len(d.waiting) > 0 }
 
 func (d *failingDisk) Cancel(seq uint64) bool {
-	if !d.own[seq] {
+	if !d.unwritten[seq] {
 		return false
 	}
-	delete(d.own, seq)
+	delete(d.unwritten, seq)
 	delete(d.waiting, seq)
 	return true
 }
@@ -67,7 +67,7 @@
 func (d *failingDisk) heal() {
 	d.failing = false
 	clear(d.waiting)
-	clear(d.own)
+	clear(d.unwritten)
 	d.progress()
 }
 
@@ -85,7 +85,7 @@
 // it is refused in time, and neither this run nor the next one sends the message.
 func TestUnrecordedHandInIsTakenBackInTime(t *testing.T) {
 	j := newFailingDisk()
-	r := kept(t, j)
+	r := newJournalRig(t, j)
 	j.failing = true
 	d := &decider{}
 	by := r.now + respond
@@ -103,7 +103,8 @@
 		t.Errorf("records of messages %v still wait", j.waiting)
 	}
 	j.heal()
-	if r.at(r.now + ms); len(r.calls) > 0 || d.decided > 0 || len(d.answers) > 0 && d.answers[0].Verdict != ledger.Abandoned {
+	if r.at(r.now + ms); len(r.calls) > 0 || d.decided > 0 || len(d.answers) > 0 &&
+		d.answers[0].Verdict != ledger.Abandoned {
 		t.Errorf("%d calls, decided %d, answers %v for a message that was dropped", len(r.calls), d.decided, d.answers)
 	}
 }
@@ -112,7 +113,7 @@
 // the message is accepted, and its final answer follows.
 func TestRecordedHandInIsTakenOnInTime(t *testing.T) {
 	j := newFailingDisk()
-	r := kept(t, j)
+	r := newJournalRig(t, j)
 	d := &decider{}
 	if err := r.Submit(&Message{Identity: "m", Left: 5 * time.Second, Respond: respond, Reply: d}); err != nil {
 		t.Fatal(err)
@@ -133,7 +134,8 @@
 		t.Fatalf("%d calls once the disk works again, want one", len(r.calls))
 	}
 	r.calls[0].finish(choice.Served, 0)
-	if r.at(r.now + ms); len(d.answers) != 1 || d.answers[0].Verdict != ledger.Delivered || d.decided > 0 || len(d.held) != 1 {
+	if r.at(r.now + ms); len(d.answers) != 1 || d.answers[0].Verdict != ledger.Delivered || d.decided > 0 ||
+		len(d.held) != 1 {
 		t.Errorf("answers %v, decided %d, held %v", d.answers, d.decided, d.held)
 	}
 }
@@ -150,12 +152,13 @@
 // written, the refusal is reported at once, and no record is left.
 func TestRefusalOfAnUnrecordedHandInIsToldAtOnce(t *testing.T) {
 	j := newFailingDisk()
-	r := kept(t, j)
+	r := newJournalRig(t, j)
 	r.List(choice.Listing{Whole: true}) // no endpoint
 	r.at(r.now + ms)
 	j.failing = true
 	d := &decider{}
-	if err := r.Submit(&Message{Identity: "m", Left: 5 * time.Second, Respond: respond, Now: true, Reply: d}); err != nil {
+	if err := r.Submit(&Message{Identity: "m", Left: 5 * time.Second, Respond: respond, Now: true,
+		Reply: d}); err != nil {
 		t.Fatal(err)
 	}
 	r.at(r.now + ms)
@@ -170,7 +173,7 @@
 // Guards against a request that waits for the records of other messages.
 func TestHandInWaitsForItsOwnRecordsAlone(t *testing.T) {
 	j := newFailingDisk()
-	r := kept(t, j)
+	r := newJournalRig(t, j)
 	first, second := &decider{}, &decider{}
 	j.failing = true
 	r.submit(t, "first", first)
@@ -189,7 +192,7 @@
 func sentAfter(t *testing.T, wait time.Duration) (r *rig, j *failingDisk) {
 	t.Helper()
 	j = newFailingDisk()
-	r = kept(t, j)
+	r = newJournalRig(t, j)
 	for i := range 100 { // to fill the latency statistics
 		r.submit(t, fmt.Sprint("before", i), &decider{})
 		r.calls[i].finish(choice.Served, 0)
@@ -212,11 +215,11 @@
 	return r, j
 }
 
-// Guards against calls that have only the rest of their time-out because the disk delayed them, and time out before the
-// endpoint can respond: the time-out starts with the first byte.
+// Guards against calls that have only the rest of their time-out because the disk delayed them, and time out before
+// the endpoint can respond: the time-out starts with the first byte.
 func TestCallThatWaitedHasItsWholeTimeout(t *testing.T) {
 	prompt, _ := sentAfter(t, 0)
-	late, _ := sentAfter(t, recordWait-10*ms)
+	late, _ := sentAfter(t, maxRecordWait-10*ms)
 	if len(prompt.calls) != 1 || len(late.calls) != 1 {
 		t.Fatalf("%d and %d calls, want one each", len(prompt.calls), len(late.calls))
 	}
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -11,42 +11,44 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// noted is the recorded state of an endpoint.
-type noted struct {
-	until   time.Duration // end of the wait that it asked for
-	failing bool          // its last call failed
+// hostState is the recorded state of an endpoint.
+type hostState struct {
+	waitUntil time.Duration // end of the wait that it asked for
+	failing   bool          // its last call failed
 }
 
-// note records whether an endpoint fails and the wait that it asked for. A wait in force stays
+// recordHost records whether an endpoint fails and the wait that it asked for. A wait in force stays
 // in the record whatever the outcome of other calls.
-func (c *Core) note(host string, e Ending) {
+func (c *Core) recordHost(host string, e Ending) {
 	if c.opt.Journal == nil || c.opt.Forgetful {
 		return
 	}
-	was := c.noted[host]
-	n := noted{was.until, e.Outcome != choice.Served && e.Outcome != choice.Refused && e.Outcome != choice.NotSent}
+	was := c.recordedHosts[host]
+	n := hostState{was.waitUntil, e.Outcome != choice.Served && e.Outcome != choice.Refused &&
+		e.Outcome != choice.NotSent}
 	if e.Wait > 0 {
-		n.until = max(n.until, c.now+e.Wait)
+		n.waitUntil = max(n.waitUntil, c.now+e.Wait)
 	}
 	if n != was {
-		c.noted[host] = n
-		c.opt.Journal.Waits(journal.Wait{Host: host, At: c.opt.Journal.Stamp(), Left: int64(max(0, n.until-c.now)), Failing: n.failing})
+		c.recordedHosts[host] = n
+		c.opt.Journal.Waits(journal.Wait{Host: host, At: c.opt.Journal.Stamp(),
+			Left: int64(max(0, n.waitUntil-c.now)), Failing: n.failing})
 	}
 }
 
-// remember passes the state of newly listed endpoints from an earlier run to the module, and
+// restoreHosts passes the state of newly listed endpoints from an earlier run to the module, and
 // drops the records of endpoints that were removed.
-func (c *Core) remember(l *choice.Listing) {
+func (c *Core) restoreHosts(l *choice.Listing) {
 	for _, h := range l.Hosts {
-		if w, ok := c.waited[h.Addr]; ok && h.State != choice.Gone {
-			c.batch = append(c.batch, choice.Waited{Host: h.Addr, Left: max(0, w.until-c.now), Failing: w.failing})
-			delete(c.waited, h.Addr)
+		if w, ok := c.restoredHosts[h.Addr]; ok && h.State != choice.Gone {
+			c.batch = append(c.batch, choice.Waited{Host: h.Addr, Left: max(0, w.waitUntil-c.now), Failing: w.failing})
+			delete(c.restoredHosts, h.Addr)
 		}
 	}
-	for host, n := range c.noted {
-		if _, listed := c.zones[host]; !listed && n.until <= c.now && c.opt.Journal != nil {
-			if _, later := c.waited[host]; !later {
-				delete(c.noted, host)
+	for host, n := range c.recordedHosts {
+		if _, listed := c.zones[host]; !listed && n.waitUntil <= c.now && c.opt.Journal != nil {
+			if _, later := c.restoredHosts[host]; !later {
+				delete(c.recordedHosts, host)
 				c.opt.Journal.Waits(journal.Wait{Host: host})
 			}
 		}
@@ -82,43 +84,47 @@
 // sequence number that was used.
 func (c *Core) Restore(messages []Restored, ended []Ended, waits []choice.Waited, last uint64) {
 	c.now = c.Now()
-	c.next = last
+	c.lastSeq = last
 	var owed []choice.Event
 	for _, e := range ended {
 		id := ""
 		if e.Owed {
 			id = strconv.FormatUint(e.Seq, 36)
-			c.owing[e.Identity] = id
-			owed = append(owed, choice.Restored{Arrival: choice.Arrival{ID: id, Class: e.Class, Key: e.Key}, Answered: true})
+			c.unsettledIDs[e.Identity] = id
+			owed = append(owed, choice.Restored{Arrival: choice.Arrival{ID: id, Class: e.Class, Key: e.Key},
+				Answered: true})
 		}
-		c.led.Restore(c.now-e.Age, e.Identity, id, e.Answer, e.Forget)
+		c.identityLedger.Restore(c.now-e.Age, e.Identity, id, e.Answer, e.Forget)
 	}
 	for _, w := range waits {
-		n := noted{c.now + w.Left, w.Failing}
-		c.waited[w.Host], c.noted[w.Host] = n, n
+		n := hostState{c.now + w.Left, w.Failing}
+		c.restoredHosts[w.Host], c.recordedHosts[w.Host] = n, n
 	}
-	var first []*choice.Restored
+	var restored []*choice.Restored
 	for i := range messages {
 		r := &messages[i]
 		k := &c.opt.Settings.Classes[r.Class]
-		m := &message{Message: r.Message, taken: c.now, due: c.now + r.Message.Left, seq: r.Seq, kept: true, tries: r.Attempts,
+		m := &message{Message: r.Message, takenAt: c.now, deadline: c.now + r.Message.Left, seq: r.Seq,
+			journaled: true, attempts: r.Attempts,
 			id: strconv.FormatUint(r.Seq, 36)}
-		m.life = lifecycle.Message{ID: m.Identity, Repeat: repeats[k.Effect], Window: k.Window, Due: m.due, Kept: true}
-		m.life.Restore(r.Ran, c.now-min(r.Since, math.MaxInt64/4))
-		m.entry = c.led.Reopen(m.Identity, m.id, k.Effect == choice.Safe)
+		m.state = lifecycle.Message{ID: m.Identity, Repeat: repeatPolicies[k.Effect], Window: k.Window,
+			Due: m.deadline, Kept: true}
+		m.state.Restore(r.Ran, c.now-min(r.Since, math.MaxInt64/4))
+		m.entry = c.identityLedger.Reopen(m.Identity, m.id, k.Effect == choice.Safe)
 		c.byEntry[m.entry] = m
-		c.msgs[m.id] = m
-		c.owed++
-		first = append(first, &choice.Restored{Arrival: choice.Arrival{ID: m.id, Class: r.Class, Dest: r.Partner, Left: r.Message.Left,
+		c.byID[m.id] = m
+		c.unanswered++
+		restored = append(restored, &choice.Restored{Arrival: choice.Arrival{ID: m.id, Class: r.Class,
+			Dest: r.Partner, Left: r.Message.Left,
 			Key: r.Key}, Attempts: r.Attempts, Ran: r.Ran, Since: r.Since, Zone: r.Zone})
 	}
-	began := c.now
-	_ = c.put(event{call: func() {
+	restoredAt := c.now
+	_ = c.enqueue(event{call: func() {
 		c.batch = append(c.batch, owed...)
-		for _, r := range first { // the time that the start took counts
-			if m := c.msgs[r.ID]; m != nil {
-				r.Left = m.due - c.now
-				r.Since += min(c.now-began, math.MaxInt64-r.Since)
+		for _, r := range restored { // the time that the start took counts
+			if m := c.byID[r.ID]; m != nil {
+				r.Left = m.deadline - c.now
+				r.Since += min(c.now-restoredAt, math.MaxInt64-r.Since)
 				c.batch = append(c.batch, *r)
 			}
 		}
--- a/internal/core/several_test.go
+++ b/internal/core/several_test.go
@@ -11,9 +11,9 @@
 	"basaltcross.example/basaltcross/internal/ledger"
 )
 
-// several returns a rig with a host that accepts three messages a call. A message of each of the classes is
+// newBatchRig returns a rig with a host that accepts three messages a call. A message of each of the classes is
 // handed in before the host is listed, so that one step sends them all.
-func several(t *testing.T, classes ...int) (*rig, []*reply) {
+func newBatchRig(t *testing.T, classes ...int) (*rig, []*reply) {
 	t.Helper()
 	r := &rig{}
 	class := choice.Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 1}
@@ -33,7 +33,8 @@
 	for i, k := range classes {
 		re := &reply{}
 		all = append(all, re)
-		if err := r.Submit(&Message{Identity: fmt.Sprint("m", i), Class: k, Left: 6 * time.Second, Reply: re, Body: []byte{byte(i)}}); err != nil {
+		if err := r.Submit(&Message{Identity: fmt.Sprint("m", i), Class: k, Left: 6 * time.Second, Reply: re,
+			Body: []byte{byte(i)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -61,9 +62,10 @@
 // Guards against messages that share a call and get the outcome of another one. The sends of one step to a host
 // share calls up to the limit of the kind.
 func TestSeveralInOneCall(t *testing.T) {
-	r, all := several(t, 1, 1, 1, 1)
-	if len(r.calls) != 2 || len(r.calls[0].Call.Several) != 3 || r.calls[1].Call.Several != nil || len(r.waits) != 2 {
-		t.Fatalf("%d calls, %d timers", len(r.calls), len(r.waits))
+	r, all := newBatchRig(t, 1, 1, 1, 1)
+	if len(r.calls) != 2 || len(r.calls[0].Call.Several) != 3 || r.calls[1].Call.Several != nil ||
+		len(r.timeouts) != 2 {
+		t.Fatalf("%d calls, %d timers", len(r.calls), len(r.timeouts))
 	}
 	for i, m := range r.calls[0].Call.Several {
 		if m.ID != fmt.Sprint("m", i) || len(m.Body) != 1 || m.Body[0] != byte(i) {
@@ -72,22 +74,23 @@
 	}
 	a := r.calls[0]
 	a.ended = true
-	a.Call.End(Ending{Outcome: choice.Served, Took: ms, Each: []Ending{{Outcome: choice.Served}, {Outcome: choice.Error},
+	a.Call.End(Ending{Outcome: choice.Served, Took: ms, Each: []Ending{{Outcome: choice.Served},
+		{Outcome: choice.Error},
 		{Outcome: choice.NotSent, Over: true}}})
 	r.calls[1].finish(choice.Served, 0)
 	r.at(3 * ms)
 	if got := verdicts(all); got != "delivered failed abandoned delivered " {
 		t.Errorf("verdicts: %s", got)
 	}
-	if len(r.outs) != 0 || len(r.waits) != 0 || len(r.msgs) != 0 {
-		t.Errorf("%d out, %d timers, %d messages left", len(r.outs), len(r.waits), len(r.msgs))
+	if len(r.inFlight) != 0 || len(r.timeouts) != 0 || len(r.byID) != 0 {
+		t.Errorf("%d out, %d timers, %d messages left", len(r.inFlight), len(r.timeouts), len(r.byID))
 	}
 }
 
 // Guards against messages that stay without an outcome when their shared call times out or is reset.
 func TestOneEndForAll(t *testing.T) {
 	for _, timeOut := range []bool{true, false} {
-		r, all := several(t, 1, 1, 1)
+		r, all := newBatchRig(t, 1, 1, 1)
 		if timeOut {
 			r.at(10 * time.Second)
 		} else {
@@ -103,8 +106,8 @@
 // Guards against a Cancel of one message that aborts the call of the others: the call ends with the Cancel of its
 // last message.
 func TestCancelOfOneLeavesTheOthers(t *testing.T) {
-	r, all := several(t, 1, 1, 1)
-	id := func(i int) string { return r.led.Find(r.now, fmt.Sprint("m", i)).ID }
+	r, all := newBatchRig(t, 1, 1, 1)
+	id := func(i int) string { return r.identityLedger.Find(r.now, fmt.Sprint("m", i)).ID }
 	r.carryOut([]choice.Action{choice.Cancel{ID: id(1)}})
 	r.at(3 * ms)
 	if r.calls[0].aborted || verdicts(all) != "none none none " {
@@ -122,7 +125,7 @@
 func TestAbandon(t *testing.T) {
 	r := newRig(t)
 	one, other := &reply{}, &reply{}
-	if err := r.hand("m", 0, one, 6*time.Second); err != nil {
+	if err := r.handIn("m", 0, one, 6*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	r.at(ms)
@@ -138,8 +141,8 @@
 	}
 	r.calls[0].finish(choice.Error, 0)
 	r.at(4 * ms)
-	if len(r.calls) != 1 || len(r.msgs) != 0 {
-		t.Errorf("%d calls, %d messages left", len(r.calls), len(r.msgs))
+	if len(r.calls) != 1 || len(r.byID) != 0 {
+		t.Errorf("%d calls, %d messages left", len(r.calls), len(r.byID))
 	}
 }
 
@@ -150,15 +153,16 @@
 	set := r.opt.Settings
 	set.Acknowledged, set.Classes = true, slices.Clone(set.Classes)
 	set.Classes[1].Ordered = true
-	c, err := New(Options{Seed: 1, Arrivals: 8, Identities: 8, Keep: time.Minute, Caller: r, Observer: r, Settings: set})
+	c, err := New(Options{Seed: 1, Arrivals: 8, Identities: 8, Keep: time.Minute, Caller: r, Observer: r,
+		Settings: set})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.clock = func() time.Duration { return c.now }
 	r.Core = c
 	one, two := &reply{}, &reply{}
-	_ = r.hand("one", 1, one, 100*ms)
-	_ = r.hand("two", 1, two, 6*time.Second)
+	_ = r.handIn("one", 1, one, 100*ms)
+	_ = r.handIn("two", 1, two, 6*time.Second)
 	for at := ms; at < 200*ms; at += ms { // no host is listed: the deadline of the first message passes
 		r.at(at)
 	}
@@ -172,8 +176,9 @@
 	}
 	r.Settled("one")
 	r.at(400 * ms)
-	if len(r.calls) != 1 || len(r.owing) != 0 {
-		t.Errorf("%d calls once the message ahead was settled, %d messages not settled", len(r.calls), len(r.owing))
+	if len(r.calls) != 1 || len(r.unsettledIDs) != 0 {
+		t.Errorf("%d calls once the message ahead was settled, %d messages not settled", len(r.calls),
+			len(r.unsettledIDs))
 	}
 }
 
@@ -184,34 +189,35 @@
 		r := newRig(t)
 		r.opt.Late = 100 * ms
 		re := &reply{}
-		_ = r.hand("m", 1, re, time.Second)
+		_ = r.handIn("m", 1, re, time.Second)
 		r.at(ms)
 		r.calls[0].finish(choice.Served, 0)
 		r.at(at)
-		if verdicts([]*reply{re}) != want || len(r.msgs) != 0 {
+		if verdicts([]*reply{re}) != want || len(r.byID) != 0 {
 			t.Errorf("served %v after the hand-in, with 1 s to deliver: %s", at, verdicts([]*reply{re}))
 		}
 	}
 }
 
-// instant is a journal that reports every record as on disk at once, and stores nothing.
-type instant struct{}
+// instantJournal is a journal that reports every record as on disk at once, and stores nothing.
+type instantJournal struct{}
 
-func (instant) Stamp() journal.Stamp  { return journal.Stamp{} }
-func (instant) Room(int) bool         { return true }
-func (instant) Taken(journal.Message) {}
-func (instant) Tried(journal.Attempt) {}
-func (instant) Ended(journal.End)     {}
-func (instant) Waits(journal.Wait)    {}
-func (instant) Forget(string)         {}
-func (instant) Then(func()) bool      { return true }
+func (instantJournal) Stamp() journal.Stamp  { return journal.Stamp{} }
+func (instantJournal) Room(int) bool         { return true }
+func (instantJournal) Taken(journal.Message) {}
+func (instantJournal) Tried(journal.Attempt) {}
+func (instantJournal) Ended(journal.End)     {}
+func (instantJournal) Waits(journal.Wait)    {}
+func (instantJournal) Forget(string)         {}
+func (instantJournal) Then(func()) bool      { return true }
 
 // Guards against restored messages whose deadline moves by the time that the start takes.
 func TestRestoredTimesCountFromTheRestore(t *testing.T) {
 	r := newRig(t)
-	r.opt.Journal = instant{}
+	r.opt.Journal = instantJournal{}
 	re := &reply{}
-	r.Restore([]Restored{{Message: Message{Identity: "m", Class: 0, Partner: 5, Left: time.Second, Reply: re}, Seq: 7}}, nil, nil, 7)
+	r.Restore([]Restored{{Message: Message{Identity: "m", Class: 0, Partner: 5, Left: time.Second, Reply: re},
+		Seq: 7}}, nil, nil, 7)
 	r.at(900 * ms)
 	for at := 901 * ms; at <= 1000*ms; at += ms {
 		r.at(at)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -42,7 +42,7 @@
 	Forget   bool          // may be evicted early: a repeat does no harm
 	Answer   Answer        // Verdict 0 while in progress
 	Ended    time.Duration // time of the answer
-	place    *list.Element // in the list of ended entries
+	element  *list.Element // in the list of ended entries
 }
 
 // ErrFull is returned if a new identity could only be stored by evicting one that is in
@@ -51,21 +51,22 @@
 
 // Ledger stores a limited number of identities, and ended ones for a limited time.
 type Ledger struct {
-	count   int
-	keep    time.Duration
-	entries map[string]*Entry
-	loose   *list.List // ended, may be evicted early; oldest first
-	firm    *list.List // ended, stored for the whole retention; oldest first
+	capacity  int
+	retention time.Duration
+	entries   map[string]*Entry
+	evictable *list.List // ended, may be evicted early; oldest first
+	retained  *list.List // ended, stored for the whole retention; oldest first
 	// Dropped, if set, is called for identities that were removed.
 	Dropped func(identity string)
 }
 
-// New returns a ledger for at most count identities. Ended ones are removed after the time
-// keep, and an identity that was removed counts as new. If the ledger is full, Open evicts
+// New returns a ledger for at most capacity identities. Ended ones are removed after the time
+// retention, and an identity that was removed counts as new. If the ledger is full, Open evicts
 // the oldest ended identity that may be evicted early; if there is none, it fails with
 // ErrFull.
-func New(count int, keep time.Duration) *Ledger {
-	return &Ledger{count: count, keep: keep, entries: map[string]*Entry{}, loose: list.New(), firm: list.New()}
+func New(capacity int, retention time.Duration) *Ledger {
+	return &Ledger{capacity: capacity, retention: retention, entries: map[string]*Entry{}, evictable: list.New(),
+		retained: list.New()}
 }
 
 // Len returns the number of identities.
@@ -88,14 +89,14 @@
 func (l *Ledger) Open(now time.Duration, identity, id string, forget bool) (*Entry, error) {
 	l.expire(now)
 	if refused := l.entries[identity]; refused != nil {
-		l.drop(l.loose, refused.place)
+		l.drop(l.evictable, refused.element)
 	}
-	if len(l.entries) >= l.count {
-		oldest := l.loose.Front()
+	if len(l.entries) >= l.capacity {
+		oldest := l.evictable.Front()
 		if oldest == nil {
 			return nil, ErrFull
 		}
-		l.drop(l.loose, oldest)
+		l.drop(l.evictable, oldest)
 	}
 	e := &Entry{Identity: identity, ID: id, Forget: forget}
 	l.entries[identity] = e
@@ -109,16 +110,16 @@
 		return false
 	}
 	e.Answer, e.Ended = a, now
-	ended := l.firm
+	ended := l.retained
 	if e.Forget || a.Verdict == Refused {
-		ended = l.loose
+		ended = l.evictable
 	}
-	e.place = ended.PushBack(e)
+	e.element = ended.PushBack(e)
 	return true
 }
 
 // Reopen adds an identity that was in progress in an earlier run. Reopen and Restore ignore
-// the limit of the count, since these identities have been accepted; Open then fails until
+// the capacity, since these identities have been accepted; Open then fails until
 // enough of them have ended or were removed.
 func (l *Ledger) Reopen(identity, id string, forget bool) *Entry {
 	e := &Entry{Identity: identity, ID: id, Forget: forget}
@@ -134,8 +135,8 @@
 
 // expire removes ended identities whose retention is over.
 func (l *Ledger) expire(now time.Duration) {
-	for _, ended := range [...]*list.List{l.loose, l.firm} {
-		for e := ended.Front(); e != nil && now-e.Value.(*Entry).Ended >= l.keep; e = ended.Front() {
+	for _, ended := range [...]*list.List{l.evictable, l.retained} {
+		for e := ended.Front(); e != nil && now-e.Value.(*Entry).Ended >= l.retention; e = ended.Front() {
 			l.drop(ended, e)
 		}
 	}
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -8,43 +8,43 @@
 // third each, and some slots always remain for others. Unlike with fixed quotas, no
 // capacity is reserved for sources that do not use it. It is not safe for concurrent use.
 type Share struct {
-	most  int            // capacity
-	total int            // slots in use
-	by    map[string]int // slots in use, by source
+	capacity int            // capacity
+	used     int            // slots in use
+	bySource map[string]int // slots in use, by source
 }
 
-// NewShare returns a Share with a capacity of most slots.
-func NewShare(most int) *Share { return &Share{most: most, by: map[string]int{}} }
+// NewShare returns a Share with a capacity in slots.
+func NewShare(capacity int) *Share { return &Share{capacity: capacity, bySource: map[string]int{}} }
 
-// Enter acquires a slot for a source. It returns false if the source has reached its
+// Acquire acquires a slot for a source. It returns false if the source has reached its
 // threshold or no slot is free. A source without slots gets one if any is free.
-func (s *Share) Enter(source string) bool {
-	if free := s.most - s.total; free <= 0 || s.by[source] >= max(1, free) {
+func (s *Share) Acquire(source string) bool {
+	if free := s.capacity - s.used; free <= 0 || s.bySource[source] >= max(1, free) {
 		return false
 	}
-	s.total++
-	s.by[source]++
+	s.used++
+	s.bySource[source]++
 	return true
 }
 
-// Leave releases a slot of a source.
-func (s *Share) Leave(source string) {
-	switch n := s.by[source]; {
+// Release releases a slot of a source.
+func (s *Share) Release(source string) {
+	switch n := s.bySource[source]; {
 	case n == 0:
 		return
 	case n == 1:
-		delete(s.by, source)
+		delete(s.bySource, source)
 	default:
-		s.by[source] = n - 1
+		s.bySource[source] = n - 1
 	}
-	s.total--
+	s.used--
 }
 
-// Clear releases all slots.
-func (s *Share) Clear() {
-	s.total = 0
-	clear(s.by)
+// ReleaseAll releases all slots.
+func (s *Share) ReleaseAll() {
+	s.used = 0
+	clear(s.bySource)
 }
 
 // Len returns the number of slots in use.
-func (s *Share) Len() int { return s.total }
+func (s *Share) Len() int { return s.used }
--- a/internal/limit/share_test.go
+++ b/internal/limit/share_test.go
@@ -7,7 +7,7 @@
 func TestShare(t *testing.T) {
 	s := NewShare(90)
 	fill := func(source string) (n int) {
-		for s.Enter(source) {
+		for s.Acquire(source) {
 			n++
 		}
 		return n
@@ -18,25 +18,25 @@
 	if n := fill("b"); n != 23 {
 		t.Errorf("the second source got %d of the 45 free slots, want 23", n)
 	}
-	if !s.Enter("c") {
+	if !s.Acquire("c") {
 		t.Error("a third source got no slot")
 	}
 	for range 40 {
-		s.Leave("a")
+		s.Release("a")
 	}
 	if n := fill("b"); n == 0 {
 		t.Error("released slots cannot be acquired by another source")
 	}
 	for s.Len() < 90 { // many small sources fill it up to its capacity
-		if !s.Enter(string(rune('A' + s.Len()))) {
+		if !s.Acquire(string(rune('A' + s.Len()))) {
 			break
 		}
 	}
-	if s.Len() != 90 || s.Enter("z") {
+	if s.Len() != 90 || s.Acquire("z") {
 		t.Errorf("%d slots in use, want 90 and no further one", s.Len())
 	}
-	s.Leave("nobody")
-	if s.Clear(); s.Len() != 0 || !s.Enter("a") {
-		t.Error("slots in use after Clear")
+	s.Release("nobody")
+	if s.ReleaseAll(); s.Len() != 0 || !s.Acquire("a") {
+		t.Error("slots in use after ReleaseAll")
 	}
 }
--- a/internal/recover/recover.go
+++ b/internal/recover/recover.go
@@ -115,44 +115,47 @@
 		}
 		p.Ends = append(p.Ends, End{e, age})
 	}
-	slices.SortStableFunc(p.Ends, func(x, y End) int { return cmp.Or(cmp.Compare(y.Age, x.Age), cmp.Compare(x.Seq, y.Seq)) })
+	slices.SortStableFunc(p.Ends, func(x, y End) int {
+		return cmp.Or(cmp.Compare(y.Age, x.Age),
+			cmp.Compare(x.Seq, y.Seq))
+	})
 	for _, m := range k.Messages {
 		if ended[m.Seq] {
 			continue // its final answer is on disk
 		}
 		c, known := classes[m.Class]
-		x := Message{Message: m}
+		restored := Message{Message: m}
 		if age := clock.Age(m.At); age < Unknown {
-			x.Left = max(0, min(time.Duration(m.Left), c.Deadline)-age)
+			restored.Left = max(0, min(time.Duration(m.Left), c.Deadline)-age)
 		}
 		for _, a := range k.Attempts[m.Seq] {
-			x.Attempts = max(x.Attempts, a.N+1)
-			if a.Clear || x.Ran {
+			restored.Attempts = max(restored.Attempts, a.N+1)
+			if a.Clear || restored.Ran {
 				continue
 			}
-			x.Ran, x.Since, x.Zone, x.Host = true, clock.Age(a.At), a.Zone, a.Host
+			restored.Ran, restored.Since, restored.Zone, restored.Host = true, clock.Age(a.At), a.Zone, a.Host
 		}
 		switch {
 		case known && partners[m.Partner]:
-		case x.Ran:
-			x.Verdict = ledger.Failed
+		case restored.Ran:
+			restored.Verdict = ledger.Failed
 		default:
-			x.Verdict = ledger.Refused
+			restored.Verdict = ledger.Refused
 		}
-		p.Messages = append(p.Messages, x)
+		p.Messages = append(p.Messages, restored)
 	}
 	slices.SortFunc(p.Messages, func(x, y Message) int { return cmp.Compare(x.Seq, y.Seq) })
 	for _, w := range k.Waits {
 		age := clock.Age(w.At)
-		x := Wait{Host: w.Host, Failing: w.Failing && age < cold}
+		wait := Wait{Host: w.Host, Failing: w.Failing && age < cold}
 		switch {
 		case age == Unknown:
-			x.Left = time.Duration(w.Left)
+			wait.Left = time.Duration(w.Left)
 		default:
-			x.Left = max(0, time.Duration(w.Left)-age)
+			wait.Left = max(0, time.Duration(w.Left)-age)
 		}
-		if x.Left > 0 || x.Failing {
-			p.Waits = append(p.Waits, x)
+		if wait.Left > 0 || wait.Failing {
+			p.Waits = append(p.Waits, wait)
 		} else {
 			p.Over = append(p.Over, w.Host)
 		}
--- a/internal/recover/recover_test.go
+++ b/internal/recover/recover_test.go
@@ -16,20 +16,21 @@
 
 var classes = map[string]Class{"charge": {Deadline: 6 * s, Keep: true}, "status": {Deadline: 6 * s}}
 
-// kept returns the records of a message that was taken 2 s and sent 1 s before the crash, and the
-// clocks after it: away is the time until the restart, jump the change of the wall clock.
-func kept(sameBoot bool, away, jump time.Duration) *journal.Kept {
+// recordsOf returns the records of a message that was taken 2 s and sent 1 s before the crash, and the
+// clocks after it: outage is the time until the restart, jump the change of the wall clock.
+func recordsOf(sameBoot bool, outage, jump time.Duration) *journal.Kept {
 	run := journal.Run{Number: 1, Boot: "x", Clock: int64(100 * s), Wall: int64(1_000_000 * s)}
-	now := journal.Run{Number: 2, Boot: "x", Clock: int64(110*s + away), Wall: int64(1_000_010*s + away + jump)}
+	now := journal.Run{Number: 2, Boot: "x", Clock: int64(110*s + outage), Wall: int64(1_000_010*s + outage + jump)}
 	if !sameBoot {
 		now.Boot, now.Clock = "y", int64(5*s)
 	}
 	at := func(before time.Duration) journal.Stamp { return journal.Stamp{Run: 1, Clock: int64(110*s - before)} }
 	return &journal.Kept{Runs: map[uint32]journal.Run{1: run, 2: now}, Now: now,
 		Messages: []journal.Message{{Seq: 1, Identity: "i", Class: "charge", At: at(2 * s), Left: int64(5 * s)}},
-		Attempts: map[uint64][]journal.Attempt{1: {{Seq: 1, N: 0, At: at(2 * s), Clear: true}, {Seq: 1, N: 1, Zone: "z", At: at(s)}}},
-		Ends:     []journal.End{{Seq: 9, Identity: "e", Class: "charge", At: at(s), Handed: true}},
-		Waits:    []journal.Wait{{Host: "h", At: at(s), Left: int64(4 * s)}}}
+		Attempts: map[uint64][]journal.Attempt{1: {{Seq: 1, N: 0, At: at(2 * s), Clear: true},
+			{Seq: 1, N: 1, Zone: "z", At: at(s)}}},
+		Ends:  []journal.End{{Seq: 9, Identity: "e", Class: "charge", At: at(s), Handed: true}},
+		Waits: []journal.Wait{{Host: "h", At: at(s), Left: int64(4 * s)}}}
 }
 
 // Guards against times that follow a wall clock which was set. Within one boot of the machine
@@ -45,17 +46,20 @@
 		wait       time.Duration
 	}{
 		{"short outage", true, s / 2, 0, 2500 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond},
-		{"wall clock an hour back", true, s / 2, -time.Hour, 2500 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond},
-		{"wall clock an hour ahead", true, s / 2, time.Hour, 2500 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond},
+		{"wall clock an hour back", true, s / 2, -time.Hour, 2500 * time.Millisecond, 1500 * time.Millisecond,
+			2500 * time.Millisecond},
+		{"wall clock an hour ahead", true, s / 2, time.Hour, 2500 * time.Millisecond, 1500 * time.Millisecond,
+			2500 * time.Millisecond},
 		{"new boot", false, s, 0, 2 * s, 2 * s, 2 * s},
 		{"new boot, wall clock back", false, s, -time.Hour, 0, Unknown, 4 * s},
 		{"new boot, wall clock ahead", false, s, time.Hour, 0, time.Hour + 2*s, 0},
 		{"restart after a day", true, 24 * time.Hour, 0, 0, 24*time.Hour + s, 0},
 	} {
-		p := Decide(kept(c.same, c.away, c.jump), classes, partners, time.Hour, 10*s)
+		p := Decide(recordsOf(c.same, c.away, c.jump), classes, partners, time.Hour, 10*s)
 		m := p.Messages[0]
 		if m.Left != c.left || !m.Ran || m.Since != c.since || m.Zone != "z" || m.Attempts != 2 {
-			t.Errorf("%s: left %v, may have run %v since %v in zone %q, %d attempts", c.name, m.Left, m.Ran, m.Since, m.Zone, m.Attempts)
+			t.Errorf("%s: left %v, may have run %v since %v in zone %q, %d attempts", c.name, m.Left, m.Ran, m.Since,
+				m.Zone, m.Attempts)
 		}
 		wait := time.Duration(0)
 		if len(p.Waits) > 0 {
@@ -74,7 +78,7 @@
 // more: it is refused, or fails if it may have run.
 func TestConfigurationChanged(t *testing.T) {
 	for ran, want := range map[bool]ledger.Verdict{true: ledger.Failed, false: ledger.Refused} {
-		k := kept(true, s/2, 0)
+		k := recordsOf(true, s/2, 0)
 		k.Messages[0].Partner = "gone"
 		k.Attempts[1][1].Clear = !ran
 		if m := Decide(k, classes, partners, time.Hour, 10*s).Messages[0]; m.Verdict != want {
@@ -91,16 +95,19 @@
 		k := &journal.Kept{Runs: map[uint32]journal.Run{}, Attempts: map[uint64][]journal.Attempt{}}
 		for n := range uint32(rapid.IntRange(1, 4).Draw(t, "runs")) {
 			r := journal.Run{Number: n + 1, Boot: rapid.SampledFrom([]string{"a", "b", ""}).Draw(t, "boot"),
-				Clock: int64(rapid.IntRange(0, 1000).Draw(t, "clock")) * int64(s), Wall: int64(rapid.IntRange(0, 1000).Draw(t, "wall")) * int64(s)}
+				Clock: int64(rapid.IntRange(0, 1000).Draw(t, "clock")) * int64(s), Wall: int64(rapid.IntRange(0,
+					1000).Draw(t, "wall")) * int64(s)}
 			k.Runs[r.Number], k.Now = r, r
 		}
 		stamp := func() journal.Stamp {
-			return journal.Stamp{Run: uint32(rapid.IntRange(0, 5).Draw(t, "run")), Clock: int64(rapid.IntRange(0, 1000).Draw(t, "at")) * int64(s)}
+			return journal.Stamp{Run: uint32(rapid.IntRange(0, 5).Draw(t, "run")),
+				Clock: int64(rapid.IntRange(0, 1000).Draw(t, "at")) * int64(s)}
 		}
 		ran, ended := map[uint64]bool{}, map[uint64]bool{}
 		owed := map[string]bool{}
 		for seq := range uint64(rapid.IntRange(1, 8).Draw(t, "messages")) {
-			m := journal.Message{Seq: seq, Class: rapid.SampledFrom([]string{"charge", "status"}).Draw(t, "class"), At: stamp(),
+			m := journal.Message{Seq: seq, Class: rapid.SampledFrom([]string{"charge", "status"}).Draw(t, "class"),
+				At:   stamp(),
 				Left: int64(rapid.IntRange(0, 10).Draw(t, "left")) * int64(s)}
 			for n := range rapid.IntRange(0, 3).Draw(t, "tries") {
 				a := journal.Attempt{Seq: seq, N: n, At: stamp(), Clear: rapid.Bool().Draw(t, "clear")}
@@ -108,7 +115,8 @@
 				k.Attempts[seq] = append(k.Attempts[seq], a)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
-				e := journal.End{Seq: seq, Identity: string(rune('a' + seq)), Class: m.Class, At: stamp(), Handed: rapid.Bool().Draw(t, "handed")}
+				e := journal.End{Seq: seq, Identity: string(rune('a' + seq)), Class: m.Class, At: stamp(),
+					Handed: rapid.Bool().Draw(t, "handed")}
 				k.Ends, ended[seq] = append(k.Ends, e), true
 				owed[e.Identity] = !e.Handed
 			}
