--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -133,7 +133,7 @@
 // Guards against a second effect of repeated hand-ins. A class that must never take effect twice
 // requires an identity; a repeat joins the message in progress, and after its end gets the same
 // answer without a call.
-func TestIdentities(t *testing.T) {
+func TestRepeatedHandInIsDeduplicated(t *testing.T) {
 	r := newRig(t)
 	none, one, two, three := &reply{}, &reply{}, &reply{}, &reply{}
 	_ = r.handIn("", 1, none, time.Second)
@@ -156,7 +156,7 @@
 }
 
 // Guards against outcomes that are lost because the inbox is full: only hand-ins are rejected.
-func TestInboxIsFull(t *testing.T) {
+func TestFullInboxRejectsOnlyHandIns(t *testing.T) {
 	r := newRig(t)
 	re := &reply{}
 	_ = r.handIn("m", 0, re, 6*time.Second)
@@ -206,7 +206,7 @@
 
 // Guards against a refusal that outlives its time, or is lost before it: until then a repeated hand-in
 // gets the same answer, and after it is sent again.
-func TestComesAgainAfterARefusal(t *testing.T) {
+func TestRepeatAfterARefusal(t *testing.T) {
 	r := newRig(t)
 	one, early, late := &reply{}, &reply{}, &reply{}
 	_ = r.handIn("m", 1, one, 6*time.Second)
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -147,7 +147,7 @@
 
 // Guards against notices that come too late because the record of the final answer cannot be written.
 // After its deadline no later run sends the message, and the answer does not wait for the record.
-func TestOverdueEndsAreToldWithoutTheirRecord(t *testing.T) {
+func TestOverdueAnswersAreReportedWithoutTheirRecord(t *testing.T) {
 	j := &slowJournal{}
 	r := newJournalRig(t, j)
 	r.opt.Settings.Acknowledged = true
@@ -180,7 +180,7 @@
 
 // Guards against calls that are sent during the shutdown or after the deadline of their message,
 // because they had waited for their record.
-func TestCallsThatWaitedAreDecidedAnew(t *testing.T) {
+func TestCallsThatWaitedAreNotSentTooLate(t *testing.T) {
 	for name, pass := range map[string]func(r *rig){
 		"the deadline has passed": func(r *rig) { r.at(r.now + 6*time.Second) },
 		"the relay shuts down":    func(r *rig) { r.Park(func() {}); r.at(r.now + ms) },
@@ -228,7 +228,7 @@
 
 // Guards against calls that are too large for their host, which would refuse them at each attempt: messages that do
 // not fit are sent in a further call.
-func TestLongBodiesTravelApart(t *testing.T) {
+func TestLargeMessagesAreSentInSeparateCalls(t *testing.T) {
 	r, _ := newBatchRig(t)
 	r.opt.Together = 2000
 	r.List(choice.Listing{Whole: true}) // no endpoint until all messages are handed in
--- a/internal/core/records_test.go
+++ b/internal/core/records_test.go
@@ -111,7 +111,7 @@
 
 // Guards against a request that gets no response in time because a later record about its message cannot be written:
 // the message is accepted, and its final answer follows.
-func TestRecordedHandInIsTakenOnInTime(t *testing.T) {
+func TestRecordedHandInIsAcceptedInTime(t *testing.T) {
 	j := newFailingDisk()
 	r := newJournalRig(t, j)
 	d := &decider{}
@@ -150,7 +150,7 @@
 
 // Guards against a refusal that waits for the disk, or that the next run decides again: if the Taken record is not
 // written, the refusal is reported at once, and no record is left.
-func TestRefusalOfAnUnrecordedHandInIsToldAtOnce(t *testing.T) {
+func TestRefusalOfAnUnrecordedHandInIsReportedAtOnce(t *testing.T) {
 	j := newFailingDisk()
 	r := newJournalRig(t, j)
 	r.List(choice.Listing{Whole: true}) // no endpoint
@@ -233,7 +233,7 @@
 
 // Guards against calls that are sent long after their decision, in a burst once the disk works again, and against
 // endpoints that are blamed for the delay: the module decides again.
-func TestCallThatWaitedTooLongIsDecidedAnew(t *testing.T) {
+func TestCallThatWaitedTooLongIsDecidedAgain(t *testing.T) {
 	r, j := sentAfter(t, 3*time.Second)
 	if len(r.calls) != 1 {
 		t.Fatalf("%d calls, want one", len(r.calls))
--- a/internal/core/retraction_test.go
+++ b/internal/core/retraction_test.go
@@ -32,7 +32,7 @@
 
 // Guards against a second effect: a message is sent again at once because of a refusal that belongs to another
 // call.
-func TestRefusedMessageIsSentAgainOnceItsAnswerIsConfirmed(t *testing.T) {
+func TestRefusedMessageIsSentAgainOnceItsOutcomeIsConfirmed(t *testing.T) {
 	r, re := sentMessage(t, unsafeClass)
 	r.calls[0].finishUnconfirmed(choice.Refused)
 	for at := 2 * ms; at < 100*ms; at += ms {
@@ -58,7 +58,7 @@
 
 // Guards against a second effect, and against a refusal of a message that has run, if the refusal proves to belong
 // to another call.
-func TestMessageWhoseRefusalWasAnothersIsNotSentAgain(t *testing.T) {
+func TestMessageWithARetractedRefusalIsNotSentAgain(t *testing.T) {
 	for _, at := range []time.Duration{2 * ms, 50 * ms} { // together with the response, and while the next call waits
 		r, re := sentMessage(t, unsafeClass)
 		r.calls[0].finishUnconfirmed(choice.Refused)
@@ -77,7 +77,7 @@
 
 // Guards against a message that is answered as delivered but was not: the response of status 200 belonged to another
 // call.
-func TestMessageWhoseDeliveryWasAnothersIsToldAsFailed(t *testing.T) {
+func TestRetractedDeliveryIsReportedAsFailed(t *testing.T) {
 	for _, class := range []int{0, unsafeClass} {
 		r, re := sentMessage(t, class)
 		var told []string
@@ -99,7 +99,7 @@
 
 // Guards against messages of a key out of order: the next one is sent while the one before, which a response to
 // another call has ended as failed, may still run.
-func TestNextOfAKeyWaitsUntilTheAnswerIsConfirmed(t *testing.T) {
+func TestNextMessageOfAKeyWaitsUntilTheOutcomeIsConfirmed(t *testing.T) {
 	r, re := newRig(t), &reply{}
 	r.opt.Settings.Classes[unsafeClass].Ordered = true
 	for _, id := range []string{"m", "n"} {
@@ -121,7 +121,7 @@
 
 // Guards against a doubted outcome that counts as a refusal or a delivery. The message may have run: it fails if
 // it must not be repeated.
-func TestDoubtedAnswerEndsWhatMayNotBeRepeated(t *testing.T) {
+func TestDoubtedOutcomeFailsUnrepeatableMessages(t *testing.T) {
 	for class, want := range []string{"none ", "failed "} {
 		r, re := sentMessage(t, class)
 		r.calls[0].finish(choice.Doubted, 0)
@@ -134,7 +134,7 @@
 
 // Guards against calls within a wait that a response asked for which belongs to no call, because a copy of another
 // response came before it.
-func TestWaitOfAnUnaskedAnswerIsKept(t *testing.T) {
+func TestWaitOfAnUnsolicitedResponseIsKept(t *testing.T) {
 	r, re := newRig(t), &reply{}
 	r.Waits("a", 0, 300*ms)
 	r.at(ms)
@@ -156,7 +156,7 @@
 
 // Guards against a message that a later process sends although it was reported as failed, because the record of its
 // end was not on disk.
-func TestUndeliveredIsToldOnceThatIsRecorded(t *testing.T) {
+func TestRetractedDeliveryIsReportedOnceRecorded(t *testing.T) {
 	for _, heals := range []bool{true, false} {
 		j := newFailingDisk()
 		r := newJournalRig(t, j)
--- a/internal/core/several_test.go
+++ b/internal/core/several_test.go
@@ -88,7 +88,7 @@
 }
 
 // Guards against messages that stay without an outcome when their shared call times out or is reset.
-func TestOneEndForAll(t *testing.T) {
+func TestTimeoutAndResetEndAllMessagesOfACall(t *testing.T) {
 	for _, timeOut := range []bool{true, false} {
 		r, all := newBatchRig(t, 1, 1, 1)
 		if timeOut {
@@ -105,7 +105,7 @@
 
 // Guards against a Cancel of one message that aborts the call of the others: the call ends with the Cancel of its
 // last message.
-func TestCancelOfOneLeavesTheOthers(t *testing.T) {
+func TestCancelOfOneMessageDoesNotAbortTheCall(t *testing.T) {
 	r, all := newBatchRig(t, 1, 1, 1)
 	id := func(i int) string { return r.identityLedger.Find(r.now, fmt.Sprint("m", i)).ID }
 	r.carryOut([]choice.Action{choice.Cancel{ID: id(1)}})
@@ -184,7 +184,7 @@
 
 // Guards against a delivery that is too late for the client: a response just before the deadline may be after it by
 // the client's clock, and the message then fails.
-func TestAnswersAtTheVeryEnd(t *testing.T) {
+func TestResponseWithinTheLateMarginIsNoDelivery(t *testing.T) {
 	for at, want := range map[time.Duration]string{500 * ms: "delivered ", 950 * ms: "failed "} {
 		r := newRig(t)
 		r.opt.Late = 100 * ms
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -55,7 +55,7 @@
 
 // Guards against a refusal that is removed when its time is over. A client whose next hand-in is
 // rejected must still get it after a restart, so it stays until the identity is opened again.
-func TestRefusalIsKeptUntilOpenedAnew(t *testing.T) {
+func TestRefusalIsKeptUntilOpenedAgain(t *testing.T) {
 	l := New(1, time.Minute)
 	var dropped []string
 	l.Dropped = func(identity string) { dropped = append(dropped, identity) }
