--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -17,7 +17,7 @@
 // by leader and followers.
 type attempt struct {
 	msg         *message
-	attemptNo   int // number of the attempt, from 0
+	attemptNo   int // from 0
 	host        string
 	zone        int // zone of the host at the time of the send
 	partner     int
@@ -27,7 +27,7 @@
 	handle      Attempt       // of the call, nil in attempts that have a leader
 	bytesPassed atomic.Int64
 	settleBytes func(now time.Duration, passed int64, whole bool) // see Toll.Sent; nil for none
-	heapIndex   int                                               // index in the heap of time-outs, -1 if not in it
+	heapIndex   int                                               // index in Core.timeouts, -1 if not in it
 	leader      *attempt                                          // first attempt of the call; nil in that one
 	followers   []*attempt                                        // in the first attempt: the others of the call
 	cancelled   bool                                              // cancelled by the module
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -228,7 +228,7 @@
 	entry      *ledger.Entry // nil without identity
 	takenAt    time.Duration
 	answered   bool          // the final answer is decided
-	deadline   time.Duration // deadline
+	deadline   time.Duration // no call is sent later
 	attempts   int           // attempts so far; number of the next one
 	current    *attempt      // attempt in progress, nil for none
 	seq        uint64
@@ -259,16 +259,16 @@
 
 	mu            sync.Mutex
 	inbox         []event
-	arrivals      *limit.Share
-	stopping      bool
+	arrivals      *limit.Share // hand-ins in the inbox, by client
+	stopping      bool         // hand-ins are rejected
 	wake          chan struct{}
-	lastHeartbeat atomic.Int64 // time of the last heartbeat
+	lastHeartbeat atomic.Int64 // in nanoseconds, by Now
 
 	// The fields below belong to the goroutine of Run.
 	now             time.Duration
-	byID            map[string]*message        // by id
+	byID            map[string]*message
 	byEntry         map[*ledger.Entry]*message // messages in progress
-	timeouts        timeoutHeap                // time-outs of calls
+	timeouts        timeoutHeap                // first attempts of the calls in progress
 	inFlight        map[*attempt]struct{}      // attempts in progress
 	zones           map[string]int             // by endpoint
 	kinds           map[string]int             // by endpoint
--- a/internal/core/retraction.go
+++ b/internal/core/retraction.go
@@ -19,7 +19,7 @@
 // messages delivered by such outcomes.
 type retractions struct {
 	steps          delayedSteps
-	lastNumber     uint64                        // number of the last step
+	lastNumber     uint64                        // number of the step scheduled last
 	delivered      map[string]delivered          // by id of the message
 	deliveredOrder []string                      // ids in delivered, the oldest first
 	heldKeys       map[orderKey]confirmationTime // keys whose next message is not sent until then
@@ -44,9 +44,9 @@
 // delivered is a message that has ended by an unconfirmed outcome.
 type delivered struct {
 	retractableUntil time.Duration // the outcome cannot be retracted later
-	attemptNo        int           // number of the attempt
-	end              journal.End   // to be recorded if the outcome is retracted
-	journaled        bool          // the message is in the journal
+	attemptNo        int
+	end              journal.End // to be recorded if the outcome is retracted
+	journaled        bool        // the message is in the journal
 }
 
 // attemptRef identifies an attempt without holding on to its message.
