--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -52,8 +52,8 @@
 	if a.zone < len(c.opt.Names.Zones) {
 		zone = c.opt.Names.Zones[a.zone]
 	}
-	c.opt.Journal.Tried(journal.Attempt{Seq: a.msg.seq, N: a.attemptNo, Host: a.host, Zone: zone,
-		At: c.opt.Journal.Stamp(), Clear: clear})
+	c.opt.Journal.RecordAttempt(journal.Attempt{Seq: a.msg.seq, N: a.attemptNo, Host: a.host, Zone: zone,
+		At: c.opt.Journal.Stamp(), NeverRan: clear})
 }
 
 // clear records that an attempt had no effect, once its outcome is confirmed.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -164,15 +164,15 @@
 // Journal makes records durable. journal.Journal and journal.Log implement it. Its methods do not block.
 type Journal interface {
 	Stamp() journal.Stamp
-	Room(bytes int) bool // whether a message of that size can be stored
-	Taken(journal.Message)
-	Tried(journal.Attempt)
-	Ended(journal.End)
-	Waits(journal.Wait)
+	HasRoom(bytes int) bool // whether a message of that size can be stored
+	RecordMessage(journal.Message)
+	RecordAttempt(journal.Attempt)
+	RecordEnd(journal.End)
+	RecordWait(journal.Wait)
 	Forget(identity string)
-	// Then returns true if all earlier records are on disk. Otherwise it returns false and
+	// WhenWritten returns true if all earlier records are on disk. Otherwise it returns false and
 	// calls done, from any goroutine, once they are.
-	Then(done func()) bool
+	WhenWritten(done func()) bool
 }
 
 // Names translates indices to the names that are stored in records.
@@ -655,7 +655,7 @@
 			return
 		}
 	}
-	if c.opt.Journal != nil && in.Identity != "" && !c.opt.Journal.Room(len(in.Head)+len(in.Body)) {
+	if c.opt.Journal != nil && in.Identity != "" && !c.opt.Journal.HasRoom(len(in.Head)+len(in.Body)) {
 		in.Reply.Taken(ErrJournal)
 		return
 	}
@@ -678,9 +678,9 @@
 	c.byID[m.id] = m
 	c.unanswered++
 	if m.journaled {
-		c.opt.Journal.Taken(journal.Message{Seq: m.seq, Identity: m.Identity, Source: m.Source, Class: k.Name,
+		c.opt.Journal.RecordMessage(journal.Message{Seq: m.seq, Identity: m.Identity, Source: m.Source, Class: k.Name,
 			Partner: c.opt.Names.Partner(m.Partner), Key: m.Key, At: c.opt.Journal.Stamp(),
-			Left: int64(m.deadline - c.now), Head: m.Head, Body: m.Body, Front: m.Front, Way: m.Way})
+			Remaining: int64(m.deadline - c.now), Head: m.Head, Body: m.Body, Front: m.Front, Way: m.Way})
 	}
 	c.whenDurable(m.journaled, func() { in.Reply.Taken(nil) }, m.seq)
 	c.opt.Trace.Step(m.Identity, "taken", m.id)
@@ -711,7 +711,7 @@
 		c.unsettledIDs[m.Identity] = m.id
 	}
 	if m.journaled && !c.takeBack(m) {
-		c.opt.Journal.Ended(journal.End{Seq: m.seq, Identity: m.Identity, Class: c.opt.Settings.Classes[m.Class].Name,
+		c.opt.Journal.RecordEnd(journal.End{Seq: m.seq, Identity: m.Identity, Class: c.opt.Settings.Classes[m.Class].Name,
 			Verdict: uint8(a.Verdict), After: int64(a.After), At: c.opt.Journal.Stamp(), Front: m.Front, Way: m.Way})
 	}
 	tell := func() {
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -21,15 +21,15 @@
 // nullJournal implements the methods of a Journal that stores nothing, without Then.
 type nullJournal struct{}
 
-func (nullJournal) Stamp() journal.Stamp  { return journal.Stamp{} }
-func (nullJournal) Room(int) bool         { return true }
-func (nullJournal) Taken(journal.Message) {}
-func (nullJournal) Tried(journal.Attempt) {}
-func (nullJournal) Ended(journal.End)     {}
-func (nullJournal) Waits(journal.Wait)    {}
-func (nullJournal) Forget(string)         {}
-
-func (j *slowJournal) Then(done func()) bool {
+func (nullJournal) Stamp() journal.Stamp          { return journal.Stamp{} }
+func (nullJournal) HasRoom(int) bool              { return true }
+func (nullJournal) RecordMessage(journal.Message) {}
+func (nullJournal) RecordAttempt(journal.Attempt) {}
+func (nullJournal) RecordEnd(journal.End)         {}
+func (nullJournal) RecordWait(journal.Wait)       {}
+func (nullJournal) Forget(string)                 {}
+
+func (j *slowJournal) WhenWritten(done func()) bool {
 	if j.slow {
 		j.wait = append(j.wait, done)
 	}
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -16,7 +16,7 @@
 type Backlog interface {
 	// Waiting reports whether any record about a message is not on disk yet.
 	Waiting(seq uint64) bool
-	// Cancel removes a message whose Taken record is not on disk yet. It returns false if it is.
+	// Cancel removes a message whose message record is not on disk yet. It returns false if it is.
 	Cancel(seq uint64) bool
 	// Backlogged reports whether any record is not on disk yet.
 	Backlogged() bool
@@ -137,7 +137,7 @@
 // afterAllRecords runs do, in order, once all records so far are on disk.
 func (c *Core) afterAllRecords(do func()) {
 	number := c.pendingSteps.completed + uint64(len(c.pendingSteps.fifo)) + 1
-	written := c.opt.Journal.Then(func() { c.runUpTo(number) })
+	written := c.opt.Journal.WhenWritten(func() { c.runUpTo(number) })
 	if written && len(c.pendingSteps.fifo) == 0 {
 		do()
 		return
@@ -167,7 +167,7 @@
 	return c.backlog == nil || !c.backlog.Waiting(m.seq)
 }
 
-// takeBack removes a message from the journal whose Taken record is not on disk yet. No later run
+// takeBack removes a message from the journal whose message record is not on disk yet. No later run
 // will know the message, and nothing about it waits for the disk any more. It returns false, and
 // does nothing, for any other message.
 func (c *Core) takeBack(m *message) bool {
--- a/internal/core/records_test.go
+++ b/internal/core/records_test.go
@@ -15,7 +15,7 @@
 	nullJournal
 	failing   bool
 	waiting   map[uint64]bool // messages with a record that is not written
-	unwritten map[uint64]bool // messages whose Taken record is not written
+	unwritten map[uint64]bool // messages whose message record is not written
 	ended     []journal.End
 	cleared   int
 	progress  func()
@@ -31,24 +31,24 @@
 	}
 }
 
-func (d *failingDisk) Taken(m journal.Message) {
+func (d *failingDisk) RecordMessage(m journal.Message) {
 	d.record(m.Seq)
 	d.unwritten[m.Seq] = d.failing
 }
 
-func (d *failingDisk) Tried(a journal.Attempt) {
+func (d *failingDisk) RecordAttempt(a journal.Attempt) {
 	d.record(a.Seq)
-	if a.Clear {
+	if a.NeverRan {
 		d.cleared++
 	}
 }
 
-func (d *failingDisk) Ended(e journal.End) {
+func (d *failingDisk) RecordEnd(e journal.End) {
 	d.record(e.Seq)
 	d.ended = append(d.ended, e)
 }
 
-func (d *failingDisk) Then(func()) bool        { return len(d.waiting) == 0 }
+func (d *failingDisk) WhenWritten(func()) bool { return len(d.waiting) == 0 }
 func (d *failingDisk) Waiting(seq uint64) bool { return d.waiting[seq] }
 func (d *failingDisk) Progress(f func())       { d.progress = f }
 
@@ -81,7 +81,7 @@
 	r.at(r.now + ms)
 }
 
-// Guards against a request that gets no response in time because the Taken record of its message cannot be written:
+// Guards against a request that gets no response in time because the message record of its message cannot be written:
 // it is refused in time, and neither this run nor the next one sends the message.
 func TestUnrecordedHandInIsTakenBackInTime(t *testing.T) {
 	j := newFailingDisk()
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	r.opt.Journal = failsAfterTaken{j}
-	r.at(r.now + ms) // the Taken record is written, that of the attempt is not
+	r.at(r.now + ms) // the message record is written, that of the attempt is not
 	if d.decided > 0 || !j.failing {
 		t.Fatalf("decided %d, failing %v", d.decided, j.failing)
 	}
@@ -140,15 +140,15 @@
 	}
 }
 
-// failsAfterTaken is a disk that fails once the Taken record of a message is written.
+// failsAfterTaken is a disk that fails once the message record of a message is written.
 type failsAfterTaken struct{ *failingDisk }
 
-func (f failsAfterTaken) Taken(m journal.Message) {
-	f.failingDisk.Taken(m)
+func (f failsAfterTaken) RecordMessage(m journal.Message) {
+	f.failingDisk.RecordMessage(m)
 	f.failing = true
 }
 
-// Guards against a refusal that waits for the disk, or that the next run decides again: if the Taken record is not
+// Guards against a refusal that waits for the disk, or that the next run decides again: if the message record is not
 // written, the refusal is reported at once, and no record is left.
 func TestRefusalOfAnUnrecordedHandInIsReportedAtOnce(t *testing.T) {
 	j := newFailingDisk()
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -31,8 +31,8 @@
 	}
 	if n != was {
 		c.recordedHosts[host] = n
-		c.opt.Journal.Waits(journal.Wait{Host: host, At: c.opt.Journal.Stamp(),
-			Left: int64(max(0, n.waitUntil-c.now)), Failing: n.failing})
+		c.opt.Journal.RecordWait(journal.Wait{Host: host, At: c.opt.Journal.Stamp(),
+			Remaining: int64(max(0, n.waitUntil-c.now)), Failing: n.failing})
 	}
 }
 
@@ -49,7 +49,7 @@
 		if _, listed := c.zones[host]; !listed && n.waitUntil <= c.now && c.opt.Journal != nil {
 			if _, later := c.restoredHosts[host]; !later {
 				delete(c.recordedHosts, host)
-				c.opt.Journal.Waits(journal.Wait{Host: host})
+				c.opt.Journal.RecordWait(journal.Wait{Host: host})
 			}
 		}
 	}
--- a/internal/core/retraction.go
+++ b/internal/core/retraction.go
@@ -198,7 +198,7 @@
 	}
 	if x.journaled {
 		x.end.At = c.opt.Journal.Stamp()
-		c.opt.Journal.Ended(x.end)
+		c.opt.Journal.RecordEnd(x.end)
 	}
 	c.whenDurable(x.journaled, report, x.end.Seq) // otherwise a later process might send it after the report
 	if !reported {
--- a/internal/core/several_test.go
+++ b/internal/core/several_test.go
@@ -202,14 +202,14 @@
 // instantJournal is a journal that reports every record as on disk at once, and stores nothing.
 type instantJournal struct{}
 
-func (instantJournal) Stamp() journal.Stamp  { return journal.Stamp{} }
-func (instantJournal) Room(int) bool         { return true }
-func (instantJournal) Taken(journal.Message) {}
-func (instantJournal) Tried(journal.Attempt) {}
-func (instantJournal) Ended(journal.End)     {}
-func (instantJournal) Waits(journal.Wait)    {}
-func (instantJournal) Forget(string)         {}
-func (instantJournal) Then(func()) bool      { return true }
+func (instantJournal) Stamp() journal.Stamp          { return journal.Stamp{} }
+func (instantJournal) HasRoom(int) bool              { return true }
+func (instantJournal) RecordMessage(journal.Message) {}
+func (instantJournal) RecordAttempt(journal.Attempt) {}
+func (instantJournal) RecordEnd(journal.End)         {}
+func (instantJournal) RecordWait(journal.Wait)       {}
+func (instantJournal) Forget(string)                 {}
+func (instantJournal) WhenWritten(func()) bool       { return true }
 
 // Guards against restored messages whose deadline moves by the time that the start takes.
 func TestRestoredTimesCountFromTheRestore(t *testing.T) {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -16,10 +16,10 @@
 	"github.com/cockroachdb/pebble/v2/vfs/errorfs"
 )
 
-func open(t testing.TB, o Options) (*Journal, *Kept) {
+func open(t testing.TB, o Options) (*Journal, *Contents) {
 	t.Helper()
-	if o.Queue == 0 {
-		o.Queue = 1 << 20
+	if o.MaxQueued == 0 {
+		o.MaxQueued = 1 << 20
 	}
 	j, k, err := Open(o)
 	if err != nil {
@@ -28,30 +28,30 @@
 	return j, k
 }
 
-// synced waits until all that was handed in is on disk.
+// synced waits until all submitted records are on disk.
 func synced(t testing.TB, j *Journal) {
 	t.Helper()
 	done := make(chan struct{})
-	j.Then(func() { close(done) })
+	j.WhenWritten(func() { close(done) })
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("never on disk")
+		t.Fatal("not on disk after 20 s")
 	}
 }
 
-// script is a life of some messages, a record a step.
+// script returns steps that record the course of some messages, one record per step.
 func script() (out []func(*Journal)) {
 	for i := uint64(1); i <= 12; i++ {
 		name := fmt.Sprint("identity ", i)
 		out = append(out,
 			func(j *Journal) { j.Session("mqtt", fmt.Sprint("c", i%3), []byte(name)) },
-			func(j *Journal) { j.Taken(Message{Seq: i, Identity: name, Body: make([]byte, 300)}) },
-			func(j *Journal) { j.Tried(Attempt{Seq: i, Host: "h"}) },
-			func(j *Journal) { j.Tried(Attempt{Seq: i, Host: "h", Clear: true}) },
-			func(j *Journal) { j.Waits(Wait{Host: "h", Left: int64(i % 2)}) })
+			func(j *Journal) { j.RecordMessage(Message{Seq: i, Identity: name, Body: make([]byte, 300)}) },
+			func(j *Journal) { j.RecordAttempt(Attempt{Seq: i, Host: "h"}) },
+			func(j *Journal) { j.RecordAttempt(Attempt{Seq: i, Host: "h", NeverRan: true}) },
+			func(j *Journal) { j.RecordWait(Wait{Host: "h", Remaining: int64(i % 2)}) })
 		if i%4 != 0 {
-			out = append(out, func(j *Journal) { j.Ended(End{Seq: i, Identity: name, Verdict: 1}) },
+			out = append(out, func(j *Journal) { j.RecordEnd(End{Seq: i, Identity: name, Verdict: 1}) },
 				func(j *Journal) { j.Handed(name) })
 		}
 		if i%5 == 0 {
@@ -61,20 +61,21 @@
 	return out
 }
 
-// state is what Kept says without its clocks.
-func state(k *Kept) string {
+// state renders Contents without clocks, to compare journals.
+func state(k *Contents) string {
 	for i := range k.Sessions {
 		k.Sessions[i].At = Stamp{}
 	}
 	return fmt.Sprintf("%v %v %v %v %v", k.Messages, k.Attempts, k.Ends, k.Waits, k.Sessions)
 }
 
-// A crash before every write and every sync of the storage, with nothing, half
-// or all of what was not synced: what was told to be on disk is there, and what is
-// there is the script up to some step.
+// Guards against loss or partial state after a crash. The file system is copied before
+// each write and each sync, with none, half or all of the data that was not synced. A
+// journal opened on the copy must hold the state after some step of the script, and no
+// earlier one than the last step that was reported as on disk.
 func TestCrashEverywhere(t *testing.T) {
 	steps := script()
-	// The states after each step, from a journal that lives on.
+	// The states after each step, from a journal that doesn't crash.
 	var want []string
 	ref := vfs.NewMem()
 	for n := 0; n <= len(steps); n++ {
@@ -101,7 +102,8 @@
 		defer mu.Unlock()
 		if on && op.Kind.ReadOrWrite() == errorfs.OpIsWrite {
 			for _, percent := range []int{0, 50, 100} {
-				crashes = append(crashes, crash{mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: chance}), told})
+				crashes = append(crashes, crash{mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent,
+					RNG: chance}), told})
 			}
 		}
 		return nil
@@ -112,7 +114,7 @@
 	mu.Unlock()
 	for n, step := range steps {
 		step(j)
-		if n%3 > 0 { // groups of one, and of several
+		if n%3 > 0 { // gives groups of one record and of several
 			synced(t, j)
 			mu.Lock()
 			told = n + 1
@@ -125,7 +127,7 @@
 	all := crashes
 	mu.Unlock()
 	for i, c := range all {
-		j, k, err := Open(Options{Dir: "j", FS: c.fs, Queue: 1 << 20})
+		j, k, err := Open(Options{Dir: "j", FS: c.fs, MaxQueued: 1 << 20})
 		if err != nil {
 			t.Fatalf("crash %d: %v", i, err)
 		}
@@ -137,7 +139,7 @@
 			}
 		}
 		if found < 0 {
-			t.Fatalf("crash %d after step %d was told: %s", i, c.told, got)
+			t.Fatalf("crash %d, with step %d reported as on disk: got a state of no later step: %s", i, c.told, got)
 		}
 		_ = j.Close()
 	}
@@ -145,8 +147,8 @@
 	_ = j.Close()
 }
 
-// After a failed write or sync nothing is told to be on disk, nothing is taken,
-// and the failure is told once.
+// Guards against records reported as on disk after a failed write or sync: no function
+// given to WhenWritten may run, HasRoom must report false, and the failure is reported once.
 func TestDiskFails(t *testing.T) {
 	for _, kind := range []errorfs.OpKind{errorfs.OpFileWrite, errorfs.OpFileSync, errorfs.OpFileSyncData} {
 		var mu sync.Mutex
@@ -161,54 +163,55 @@
 			return nil
 		}))
 		broken := make(chan error, 10)
-		j, _ := open(t, Options{Dir: "j", FS: fs, Broken: func(err error) { broken <- err }})
-		j.Taken(Message{Seq: 1, Identity: "a"})
+		j, _ := open(t, Options{Dir: "j", FS: fs, OnFailure: func(err error) { broken <- err }})
+		j.RecordMessage(Message{Seq: 1, Identity: "a"})
 		synced(t, j)
 		mu.Lock()
 		fails = true
 		mu.Unlock()
-		j.Taken(Message{Seq: 2, Identity: "b"})
-		j.Then(func() { t.Error("told to be on disk") })
+		j.RecordMessage(Message{Seq: 2, Identity: "b"})
+		j.WhenWritten(func() { t.Error("reported as on disk") })
 		select {
 		case err := <-broken:
 			if !strings.Contains(err.Error(), "no space left") {
 				t.Errorf("%v", err)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("never told")
+			t.Fatal("the failure was not reported within 20 s")
 		}
 		mu.Lock()
-		fails = false // a disk that says it is well again is not believed
+		fails = false // the journal must not trust a disk that works again
 		mu.Unlock()
-		j.Taken(Message{Seq: 3, Identity: "c"})
-		j.Then(func() { t.Error("told to be on disk after a failure") })
-		if j.Room(0) {
-			t.Error("takes more")
+		j.RecordMessage(Message{Seq: 3, Identity: "c"})
+		j.WhenWritten(func() { t.Error("reported as on disk after a failure") })
+		if j.HasRoom(0) {
+			t.Error("HasRoom reports true after a failure")
 		}
 		if err := j.Close(); err == nil {
-			t.Error("closed as if nothing had been")
+			t.Error("Close returned no error after a failure")
 		}
 		if len(broken) > 0 {
-			t.Error("told twice")
+			t.Error("the failure was reported twice")
 		}
 	}
 }
 
-// A second process, a foreign folder, a format of another version, flipped bits.
-func TestForeign(t *testing.T) {
+// Guards against opening what is not a whole journal of this version: one that another
+// process has open, flipped bits, another version of the format, a file.
+func TestOpenRefusesForeignData(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := open(t, Options{Dir: dir})
 	if _, _, err := Open(Options{Dir: dir}); !errors.Is(err, ErrLocked) {
-		t.Errorf("second: %v", err)
+		t.Errorf("second open: %v", err)
 	}
 	for i := range uint64(200) {
-		j.Taken(Message{Seq: i + 1, Identity: fmt.Sprint(i), Body: make([]byte, 500)})
+		j.RecordMessage(Message{Seq: i + 1, Identity: fmt.Sprint(i), Body: make([]byte, 500)})
 		if i%10 == 9 {
 			synced(t, j)
 		}
 	}
-	// As a crash leaves it, with one bit flipped. In the last group that cannot be
-	// told from a torn end.
+	// Copies the directory as a crash would leave it, with one bit flipped. A flip in the
+	// last group can't be told from a torn end, so it is not tried.
 	copied := func(flip int) (to string, size int) {
 		to = t.TempDir()
 		files, _ := filepath.Glob(filepath.Join(dir, "*"))
@@ -232,14 +235,14 @@
 	for at := 100; at < size-2*10*600; at += 4777 {
 		to, _ := copied(at)
 		flips++
-		if k, kept, err := Open(Options{Dir: to, Queue: 1}); err == nil {
+		if k, kept, err := Open(Options{Dir: to, MaxQueued: 1}); err == nil {
 			unseen++
 			t.Logf("bit at %d of %d: opened with %d messages", at, size, len(kept.Messages))
 			_ = k.Close()
 		}
 	}
 	if flips < 15 || unseen > 0 {
-		t.Errorf("%d of %d flips were not seen", unseen, flips)
+		t.Errorf("%d of %d flips were not detected", unseen, flips)
 	}
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
@@ -247,7 +250,7 @@
 	other := t.TempDir()
 	k, _ := open(t, Options{Dir: other})
 	k.run.Version = Version + 1
-	k.put(op{key: []byte{kindRun, 0, 0, 0, 9}, value: encode(k.run)})
+	k.enqueue(op{key: []byte{kindRun, 0, 0, 0, 9}, value: encode(k.run)})
 	if err := k.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -261,28 +264,29 @@
 	}
 }
 
-// Past its bound on disk there is no room, and what ends makes room again.
+// Guards against a journal that grows past its limit on disk use, or that refuses messages
+// for good: HasRoom reports false above the limit, and true again once messages have ended.
 func TestBound(t *testing.T) {
-	// Well above the logs that the library keeps to write anew, 16 MB each; nothing
-	// that it could compress.
-	j, _ := open(t, Options{Dir: t.TempDir(), Most: 96 << 20, Queue: 1 << 30})
+	// The limit is well above the log files that pebble keeps for reuse, 16 MB each. The
+	// bodies can't be compressed.
+	j, _ := open(t, Options{Dir: t.TempDir(), MaxBytes: 96 << 20, MaxQueued: 1 << 30})
 	body := make([]byte, 100_000)
 	chance := rand.New(rand.NewPCG(1, 1))
 	for i := range body {
 		body[i] = byte(chance.Uint32())
 	}
 	for i := range uint64(1600) {
-		j.Taken(Message{Seq: i + 1, Identity: fmt.Sprint(i), Body: body})
+		j.RecordMessage(Message{Seq: i + 1, Identity: fmt.Sprint(i), Body: body})
 		if i%100 == 99 {
 			synced(t, j)
 		}
 	}
 	synced(t, j)
-	if j.Stats(); j.Room(0) {
-		t.Error("room past the bound")
+	if j.Stats(); j.HasRoom(0) {
+		t.Error("HasRoom reports true above the limit")
 	}
 	for i := range uint64(1600) {
-		j.Ended(End{Seq: i + 1, Identity: fmt.Sprint(i)})
+		j.RecordEnd(End{Seq: i + 1, Identity: fmt.Sprint(i)})
 		j.Forget(fmt.Sprint(i))
 	}
 	synced(t, j)
@@ -291,11 +295,11 @@
 	}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		_ = j.db.Compact(t.Context(), []byte{0}, []byte{255}, false)
-		if j.Stats(); j.Room(0) {
+		if j.Stats(); j.HasRoom(0) {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("never room again: %+v", j.Stats())
+			t.Fatalf("HasRoom still reports false 20 s after all messages ended: %+v", j.Stats())
 		}
 	}
 	if err := j.Close(); err != nil {
@@ -303,23 +307,24 @@
 	}
 }
 
-// What is read again is what was written.
-func TestReadAgain(t *testing.T) {
+// Guards against records that change between writing and reading, and against runs that
+// pile up in the journal.
+func TestRecordsSurviveReopen(t *testing.T) {
 	dir := t.TempDir()
 	j, _ := open(t, Options{Dir: dir})
-	m := Message{Seq: 7, Identity: "i", Source: "s", Class: "c", Partner: "p", Key: "k", At: j.Stamp(), Left: 5, Head: []byte("h"),
-		Body: []byte("b"), Front: "f", Way: []byte("w")}
-	j.Taken(m)
-	j.Ended(End{Seq: 6, Identity: "e", Verdict: 2, After: 3, At: j.Stamp()})
+	m := Message{Seq: 7, Identity: "i", Source: "s", Class: "c", Partner: "p", Key: "k", At: j.Stamp(), Remaining: 5,
+		Head: []byte("h"), Body: []byte("b"), Front: "f", Way: []byte("w")}
+	j.RecordMessage(m)
+	j.RecordEnd(End{Seq: 6, Identity: "e", Verdict: 2, After: 3, At: j.Stamp()})
 	j.Handed("e")
 	_ = j.Close()
 	j, k := open(t, Options{Dir: dir})
 	defer func() { _ = j.Close() }()
-	if len(k.Messages) != 1 || !reflect.DeepEqual(k.Messages[0], m) || len(k.Ends) != 1 || !k.Ends[0].Handed || k.Last != 7 ||
-		k.Now.Number != 2 || len(k.Runs) != 2 {
+	if len(k.Messages) != 1 || !reflect.DeepEqual(k.Messages[0], m) || len(k.Ends) != 1 || !k.Ends[0].Handed ||
+		k.LastSeq != 7 || k.ThisRun.Number != 2 || len(k.Runs) != 2 {
 		t.Errorf("%+v", k)
 	}
-	// Runs that no record is dated by are not kept for ever.
+	// Runs that no record refers to are deleted.
 	for range 5 {
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
@@ -330,14 +335,15 @@
 	}
 }
 
-// 100,000 held messages: until they are read, with the memory that takes.
+// BenchmarkRecover measures the time and memory to open a journal with 100,000 messages.
 func BenchmarkRecover(b *testing.B) {
 	dir := b.TempDir()
-	j, _ := open(b, Options{Dir: dir, Queue: 1 << 30})
+	j, _ := open(b, Options{Dir: dir, MaxQueued: 1 << 30})
 	for i := range uint64(100_000) {
-		j.Taken(Message{Seq: i + 1, Identity: fmt.Sprint("identity ", i), Class: "charge", Partner: "p", Body: make([]byte, 256)})
+		j.RecordMessage(Message{Seq: i + 1, Identity: fmt.Sprint("identity ", i), Class: "charge", Partner: "p",
+			Body: make([]byte, 256)})
 		if i%3 == 0 {
-			j.Tried(Attempt{Seq: i + 1, Host: "127.0.0.1:1"})
+			j.RecordAttempt(Attempt{Seq: i + 1, Host: "127.0.0.1:1"})
 		}
 	}
 	_ = j.Close()
--- a/internal/journal/log.go
+++ b/internal/journal/log.go
@@ -20,136 +20,142 @@
 	"golang.org/x/sys/unix"
 )
 
-// Log is a journal of bounded size for a small folder: segments that are written
-// from end to end, checksummed records, and the live records of the oldest segment
-// carried forward before it is removed. It survives the process, not the machine:
-// nothing is synced, and a record is on disk once write(2) has taken it.
+// Log is a journal of bounded size for a small folder. It appends checksummed records to
+// segment files. To free space, it copies the live records of the oldest segment to the
+// end of the log and then removes that segment.
 //
-// A record that something is over is never carried forward: what it ends stands
-// in the same segment or in an older one, and is gone with or before it.
+// Log survives the end of the process, not of the machine: it never syncs, and a record
+// counts as on disk once write(2) has accepted all of it, which is enough against
+// SIGKILL. If a write fails, its record and those after it wait in memory, in order, and
+// are tried again. The index of live records changes when a record is on disk, not when
+// it is submitted. If the process is killed in the middle of a write, the next start
+// truncates the partial record.
 //
-// What "on disk" means: against SIGKILL, that write(2) has taken the whole record.
-// Against a write that fails, that it has succeeded: records that fail wait in memory,
-// in order, and the tables of what is live change when a record is on disk, not when it
-// is handed in. A record of which a kill left a part is cut off at the next start.
+// A record that ends another one is never copied: the record that it ends is in the same
+// segment or in an older one, and so is removed with it or before it.
 //
 // It is safe for concurrent use.
 type Log struct {
-	dir    string
-	most   int64 // bytes of all files, each in whole blocks
-	seg    int64 // bytes after which a segment is full
-	clocks func() (Run, error)
-	epoch  time.Time // when run's clocks were read
-	run    Run
-
-	mu      sync.Mutex
-	files   []*segment // oldest first; the last one is written
-	live    map[string]*place
-	seqs    map[uint64][]string // keys of a message and its attempts
-	ends    map[string]End      // by key
-	forget  map[string]bool     // of them those to be dropped once they are handed over
-	owes    func(verdict uint8) bool
-	big     int64           // bytes of the longest record
-	lives   int64           // bytes of live records
-	waiting []record        // that could not be written yet, in order
-	behind  map[uint64]int  // of them, by message
-	noted   map[string]bool // hosts with a wait that was handed in and is not gone
-	done    []func()
-	caught  func()    // told that records which waited were written; may be nil
-	since   time.Time // of the oldest record that waits
-	retry   *time.Timer
-	closed  bool
-	failed  func(error)
-	healed  func(time.Duration)
-	stats   Stats
-}
-
-// segment is one file.
+	dir          string
+	maxBytes     int64 // limit on the size of all files, each rounded up to whole blocks
+	segmentBytes int64 // size at which a segment is full
+	readClocks   func() (Run, error)
+	epoch        time.Time // when the clocks of run were read
+	run          Run
+
+	mu               sync.Mutex
+	files            []*segment               // oldest first; records are appended to the last one
+	live             map[string]*location     // index of the live records, by key
+	messageKeys      map[uint64][]string      // keys of the records of a message and its attempts
+	ends             map[string]End           // final answers by key
+	forgetOnceHanded map[string]bool          // keys of final answers to be forgotten once the client has them
+	needsNotice      func(verdict uint8) bool // see LogOptions
+	longestRecord    int64                    // size of the longest record
+	liveBytes        int64                    // size of all live records
+	waiting          []record                 // records that couldn't be written yet, in order
+	waitingByMessage map[uint64]int           // number of waiting records, by message
+	waitHosts        map[string]bool          // hosts with a recorded wait that hasn't been deleted
+	callbacks        []func()                 // to be called once nothing waits
+	onProgress       func()                   // called when waiting records were written; may be nil
+	waitingSince     time.Time                // when the oldest waiting record was submitted
+	retryTimer       *time.Timer
+	closed           bool
+	onWriteError     func(error)
+	onRecovered      func(time.Duration)
+	stats            Stats
+}
+
+// segment is one file of a Log.
 type segment struct {
-	n    uint64
-	f    *os.File
-	size int64    // bytes of whole records
-	torn int64    // parts of records have been written up to here since the last cut; 0 for none
-	keys []string // of records written here, live or not, in order
+	number     uint64 // number, also the name of the file
+	file       *os.File
+	size       int64    // size of the whole records
+	partialEnd int64    // end of partial records written since the last truncation; 0 for none
+	keys       []string // keys of all records written here, live or not, in order
 }
 
-// record is one on its way to disk, with what becomes true once it is there.
+// record is a record to be written, with the changes to the index that follow from it.
 type record struct {
-	kind  byte
-	key   string
-	of    uint64 // number of the message that it is about; 0 for none
-	seq   uint64 // of the message that it ends; 0 for none
-	stays bool   // it is not carried forward: nobody waits for the answer that it tells
-	frame []byte // as it is written
+	kind        byte
+	key         string
+	messageSeq  uint64 // number of the message that the record is about; 0 for none
+	endedSeq    uint64 // number of the message that the record ends; 0 for none
+	discardable bool   // not copied to newer segments: nobody waits for the final answer that it holds
+	frame       []byte // bytes to be written
 }
 
-// place is where a live record stands.
-type place struct {
+// location is the position of a live record.
+type location struct {
 	in     *segment
-	at     int64
+	offset int64 // offset in the file
 	length int64
 }
 
 const (
-	block     = 512 // files count in whole blocks
-	segments  = 12  // a full log has about so many
-	frame     = 8   // length and checksum before each record
-	suffix    = ".log"
-	retryWait = 5 * time.Millisecond
-	longest   = 1 << 20 // bytes of a record that is believed
+	blockSize      = 512 // bytes; the size of a file is rounded up to whole blocks
+	targetSegments = 12  // approximate number of segments of a full log
+	headerSize     = 8   // bytes of length and checksum before each record
+	segmentSuffix  = ".log"
+	retryInterval  = 5 * time.Millisecond // pause after a failed write
+	maxRecordBytes = 1 << 20              // bytes; a longer length field counts as damage
 )
 
-// Kinds of log records beside those of keys: a message is over; a record is gone.
+// Kinds of log records that have no key of their own: a message has ended without a
+// final answer that must be stored; the record of a key is deleted.
 const (
-	kindOver = 'o'
-	kindGone = 'x'
+	kindMessageEnded = 'o'
+	kindDeleted      = 'x'
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrSmall says that a folder's bound leaves no room for a journal.
-var ErrSmall = errors.New("journal: the bound is too small for one segment and its successor")
+// ErrTooSmall reports that the limit on the size of a folder leaves no room for a journal.
+var ErrTooSmall = errors.New("journal: size limit is too small for one segment and its successor")
 
-// LogOptions of a Log.
+// LogOptions configures a Log.
 type LogOptions struct {
-	Dir  string
-	Most int64 // bytes that the folder may hold
-	// Owes tells of which final answers somebody must hear; the others need no Handed.
-	Owes func(verdict uint8) bool
-	// Failed is told of writes that fail, which are tried again; nothing is taken meanwhile.
-	Failed func(error)
-	// Recovered is told that all records are written again, and how long the oldest had
-	// waited; may be nil.
-	Recovered func(waited time.Duration)
-	// Clocks reads those of the machine; nil for Clocks.
-	Clocks func() (Run, error)
-}
-
-// OpenLog opens or makes the journal in a folder. What a crash tore off at the end is cut
-// off; a segment with a record that cannot be read is read up to it, and damaged tells of
-// it. On an error nothing is held open and the folder is as it was, so that it may be
-// tried again.
-func OpenLog(opt LogOptions) (_ *Log, _ *Kept, damaged error, err error) {
+	Dir      string
+	MaxBytes int64 // limit on the bytes in the folder
+	// NeedsNotice reports whether a client must learn of final answers with a verdict. The
+	// other answers count as handed over from the start.
+	NeedsNotice func(verdict uint8) bool
+	// OnWriteError is called when a write fails. The write is tried again, and HasRoom reports
+	// false until it succeeds.
+	OnWriteError func(error)
+	// OnRecovered is called when no record waits any more after a failed write, with the
+	// time that the oldest one had waited; may be nil.
+	OnRecovered func(waited time.Duration)
+	// ReadClocks returns a run that starts now; nil for the clocks of the machine.
+	ReadClocks func() (Run, error)
+}
+
+// OpenLog opens or creates the journal in a folder and returns what it holds. A partial
+// record at the end, left by a crash, is truncated. A segment with a record that can't be
+// read is read up to that record; damaged reports such segments unless it is the newest
+// one. On an error no file is left open and the folder is as before, so that the caller
+// may try again.
+func OpenLog(opt LogOptions) (_ *Log, _ *Contents, damaged error, err error) {
 	dir := opt.Dir
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, nil, fmt.Errorf("journal: %w", err)
 	}
-	if opt.Clocks == nil {
-		opt.Clocks = Clocks
+	if opt.ReadClocks == nil {
+		opt.ReadClocks = ReadClocks
 	}
-	l := &Log{dir: dir, most: opt.Most - opt.Most/16, clocks: opt.Clocks, live: map[string]*place{}, seqs: map[uint64][]string{},
-		ends: map[string]End{}, forget: map[string]bool{}, noted: map[string]bool{}, behind: map[uint64]int{}, owes: opt.Owes, failed: opt.Failed,
-		healed: opt.Recovered}
-	if l.seg = l.most / segments; l.seg < 8*block {
-		return nil, nil, nil, fmt.Errorf("%w: %d bytes", ErrSmall, opt.Most)
+	l := &Log{dir: dir, maxBytes: opt.MaxBytes - opt.MaxBytes/16, readClocks: opt.ReadClocks,
+		live: map[string]*location{}, messageKeys: map[uint64][]string{}, ends: map[string]End{},
+		forgetOnceHanded: map[string]bool{}, waitHosts: map[string]bool{}, waitingByMessage: map[uint64]int{},
+		needsNotice: opt.NeedsNotice, onWriteError: opt.OnWriteError, onRecovered: opt.OnRecovered}
+	if l.segmentBytes = l.maxBytes / targetSegments; l.segmentBytes < 8*blockSize {
+		return nil, nil, nil, fmt.Errorf("%w: %d bytes", ErrTooSmall, opt.MaxBytes)
 	}
-	if l.run, err = l.clocks(); err != nil {
+	if l.run, err = l.readClocks(); err != nil {
 		return nil, nil, nil, fmt.Errorf("journal: %w", err)
 	}
 	l.epoch = time.Now()
 	defer func() {
 		if err != nil {
-			l.closeAll()
+			l.closeFiles()
 			err = fmt.Errorf("journal: %w", err)
 		}
 	}()
@@ -157,14 +163,15 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	k := &Kept{Runs: map[uint32]Run{}, Attempts: map[uint64][]Attempt{}}
-	r := &reader{l: l, runs: k.Runs, messages: map[uint64]Message{}, attempts: map[string]Attempt{}, waits: map[string]Wait{}}
+	k := &Contents{Runs: map[uint32]Run{}, Attempts: map[uint64][]Attempt{}}
+	r := &reader{l: l, runs: k.Runs, messages: map[uint64]Message{},
+		attempts: map[string]Attempt{}, waits: map[string]Wait{}}
 	for i, name := range names {
-		n, err := strconv.ParseUint(strings.TrimSuffix(filepath.Base(name), suffix), 16, 64)
+		n, err := strconv.ParseUint(strings.TrimSuffix(filepath.Base(name), segmentSuffix), 16, 64)
 		if err != nil {
-			continue // not one of ours
+			continue // not a file of the log
 		}
-		torn, err := r.segment(name, n)
+		torn, err := r.readSegment(name, n)
 		if err != nil {
 			return nil, nil, nil, err
 		}
@@ -176,14 +183,14 @@
 	for n := range k.Runs {
 		l.run.Number = max(l.run.Number, n+1)
 	}
-	r.kept(k)
+	r.fillContents(k)
 	for n := range k.Runs {
-		if !k.refers(n) {
+		if !k.refersTo(n) {
 			delete(k.Runs, n)
-			l.drop(string(runKey(n)))
+			l.unindex(string(runKey(n)))
 		}
 	}
-	k.Now, k.Runs[l.run.Number] = l.run, l.run
+	k.ThisRun, k.Runs[l.run.Number] = l.run, l.run
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.files) == 0 {
@@ -192,14 +199,14 @@
 		}
 	}
 	for _, w := range k.Waits {
-		l.noted[w.Host] = true
+		l.waitHosts[w.Host] = true
 	}
 	l.put(newRecord(kindRun, runKey(l.run.Number), encode(l.run)))
 	return l, k, damaged, nil
 }
 
-// segmentFiles are the paths of a folder's segments, the oldest first. That the folder
-// cannot be read is an error, and does not count as a folder without any.
+// segmentFiles returns the paths of a folder's segments, the oldest first. A folder that
+// can't be read is an error, so that it isn't taken for an empty one.
 func segmentFiles(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir) // sorted by name
 	if err != nil {
@@ -207,55 +214,56 @@
 	}
 	var names []string
 	for _, e := range entries {
-		if strings.HasSuffix(e.Name(), suffix) {
+		if strings.HasSuffix(e.Name(), segmentSuffix) {
 			names = append(names, filepath.Join(dir, e.Name()))
 		}
 	}
 	return names, nil
 }
 
-// reader takes in segments.
+// reader reads the segments of a log when it is opened.
 type reader struct {
 	l        *Log
 	runs     map[uint32]Run
 	messages map[uint64]Message
-	attempts map[string]Attempt
-	waits    map[string]Wait
-	last     uint64
+	attempts map[string]Attempt // by key
+	waits    map[string]Wait    // by key
+	lastSeq  uint64             // highest number of a message
 }
 
-// segment reads one file and cuts off what cannot be read at its end.
-func (r *reader) segment(name string, n uint64) (torn, err error) {
+// readSegment reads one file up to the first record that can't be read, and truncates it
+// there. The error torn says what is wrong with that record.
+func (r *reader) readSegment(name string, n uint64) (torn, err error) {
 	f, err := os.OpenFile(name, os.O_RDWR, 0)
 	if err != nil {
 		return nil, err
 	}
-	s := &segment{n: n, f: f}
+	s := &segment{number: n, file: f}
 	r.l.files = append(r.l.files, s)
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
 	}
 	for rest := data; len(rest) > 0; {
-		if len(rest) < frame {
-			torn = errors.New("a record without its head")
+		if len(rest) < headerSize {
+			torn = errors.New("record header is incomplete")
 			break
 		}
 		length := int64(binary.BigEndian.Uint32(rest))
-		if length < 3 || length > longest || length > int64(len(rest)-frame) {
-			torn = errors.New("a record without its end")
+		if length < 3 || length > maxRecordBytes || length > int64(len(rest)-headerSize) {
+			torn = errors.New("record is incomplete, or its length is out of range")
 			break
 		}
-		payload := rest[frame : frame+length]
+		payload := rest[headerSize : headerSize+length]
 		if binary.BigEndian.Uint32(rest[4:]) != crc32.Checksum(payload, castagnoli) {
-			torn = errors.New("a record whose checksum does not hold")
+			torn = errors.New("record checksum does not match")
 			break
 		}
-		if torn = r.record(s, payload, frame+length); torn != nil {
+		if torn = r.readRecord(s, payload, headerSize+length); torn != nil {
 			break
 		}
-		s.size += frame + length
-		rest = rest[frame+length:]
+		s.size += headerSize + length
+		rest = rest[headerSize+length:]
 	}
 	if torn != nil {
 		err = f.Truncate(s.size)
@@ -263,25 +271,26 @@
 	return torn, err
 }
 
-// record takes in one: kind, length of the key, key, value.
-func (r *reader) record(s *segment, payload []byte, size int64) error {
+// readRecord reads one record and applies it. The payload is the kind (1 byte), the length
+// of the key (2 bytes), the key and the value.
+func (r *reader) readRecord(s *segment, payload []byte, size int64) error {
 	kind := payload[0]
 	length := int(binary.BigEndian.Uint16(payload[1:]))
 	if length > len(payload)-3 {
-		return errors.New("a record without its key")
+		return errors.New("record key is incomplete")
 	}
 	key, value := string(payload[3:3+length]), payload[3+length:]
 	l := r.l
 	var err error
 	switch kind {
-	case kindOver:
+	case kindMessageEnded:
 		seq := binary.BigEndian.Uint64([]byte(key))
-		r.last = max(r.last, seq)
-		l.over(seq)
+		r.lastSeq = max(r.lastSeq, seq)
+		l.unindexMessage(seq)
 		delete(r.messages, seq)
 		return nil
-	case kindGone:
-		l.drop(key)
+	case kindDeleted:
+		l.unindex(key)
 		delete(r.waits, key)
 		delete(l.ends, key)
 		return nil
@@ -294,19 +303,19 @@
 	case kindMessage:
 		var x Message
 		err = cbor.Unmarshal(value, &x)
-		r.messages[x.Seq], r.last = x, max(r.last, x.Seq)
+		r.messages[x.Seq], r.lastSeq = x, max(r.lastSeq, x.Seq)
 	case kindAttempt:
 		var x Attempt
 		err = cbor.Unmarshal(value, &x)
-		r.attempts[key], r.last = x, max(r.last, x.Seq)
+		r.attempts[key], r.lastSeq = x, max(r.lastSeq, x.Seq)
 	case kindEnd:
 		var x End
 		err = cbor.Unmarshal(value, &x)
-		l.ends[key], r.last = x, max(r.last, x.Seq)
-		l.over(x.Seq)
+		l.ends[key], r.lastSeq = x, max(r.lastSeq, x.Seq)
+		l.unindexMessage(x.Seq)
 		delete(r.messages, x.Seq)
 		if x.Handed {
-			l.drop(key)
+			l.unindex(key)
 			return err
 		}
 	case kindWait:
@@ -314,18 +323,18 @@
 		err = cbor.Unmarshal(value, &x)
 		r.waits[key] = x
 	default:
-		err = fmt.Errorf("a record of kind %q", kind)
+		err = fmt.Errorf("unknown kind of record %q", kind)
 	}
 	if err != nil {
 		return err
 	}
-	l.note(s, key, size)
+	l.indexRecord(s, key, size)
 	return nil
 }
 
-// kept is what stands after all was read.
-func (r *reader) kept(k *Kept) {
-	k.Last = r.last
+// fillContents sets what the log holds, after all segments were read.
+func (r *reader) fillContents(k *Contents) {
+	k.LastSeq = r.lastSeq
 	for _, m := range r.messages {
 		k.Messages = append(k.Messages, m)
 	}
@@ -336,7 +345,7 @@
 		if _, held := r.messages[a.Seq]; held {
 			k.Attempts[a.Seq] = append(k.Attempts[a.Seq], a)
 		} else {
-			r.l.drop(key) // of a message whose record is damaged
+			r.l.unindex(key) // the message's own record is damaged
 		}
 	}
 	for _, list := range k.Attempts {
@@ -350,51 +359,55 @@
 	}
 }
 
-// note books a record that was written as the live one of its key.
-func (l *Log) note(s *segment, key string, size int64) {
+// indexRecord enters a record in the index as the live one of its key. It must be called
+// before the size of the segment is advanced past the record.
+func (l *Log) indexRecord(s *segment, key string, size int64) {
 	if kind := key[0]; l.live[key] == nil && (kind == kindMessage || kind == kindAttempt) {
 		seq := binary.BigEndian.Uint64([]byte(key[1:]))
-		l.seqs[seq] = append(l.seqs[seq], key)
+		l.messageKeys[seq] = append(l.messageKeys[seq], key)
 	}
-	l.drop(key)
-	l.live[key] = &place{s, s.size, size}
-	l.lives += size
+	l.unindex(key)
+	l.live[key] = &location{s, s.size, size}
+	l.liveBytes += size
 	s.keys = append(s.keys, key)
 }
 
-func (l *Log) drop(key string) {
+// unindex removes the record of a key from the index.
+func (l *Log) unindex(key string) {
 	if p := l.live[key]; p != nil {
-		l.lives -= p.length
+		l.liveBytes -= p.length
 		delete(l.live, key)
 	}
 }
 
-// over drops a message and its attempts.
-func (l *Log) over(seq uint64) {
-	for _, key := range l.seqs[seq] {
-		l.drop(key)
+// unindexMessage removes the records of a message and its attempts from the index.
+func (l *Log) unindexMessage(seq uint64) {
+	for _, key := range l.messageKeys[seq] {
+		l.unindex(key)
 	}
-	delete(l.seqs, seq)
+	delete(l.messageKeys, seq)
 }
 
-// Clocks reads those of the machine. Ages across a restart are taken from the monotonic one,
-// which nobody sets; the wall clock counts only after a new start of the machine.
-func Clocks() (Run, error) {
+// ReadClocks returns a run that starts now, by the clocks of the machine. Ages across a
+// restart of the process are computed by the monotonic clock, since it can't be set. The
+// wall clock is used only if the machine has rebooted.
+func ReadClocks() (Run, error) {
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return Run{}, err
 	}
 	var t syscall.Timespec
-	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, unix.CLOCK_MONOTONIC, uintptr(unsafe.Pointer(&t)), 0); errno != 0 {
+	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, unix.CLOCK_MONOTONIC, uintptr(unsafe.Pointer(&t)),
+		0); errno != 0 {
 		return Run{}, errno
 	}
 	return Run{Boot: strings.TrimSpace(string(boot)), Clock: t.Nano(), Wall: time.Now().UnixNano()}, nil
 }
 
-// Stamp is the moment now.
+// Stamp returns the current time.
 func (l *Log) Stamp() Stamp { return Stamp{l.run.Number, l.run.Clock + int64(time.Since(l.epoch))} }
 
-// Now is this run with its clocks as they stand.
+// Now returns the current run with the clocks as they stand now instead of at its start.
 func (l *Log) Now() Run {
 	now := l.run
 	passed := int64(time.Since(l.epoch))
@@ -402,57 +415,59 @@
 	return now
 }
 
-// Room tells whether a message of that size may be taken: live records may fill
-// half of the bound, so that carrying them forward always frees the other half.
-func (l *Log) Room(bytes int) bool {
+// HasRoom reports whether a message of a size may be accepted. Live records may fill half of
+// the size limit, so that copying them to new segments always frees the other half.
+func (l *Log) HasRoom(bytes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.waiting) == 0 && !l.closed && l.lives+int64(bytes)+2*block < l.most/2
+	return len(l.waiting) == 0 && !l.closed && l.liveBytes+int64(bytes)+2*blockSize < l.maxBytes/2
 }
 
-// Taken records a message.
-func (l *Log) Taken(m Message) {
+// RecordMessage records an accepted message.
+func (l *Log) RecordMessage(m Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := newRecord(kindMessage, seqKey(kindMessage, m.Seq), encode(m))
-	r.of = m.Seq
+	r.messageSeq = m.Seq
 	l.put(r)
 }
 
-// Tried records an attempt, before it is sent and again when it is clear.
-func (l *Log) Tried(a Attempt) {
+// RecordAttempt records an attempt before it is sent, and again with NeverRan set when it
+// is certain that the host never processed it.
+func (l *Log) RecordAttempt(a Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := newRecord(kindAttempt, attemptKey(a.Seq, a.N), encode(a))
-	r.of = a.Seq
+	r.messageSeq = a.Seq
 	l.put(r)
 }
 
-// Ended records a final answer, in place of message and attempts. One that nobody
-// waits for is not carried forward: it stands while there is room.
-func (l *Log) Ended(e End) {
+// RecordEnd records a final answer, which replaces the records of the message and its
+// attempts. An answer that no client waits for is not copied to newer segments: it lasts
+// until its segment is removed.
+func (l *Log) RecordEnd(e End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e.Identity == "" {
-		r := newRecord(kindOver, binary.BigEndian.AppendUint64(nil, e.Seq), nil)
-		r.seq = e.Seq
+		r := newRecord(kindMessageEnded, binary.BigEndian.AppendUint64(nil, e.Seq), nil)
+		r.endedSeq = e.Seq
 		l.put(r)
 		return
 	}
-	e.Handed = e.Handed || !l.owes(e.Verdict)
-	l.end(e)
+	e.Handed = e.Handed || !l.needsNotice(e.Verdict)
+	l.putEnd(e)
 }
 
-// end hands in the record of a final answer.
-func (l *Log) end(e End) {
+// putEnd submits the record of a final answer.
+func (l *Log) putEnd(e End) {
 	key := textKey(kindEnd, e.Identity)
 	l.ends[string(key)] = e
 	r := newRecord(kindEnd, key, encode(e))
-	r.of, r.seq, r.stays = e.Seq, e.Seq, e.Handed
+	r.messageSeq, r.endedSeq, r.discardable = e.Seq, e.Seq, e.Handed
 	l.put(r)
 }
 
-// Handed records that whoever was owed the answer has it.
+// Handed records that the client has the final answer of an identity.
 func (l *Log) Handed(identity string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -462,65 +477,68 @@
 		return
 	}
 	e.Handed = true
-	l.end(e)
-	if l.forget[string(key)] {
-		delete(l.forget, string(key))
+	l.putEnd(e)
+	if l.forgetOnceHanded[string(key)] {
+		delete(l.forgetOnceHanded, string(key))
 		delete(l.ends, string(key))
 	}
 }
 
-// Forget drops an ended identity; one whose answer is still owed, once it is Handed.
+// Forget drops the final answer of an identity. If a client still waits for the answer, it
+// is dropped after the call of Handed.
 func (l *Log) Forget(identity string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := textKey(kindEnd, identity)
 	if e, ok := l.ends[string(key)]; ok && !e.Handed {
-		l.forget[string(key)] = true
+		l.forgetOnceHanded[string(key)] = true
 		return
 	}
 	delete(l.ends, string(key))
 }
 
-// Waits records what is in force at an endpoint; one without anything goes.
-func (l *Log) Waits(w Wait) {
+// RecordWait records the state of an endpoint. If no wait is left and the endpoint doesn't
+// fail, its record is deleted.
+func (l *Log) RecordWait(w Wait) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := textKey(kindWait, w.Host)
-	if w.Left > 0 || w.Failing {
-		l.noted[w.Host] = true
+	if w.Remaining > 0 || w.Failing {
+		l.waitHosts[w.Host] = true
 		l.put(newRecord(kindWait, key, encode(w)))
-	} else if l.noted[w.Host] {
-		delete(l.noted, w.Host)
-		l.put(newRecord(kindGone, key, nil))
+	} else if l.waitHosts[w.Host] {
+		delete(l.waitHosts, w.Host)
+		l.put(newRecord(kindDeleted, key, nil))
 	}
 }
 
-// Session is not kept: no front of a small folder has sessions.
+// Session does nothing: the fronts that use a Log have no sessions.
 func (l *Log) Session(string, string, []byte) {}
 
-// Then returns true where all that was handed in is on disk; else it calls done
-// once it is.
-func (l *Log) Then(done func()) bool {
+// WhenWritten returns true, without calling done, if all submitted records are on disk.
+// Otherwise it returns false and calls done once they are.
+func (l *Log) WhenWritten(done func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.waiting) == 0 {
 		return true
 	}
-	l.done = append(l.done, done)
+	l.callbacks = append(l.callbacks, done)
 	return false
 }
 
-// newRecord frames a record.
+// newRecord returns a record with its frame: length, checksum and payload.
 func newRecord(kind byte, key, value []byte) record {
-	b := make([]byte, frame, frame+3+len(key)+len(value))
+	b := make([]byte, headerSize, headerSize+3+len(key)+len(value))
 	b = append(b, kind, byte(len(key)>>8), byte(len(key)))
 	b = append(append(b, key...), value...)
-	binary.BigEndian.PutUint32(b, uint32(len(b)-frame))
-	binary.BigEndian.PutUint32(b[4:], crc32.Checksum(b[frame:], castagnoli))
+	binary.BigEndian.PutUint32(b, uint32(len(b)-headerSize))
+	binary.BigEndian.PutUint32(b[4:], crc32.Checksum(b[headerSize:], castagnoli))
 	return record{kind: kind, key: string(key), frame: b}
 }
 
-// put writes one record, or lets it wait behind those that could not be written.
+// put writes a record. If that fails, or if other records wait to be written, the record
+// is appended to those.
 func (l *Log) put(r record) {
 	if l.closed {
 		return
@@ -532,49 +550,50 @@
 		if err == nil {
 			return
 		}
-		l.failed(fmt.Errorf("journal: nothing is taken until this is written: %w", err))
+		l.onWriteError(fmt.Errorf("journal: write failed; no message is accepted until it succeeds: %w", err))
 	}
 	if len(l.waiting) == 0 {
-		l.since = time.Now()
+		l.waitingSince = time.Now()
 	}
 	l.waiting = append(l.waiting, r)
-	l.behind[r.of]++
-	if l.retry == nil {
-		l.retry = time.AfterFunc(retryWait, l.again)
+	l.waitingByMessage[r.messageSeq]++
+	if l.retryTimer == nil {
+		l.retryTimer = time.AfterFunc(retryInterval, l.retryWrites)
 	}
 }
 
-// caughtUp books that a record does not wait any more.
-func (l *Log) caughtUp(r record) {
-	if l.behind[r.of]--; l.behind[r.of] == 0 {
-		delete(l.behind, r.of)
+// countWritten accounts for a waiting record that has been written.
+func (l *Log) countWritten(r record) {
+	if l.waitingByMessage[r.messageSeq]--; l.waitingByMessage[r.messageSeq] == 0 {
+		delete(l.waitingByMessage, r.messageSeq)
 	}
 }
 
-// Waiting tells whether a record about a message is not on disk yet.
+// Waiting reports whether a record about a message is not on disk yet.
 func (l *Log) Waiting(seq uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.behind[seq] > 0
+	return l.waitingByMessage[seq] > 0
 }
 
-// Backlogged tells whether any record waits to be written.
+// Backlogged reports whether any record waits to be written.
 func (l *Log) Backlogged() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.waiting) > 0
 }
 
-// Progress has a function called, from any goroutine, each time that records which waited
-// have been written. It is set before the first record is handed in.
+// Progress sets a function that is called, from any goroutine, each time that waiting
+// records have been written. It must be set before the first record is submitted.
 func (l *Log) Progress(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.caught = f
+	l.onProgress = f
 }
 
-// Cancel takes back a message whose own record is not on disk yet, with all that waits
-// about it: no later run will know it. It reports false where the record is on disk.
+// Cancel withdraws a message whose own record is not on disk yet, with all waiting records
+// about it, so that no later run knows the message. It returns false if the record is on
+// disk.
 func (l *Log) Cancel(seq uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -583,36 +602,36 @@
 		return false
 	}
 	l.waiting = slices.DeleteFunc(l.waiting, func(r record) bool {
-		if r.of == seq && r.kind == kindEnd {
+		if r.messageSeq == seq && r.kind == kindEnd {
 			delete(l.ends, r.key)
 		}
-		return r.of == seq
+		return r.messageSeq == seq
 	})
-	delete(l.behind, seq)
+	delete(l.waitingByMessage, seq)
 	return true
 }
 
-// again tries what waits.
-func (l *Log) again() {
+// retryWrites tries to write the waiting records.
+func (l *Log) retryWrites() {
 	l.mu.Lock()
-	l.retry = nil
+	l.retryTimer = nil
 	before := len(l.waiting)
 	for len(l.waiting) > 0 && !l.closed && l.write(l.waiting[0]) == nil {
-		l.caughtUp(l.waiting[0])
+		l.countWritten(l.waiting[0])
 		l.waiting = l.waiting[1:]
 	}
 	var done []func()
-	if (len(l.waiting) < before || len(l.waiting) == 0) && l.caught != nil {
-		done = append(done, l.caught)
+	if (len(l.waiting) < before || len(l.waiting) == 0) && l.onProgress != nil {
+		done = append(done, l.onProgress)
 	}
 	if len(l.waiting) == 0 {
-		done = append(done, l.done...)
-		l.done = nil
-		if l.healed != nil {
-			l.healed(time.Since(l.since))
+		done = append(done, l.callbacks...)
+		l.callbacks = nil
+		if l.onRecovered != nil {
+			l.onRecovered(time.Since(l.waitingSince))
 		}
 	} else if !l.closed {
-		l.retry = time.AfterFunc(retryWait, l.again)
+		l.retryTimer = time.AfterFunc(retryInterval, l.retryWrites)
 	}
 	l.mu.Unlock()
 	for _, f := range done {
@@ -620,83 +639,84 @@
 	}
 }
 
-// write makes room and appends a record.
+// write frees space for a record and appends it.
 func (l *Log) write(r record) error {
-	if err := l.clean(int64(len(r.frame))); err != nil {
+	if err := l.freeSpace(int64(len(r.frame))); err != nil {
 		return err
 	}
 	return l.append(r)
 }
 
-// append writes a record behind the last whole one, and books it once it is down.
+// append writes a record after the last whole one, and updates the index if that succeeds.
 func (l *Log) append(r record) error {
 	s := l.files[len(l.files)-1]
-	if s.size >= l.seg {
+	if s.size >= l.segmentBytes {
 		if err := l.roll(); err != nil {
 			return err
 		}
 		s = l.files[len(l.files)-1]
 	}
 	end := s.size + int64(len(r.frame))
-	if end < s.torn { // what is left of a longer record would stand behind this one
-		if err := s.cut(); err != nil {
+	if end < s.partialEnd { // the rest of a longer partial record would follow this one
+		if err := s.truncate(); err != nil {
 			return err
 		}
 	}
-	if _, err := s.f.WriteAt(r.frame, s.size); err != nil {
-		s.torn = max(s.torn, end) // os.File tells of no byte where a part was written
-		return errors.Join(err, s.cut())
+	if _, err := s.file.WriteAt(r.frame, s.size); err != nil {
+		s.partialEnd = max(s.partialEnd, end) // os.File may report 0 bytes although a part was written
+		return errors.Join(err, s.truncate())
 	}
-	l.book(s, r)
+	l.updateIndex(s, r)
 	s.size = end
-	l.big = max(l.big, int64(len(r.frame)))
+	l.longestRecord = max(l.longestRecord, int64(len(r.frame)))
 	return nil
 }
 
-// cut takes off what a failed write may have left behind the last whole record.
-func (s *segment) cut() error {
-	if s.torn == 0 {
+// truncate removes what a failed write may have left after the last whole record.
+func (s *segment) truncate() error {
+	if s.partialEnd == 0 {
 		return nil
 	}
-	if err := s.f.Truncate(s.size); err != nil {
+	if err := s.file.Truncate(s.size); err != nil {
 		return err
 	}
-	s.torn = 0
+	s.partialEnd = 0
 	return nil
 }
 
-// book brings the tables up to date with a record that is down.
-func (l *Log) book(s *segment, r record) {
+// updateIndex enters a record that is on disk, and removes those that it ends or deletes.
+func (l *Log) updateIndex(s *segment, r record) {
 	switch r.kind {
-	case kindOver:
-		l.over(r.seq)
-	case kindGone:
-		l.drop(r.key)
+	case kindMessageEnded:
+		l.unindexMessage(r.endedSeq)
+	case kindDeleted:
+		l.unindex(r.key)
 	default:
-		l.note(s, r.key, int64(len(r.frame)))
-		if r.seq > 0 {
-			l.over(r.seq)
+		l.indexRecord(s, r.key, int64(len(r.frame)))
+		if r.endedSeq > 0 {
+			l.unindexMessage(r.endedSeq)
 		}
-		if r.stays {
-			l.drop(r.key)
+		if r.discardable {
+			l.unindex(r.key)
 		}
 	}
 }
 
-// used is what the files hold, in whole blocks.
-func (l *Log) used() (n int64) {
+// usedBytes returns the size of the files, each rounded up to whole blocks.
+func (l *Log) usedBytes() (n int64) {
 	for _, s := range l.files {
-		n += (s.size + block - 1) / block * block
+		n += (s.size + blockSize - 1) / blockSize * blockSize
 	}
 	return n
 }
 
-// clean frees room for a record: the live records of the oldest segment go to the
-// end and its file goes, until there is room beside what the next such step needs.
-func (l *Log) clean(bytes int64) error {
+// freeSpace makes space for a record: it copies the live records of the oldest segment to
+// the end of the log and removes the segment, until there is space for the record and for
+// what the next such step needs.
+func (l *Log) freeSpace(bytes int64) error {
 	for range 2 * (len(l.files) + 1) {
 		oldest := l.files[0]
-		if l.used()+bytes+2*block+l.seg+l.big <= l.most {
+		if l.usedBytes()+bytes+2*blockSize+l.segmentBytes+l.longestRecord <= l.maxBytes {
 			return nil
 		}
 		if oldest == l.files[len(l.files)-1] {
@@ -710,73 +730,74 @@
 				continue
 			}
 			b := make([]byte, p.length)
-			if _, err := oldest.f.ReadAt(b, p.at); err != nil {
+			if _, err := oldest.file.ReadAt(b, p.offset); err != nil {
 				return err
 			}
 			if err := l.append(record{kind: key[0], key: key, frame: b}); err != nil {
 				return err
 			}
 		}
-		if err := os.Remove(oldest.f.Name()); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := os.Remove(oldest.file.Name()); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
-		_ = oldest.f.Close()
+		_ = oldest.file.Close()
 		l.files = slices.Delete(l.files, 0, 1)
 	}
-	return fmt.Errorf("journal: %d bytes are live, no room for %d more", l.lives, bytes)
+	return fmt.Errorf("journal: no space left: live records have %d bytes, the new record %d", l.liveBytes, bytes)
 }
 
-// roll begins a new segment.
+// roll starts a new segment.
 func (l *Log) roll() error {
 	n := uint64(1)
 	if len(l.files) > 0 {
 		last := l.files[len(l.files)-1]
-		if err := last.cut(); err != nil {
+		if err := last.truncate(); err != nil {
 			return err
 		}
-		n = last.n + 1
+		n = last.number + 1
 	}
-	f, err := os.OpenFile(filepath.Join(l.dir, fmt.Sprintf("%016x%s", n, suffix)), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	f, err := os.OpenFile(filepath.Join(l.dir, fmt.Sprintf("%016x%s", n, segmentSuffix)),
+		os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	l.files = append(l.files, &segment{n: n, f: f})
+	l.files = append(l.files, &segment{number: n, file: f})
 	return nil
 }
 
-// Sizes are those of the log's tables.
+// Sizes returns the number of entries in the log's tables, by the name of the table.
 func (l *Log) Sizes() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return map[string]int{"live records": len(l.live), "segments": len(l.files), "waiting records": len(l.waiting)}
 }
 
-// Stats tells what was written in this run, and what the files hold.
+// Stats returns what was written in this run, and the size of the files.
 func (l *Log) Stats() Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stats
-	s.Disk = uint64(l.used())
+	s.Disk = uint64(l.usedBytes())
 	return s
 }
 
-func (l *Log) closeAll() {
+func (l *Log) closeFiles() {
 	for _, s := range l.files {
-		_ = s.f.Close()
+		_ = s.file.Close()
 	}
 }
 
-// Close closes the files. What could not be written is lost.
+// Close closes the files. Waiting records are lost, and reported as an error.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	if l.retry != nil {
-		l.retry.Stop()
+	if l.retryTimer != nil {
+		l.retryTimer.Stop()
 	}
-	l.closeAll()
+	l.closeFiles()
 	if n := len(l.waiting); n > 0 {
-		return fmt.Errorf("journal: %d records could not be written", n)
+		return fmt.Errorf("journal: %d records were lost because they could not be written", n)
 	}
 	return nil
 }
--- a/internal/recover/recover.go
+++ b/internal/recover/recover.go
@@ -93,12 +93,12 @@
 
 // Decide computes the plan. keep is the retention of ended identities; cold is how long an
 // endpoint counts as failing after its last call.
-func Decide(k *journal.Kept, classes map[string]Class, partners map[string]bool, keep, cold time.Duration) Plan {
-	clock := Clock{k.Runs, k.Now}
+func Decide(k *journal.Contents, classes map[string]Class, partners map[string]bool, keep, cold time.Duration) Plan {
+	clock := Clock{k.Runs, k.ThisRun}
 	var p Plan
-	if k.Spent != nil {
-		p.Levels = k.Spent.Levels
-		if p.Ago = clock.Age(k.Spent.At); p.Ago == Unknown {
+	if k.Budget != nil {
+		p.Levels = k.Budget.Levels
+		if p.Ago = clock.Age(k.Budget.At); p.Ago == Unknown {
 			p.Ago = 0
 		}
 	}
@@ -126,11 +126,11 @@
 		c, known := classes[m.Class]
 		restored := Message{Message: m}
 		if age := clock.Age(m.At); age < Unknown {
-			restored.Left = max(0, min(time.Duration(m.Left), c.Deadline)-age)
+			restored.Left = max(0, min(time.Duration(m.Remaining), c.Deadline)-age)
 		}
 		for _, a := range k.Attempts[m.Seq] {
 			restored.Attempts = max(restored.Attempts, a.N+1)
-			if a.Clear || restored.Ran {
+			if a.NeverRan || restored.Ran {
 				continue
 			}
 			restored.Ran, restored.Since, restored.Zone, restored.Host = true, clock.Age(a.At), a.Zone, a.Host
@@ -150,9 +150,9 @@
 		wait := Wait{Host: w.Host, Failing: w.Failing && age < cold}
 		switch {
 		case age == Unknown:
-			wait.Left = time.Duration(w.Left)
+			wait.Left = time.Duration(w.Remaining)
 		default:
-			wait.Left = max(0, time.Duration(w.Left)-age)
+			wait.Left = max(0, time.Duration(w.Remaining)-age)
 		}
 		if wait.Left > 0 || wait.Failing {
 			p.Waits = append(p.Waits, wait)
