--- a/internal/lifecycle/call.go
+++ b/internal/lifecycle/call.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Call is the state of one call to a host: it waits for a connection, is written, has ended.
-// It is used under its owner's lock.
+// Call is the state of one call to a host: it waits for a connection, has been written, or has
+// ended. Its owner's lock guards it.
 type Call struct {
 	written bool
 	ended   bool
 }
 
-// MayWrite decides whether a call's first byte may leave now, so long after it was decided.
-// within is how long it may wait for that, 0 for no such time; late tells that this is over.
-// A call that may be written counts as written from then on.
+// MayWrite reports whether the first byte of the call may be written now. waited is the time since
+// the decision to make the call; within bounds that time, 0 for no bound. late reports that the
+// bound has passed. A call that may be written counts as written from then on.
 func (c *Call) MayWrite(waited, within time.Duration) (may, late bool) {
 	switch {
 	case c.ended || c.written:
@@ -23,7 +23,7 @@
 	return true, false
 }
 
-// MayEnd decides whether an outcome counts: the first one does, and none after it.
+// MayEnd reports whether an outcome of the call counts: only the first one does.
 func (c *Call) MayEnd() bool {
 	if c.ended {
 		return false
@@ -32,6 +32,7 @@
 	return true
 }
 
-// Written tells whether bytes may have left; Ended whether there is an outcome.
+// Written reports whether bytes of the call may have been sent, Ended whether the call has an
+// outcome.
 func (c *Call) Written() bool { return c.written }
 func (c *Call) Ended() bool   { return c.ended }
--- a/internal/lifecycle/conduct.go
+++ b/internal/lifecycle/conduct.go
@@ -6,81 +6,83 @@
 	"time"
 )
 
-// Bears is what a call's messages bear.
+// Bears is what the messages of a call require of the connection that carries it.
 type Bears int
 
-// What calls bear.
+// The requirements of calls.
 const (
-	Repeats Bears = iota // a second effect does no harm, and no other message waits for the end
-	Once                 // a second effect does harm, or messages of the same key go after it
+	Repeats Bears = iota // a second effect does no harm, and no other message waits for the end of this one
+	Once                 // a second effect does harm, or messages with the same ordering key follow
 )
 
-// PeerBreach is what is refused of a peer, or of a connection to one.
+// PeerBreach is the reason why an answer or a connection of a peer was refused.
 type PeerBreach string
 
-// The breaches. Their names are those of the count line and of the log.
+// The reasons for refusals. Their values appear as names in the line of counts and in the log.
 const (
-	BytesUnasked    PeerBreach = "bytes_unasked"    // bytes without a call, or behind a whole answer
-	AnswerEarly     PeerBreach = "answer_early"     // an answer to a later call before that was written
-	AnswerForeign   PeerBreach = "answer_foreign"   // an answer that names the messages of another call
-	AnswerDoubtful  PeerBreach = "answer_doubtful"  // an answer to a later call, of a peer that sends what nobody asked for
-	ReuseForbidden  PeerBreach = "reuse_forbidden"  // a connection that has carried its one call
-	ReuseUnrested   PeerBreach = "reuse_unrested"   // a connection that has to rest
-	AnswerRetracted PeerBreach = "answer_retracted" // an answer that was believed until bytes came behind it
+	BytesUnasked    PeerBreach = "bytes_unasked"    // bytes while no call was in progress, or behind a complete answer
+	AnswerEarly     PeerBreach = "answer_early"     // answer before the call was written, not the connection's first
+	AnswerForeign   PeerBreach = "answer_foreign"   // answer that names the messages of another call
+	AnswerDoubtful  PeerBreach = "answer_doubtful"  // answer of a distrusted peer, not the connection's first
+	ReuseForbidden  PeerBreach = "reuse_forbidden"  // connection has already carried the only call it may carry
+	ReuseUnrested   PeerBreach = "reuse_unrested"   // connection has not been idle for long enough
+	AnswerRetracted PeerBreach = "answer_retracted" // answer that was accepted until unsolicited bytes followed it
 )
 
-// PeerRefusal is one thing that was not done with a connection, or not believed of it.
+// PeerRefusal describes one answer of a peer that was not accepted, or one connection that was not
+// used.
 type PeerRefusal struct {
 	Breach     PeerBreach
 	Peer       string
 	Connection uint64
-	Turn       int    // of the connection's calls, the last one
-	Message    string // that call's, empty for none
+	Turn       int    // number of calls on the connection so far
+	Message    string // id of a message of the last call, empty for none
 }
 
 const (
-	// socketGrace is how long sockets and the network may hold bytes up (PROTOCOL).
+	// socketGrace is how long socket buffers and the network may delay bytes (PROTOCOL).
 	socketGrace = 50 * time.Millisecond
-	// A connection rests for twice as long as copies were late, within these bounds.
+	// A connection stays idle for twice the largest delay at which duplicate answers came, within
+	// these bounds.
 	leastRest   = socketGrace
 	longestRest = 2 * time.Second
-	// A peer that broke the protocol is doubted for firstSpell, twice as long after each
-	// further time, longestSpell at most.
+	// A peer that violated the protocol is distrusted for minDistrust at first, twice as long after
+	// each further violation, and for maxDistrust at most.
 	firstSpell   = time.Minute
 	longestSpell = 16 * time.Minute
-	// mostPeers are remembered.
+	// maxPeers bounds the peers that are remembered.
 	mostPeers = 1 << 13
-	// A peer takes no longer than its slowest answer and 1/usualMargin of it, as a rule, and its
-	// answer arrives within the grace. The slowest counts for 1/usualFade less with each further one.
+	// A peer is expected to answer within its slowest recent answer time plus 1/answerTimeMargin of
+	// it, plus socketGrace. The slowest answer time decays by 1/slowestDecay with each further
+	// answer.
 	usualMargin = 2
 	usualFade   = 64
 )
 
-// Conduct is what is known of peers' conduct: which of them sent what nobody asked for, and
-// how long they take to answer. It decides what goes on their connections. It is safe for
-// concurrent use.
+// Conduct records which peers sent unsolicited bytes and how long peers take to answer, and decides
+// from that what their connections may carry. It is safe for concurrent use.
 type Conduct struct {
-	// Refused takes each refusal; it must not block. May be nil.
+	// Refused is called with each refusal and must not block. It may be nil.
 	Refused func(PeerRefusal)
-	// Off trusts every peer, for tests that must fail.
+	// Off makes every peer trusted, for tests that must then fail.
 	Off bool
 
 	mu     sync.Mutex
 	peers  map[string]*peerConduct
-	groups map[int]time.Duration // peers of one destination: doubted until then
-	late   time.Duration         // copies came so late at most
-	until  time.Duration         // some peer is doubted until then
+	groups map[int]time.Duration // by destination: when the last of its distrusted peers is trusted again
+	late   time.Duration         // largest delay of a duplicate answer behind the answer before it
+	until  time.Duration         // when the last distrusted peer is trusted again
 	counts map[PeerBreach]int
 }
 
-// peerConduct is that of one peer.
+// peerTrust is what is known of one peer.
 type peerConduct struct {
-	until   time.Duration // it is doubted until then
-	spell   time.Duration // for so long the last time
-	slowest time.Duration // of its answers, of late
+	until   time.Duration // end of the peer's distrust
+	spell   time.Duration // length of the latest period of distrust
+	slowest time.Duration // slowest recent answer time, decaying
 }
 
-// Refuse counts and tells what was refused.
+// Refuse counts a refusal and passes it to Refused.
 func (c *Conduct) Refuse(r PeerRefusal) {
 	c.mu.Lock()
 	if c.counts == nil {
@@ -93,15 +95,16 @@
 	}
 }
 
-// Counts of refusals by breach.
+// Counts returns the refusals so far by reason.
 func (c *Conduct) Counts() map[PeerBreach]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.counts)
 }
 
-// Saw takes in that a peer sent what nobody asked for, so long after its last answer. From
-// then on its connections carry one call each. It tells whether that is no fault of one peer, as of now.
+// Saw records that a peer sent unsolicited bytes, and how long after its last answer they came.
+// From then on each connection of the peer carries one call. general reports that, with this peer,
+// peers of a second destination have become distrusted, so that the cause is not a single peer.
 func (c *Conduct) Saw(now time.Duration, peer string, group int, late time.Duration) (general bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,13 +113,13 @@
 	return !before && c.doubtedGroups(now) > 1
 }
 
-// saw is Saw under mu.
+// recordUnsolicited does the work of Saw; the caller holds mu.
 func (c *Conduct) saw(now time.Duration, peer string, group int, late time.Duration) {
 	if now >= c.until {
 		c.late = 0
 	}
 	p := c.peer(now, peer)
-	if p == nil || now < p.until { // the same spell: connections from before it
+	if p == nil || now < p.until { // bytes on a connection from before the current distrust
 		c.late = max(c.late, late)
 		return
 	}
@@ -130,7 +133,8 @@
 	c.late = max(c.late, late)
 }
 
-// peer finds or makes what is known of one; nil where no more are remembered; under mu.
+// peer returns the entry of a peer and creates it if needed, or nil when maxPeers are remembered
+// already. The caller holds mu.
 func (c *Conduct) peer(now time.Duration, name string) *peerConduct {
 	if p := c.peers[name]; p != nil {
 		return p
@@ -149,14 +153,14 @@
 	return p
 }
 
-// Len is how many peers are remembered.
+// Len returns the number of peers remembered.
 func (c *Conduct) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.peers)
 }
 
-// Forget drops what is known of a peer that went, unless it is doubted.
+// Forget drops what is known of a peer that was removed, unless the peer is distrusted.
 func (c *Conduct) Forget(now time.Duration, peer string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,10 +169,11 @@
 	}
 }
 
-// Rule is what may go out on the connections of a peer. One that is doubted gets one call a
-// connection. So do all once peers of two destinations are doubted, for then it is no fault of one
-// peer. Before that, what must not have a second effect gets that at the other peers of the same
-// destination, and all else rests between two calls.
+// Rule returns what the connections of a peer may carry. A connection of a distrusted peer carries
+// one call. The same holds for all peers while peers of two or more destinations are distrusted,
+// since the cause is then not a single peer. With one such destination, calls whose second effect
+// does harm get single-use connections at its other peers as well, and on all other connections a
+// minimum idle time separates two calls.
 func (c *Conduct) Rule(now time.Duration, peer string, group int, bears Bears) PeerRule {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,13 +188,13 @@
 	return PeerRule{Rest: min(max(2*c.late, leastRest), longestRest)}
 }
 
-// doubtedGroups counts the destinations with a doubted peer; under mu.
+// distrustedGroups returns the number of destinations with a distrusted peer. The caller holds mu.
 func (c *Conduct) doubtedGroups(now time.Duration) int {
 	maps.DeleteFunc(c.groups, func(_ int, until time.Duration) bool { return now >= until })
 	return len(c.groups)
 }
 
-// Took takes in how long a peer took to answer a call.
+// Took records how long a peer took to answer a call.
 func (c *Conduct) Took(now time.Duration, peer string, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,7 +203,7 @@
 	}
 }
 
-// Usual is how long after the sending of a call its answer comes at the latest, as a rule.
+// Usual returns how long after a call was sent its answer is expected at the latest.
 func (c *Conduct) Usual(peer string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lifecycle/exchange.go
+++ b/internal/lifecycle/exchange.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Phase is what a client's connection does.
+// Phase is the state of a client's connection.
 type Phase int32
 
-// The phases of a connection.
+// The phases of a client's connection.
 const (
-	Idle      Phase = iota // between two requests, or before the first
-	Reading                // a request has begun
-	Answering              // a request was read whole; its response is owed
-	Closing                // the relay has ended its side; what comes is dropped
+	Idle      Phase = iota // between two requests, or before the first one
+	Reading                // first byte of a request received
+	Answering              // complete request read, response not yet written
+	Closing                // the relay has ended its sending side and discards what it receives
 	Closed
 )
 
@@ -21,43 +21,43 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Exchange is the state of a connection with one request at a time. Phase may be read from
-// any goroutine; the rest is its owner's, under one lock.
+// Exchange is the state of a connection that carries one request at a time. Phase may be called
+// from any goroutine; everything else is guarded by the owner's lock.
 type Exchange struct {
 	phase atomic.Int32
-	id    string        // of the request that is being answered, or of the connection
-	by    time.Duration // its client waits so long; 0 for no such time
+	id    string        // id of the request in progress, or of the connection
+	by    time.Duration // time until which the client waits for the response; 0 for no limit
 }
 
-// Phase is what the connection does now.
+// Phase returns the current phase of the connection.
 func (e *Exchange) Phase() Phase { return Phase(e.phase.Load()) }
 
-// Begin takes in the first byte of a request, and reports whether it is one.
+// Begin records the first byte of a request and reports whether it was the first.
 func (e *Exchange) Begin() bool {
 	return e.phase.CompareAndSwap(int32(Idle), int32(Reading))
 }
 
-// Whole takes in the last byte of a request: from now on a response is owed, which its client
-// waits for until the time given, 0 for no such time.
+// Whole records the last byte of a request. From now on the client is owed a response, for which it
+// waits until by; 0 for no limit.
 func (e *Exchange) Whole(id string, by time.Duration) {
 	e.id, e.by = id, by
 	e.phase.Store(int32(Answering))
 }
 
-// Name gives the request that is being answered the id by which it is told.
+// Name sets the id under which the request in progress is logged and traced.
 func (e *Exchange) Name(id string) { e.id = id }
 
-// ID is that of the request, or of the connection.
+// ID returns the id of the request in progress, or of the connection.
 func (e *Exchange) ID() string { return e.id }
 
-// MayAnswer decides whether a response may be written now: to a request that was read, or to
-// what is no request and will not become one. The connection rests after it. One that leaves
-// after its client's time is counted, and leaves all the same.
+// MayAnswer reports whether a response may be written now: to a request that was read, or to input
+// that is not a valid request. The connection is idle afterwards. A response after its client's
+// deadline is counted as a violation but is still written.
 func (e *Exchange) MayAnswer(g *Guard, now time.Duration) bool {
 	switch p := e.Phase(); p {
 	case Reading, Answering:
 		if p == Answering && e.by > 0 && now > e.by {
-			g.count(AnswerLate, e.id, "its client's time is over")
+			g.count(AnswerLate, e.id, "its client's deadline has passed")
 		}
 		e.phase.Store(int32(Idle))
 		return true
@@ -68,8 +68,8 @@
 	}
 }
 
-// MayClose decides whether the relay may end its side now. A request that was read is owed
-// its response first.
+// MayClose reports whether the relay may end its sending side now. A request that was read must be
+// answered first.
 func (e *Exchange) MayClose(g *Guard) bool {
 	if e.Phase() == Answering {
 		return g.forbid(CloseUnanswered, e.id, Answering.String())
@@ -79,5 +79,5 @@
 	return true
 }
 
-// Gone takes in that the connection has ended, by the client's side or for good.
+// Gone records that the connection has ended, by the client or by a close.
 func (e *Exchange) Gone() { e.phase.Store(int32(Closed)) }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,8 +1,10 @@
-// Package lifecycle decides whether something may be done now: a message sent, repeated or
-// answered, an exchange with a client answered or closed, a call begun. Core, fronts and
-// partner calls ask it before they act, and do not act where it says no. What it forbids is
-// a fault of the relay's own: each is counted, told with the id that it concerns, and in
-// tests a panic. It does no I/O and reads no clock.
+// Package lifecycle decides whether an action is allowed in the current state: sending, repeating
+// or answering a message, answering or closing a client's connection, starting a call. The core,
+// the fronts and the partner calls ask it before they act, and don't act if it refuses. A refused
+// action is a bug of the relay: it is counted, reported with the id of the message or request, and
+// panics in tests.
+//
+// The package does no I/O and reads no clock; callers pass the time.
 package lifecycle
 
 import (
@@ -11,48 +13,49 @@
 	"sync"
 )
 
-// Rule is what a violation breaks.
+// Rule names the rule that a violation breaks.
 type Rule string
 
-// The rules. Their names are those of the metric and of the log.
+// The rules. Their values appear as names in the metric and in the log.
 const (
-	SendAfterEnd       Rule = "send_after_end"       // a call of a message that has ended, was withdrawn or is past its time
-	SendWhileOut       Rule = "send_while_out"       // a call of a message that has one out
-	SendBeforeRecord   Rule = "send_before_record"   // a call whose records are not on disk
-	SendAfterPark      Rule = "send_after_park"      // a call after the relay began to leave
-	RepeatUnsafe       Rule = "repeat_unsafe"        // a second effect of a message that may not be repeated
-	RepeatAfterWindow  Rule = "repeat_after_window"  // one after its repeats are forgotten
-	AnswerTwice        Rule = "answer_twice"         // a second final answer, or a second response
-	AnswerUnasked      Rule = "answer_unasked"       // a response without a request
-	AnswerBeforeRecord Rule = "answer_before_record" // something told whose record is not on disk
-	RefuseAfterSend    Rule = "refuse_after_send"    // a refusal of what may have run and may not be repeated
-	CloseUnanswered    Rule = "close_unanswered"     // a connection closed over a request that was read
-	AnswerLate         Rule = "answer_late"          // a response that leaves when its client waits no more
+	SendAfterEnd       Rule = "send_after_end"       // call of a message that is ended, withdrawn or past its deadline
+	SendWhileOut       Rule = "send_while_out"       // second call of a message while one is in progress
+	SendBeforeRecord   Rule = "send_before_record"   // call whose records are not yet on disk
+	SendAfterPark      Rule = "send_after_park"      // call after the relay began to shut down
+	RepeatUnsafe       Rule = "repeat_unsafe"        // possible second effect of a message that must not be repeated
+	RepeatAfterWindow  Rule = "repeat_after_window"  // repeat after the host has forgotten the first call
+	AnswerTwice        Rule = "answer_twice"         // second final answer, or second response to a request
+	AnswerUnasked      Rule = "answer_unasked"       // response without a request
+	AnswerBeforeRecord Rule = "answer_before_record" // answer given before its record is on disk
+	RefuseAfterSend    Rule = "refuse_after_send"    // refusal though a call may have taken effect and repeats do harm
+	CloseUnanswered    Rule = "close_unanswered"     // connection closed while a request that was read has no response
+	AnswerLate         Rule = "answer_late"          // response written after its client stopped waiting
 )
 
-// Violation is one act that was forbidden.
+// Violation describes one refused action.
 type Violation struct {
 	Rule Rule
-	ID   string // of the message or request
-	What string // the state that forbade it
+	ID   string // id of the message or request
+	What string // state in which the action was refused
 }
 
 func (v Violation) Error() string {
 	return fmt.Sprintf("lifecycle: %s: %s: %s", v.Rule, v.ID, v.What)
 }
 
-// Guard keeps count of violations; nil is one that keeps none. It is safe for concurrent use.
+// Guard counts violations. A nil Guard still refuses, but counts and reports nothing. A Guard is
+// safe for concurrent use.
 type Guard struct {
-	// Told takes each violation; it must not block. May be nil.
+	// Told is called with each violation and must not block. It may be nil.
 	Told func(Violation)
-	// Strict has a violation panic, for tests.
+	// Strict makes a violation panic, for tests.
 	Strict bool
 
 	mu     sync.Mutex
 	counts map[Rule]int
 }
 
-// Counts of violations by rule.
+// Counts returns the violations so far by rule.
 func (g *Guard) Counts() map[Rule]int {
 	if g == nil {
 		return nil
@@ -62,7 +65,7 @@
 	return maps.Clone(g.counts)
 }
 
-// forbid counts a violation, and is false for the caller to return.
+// forbid counts a violation and returns false, for the caller to return.
 func (g *Guard) forbid(rule Rule, id, what string) bool {
 	if g == nil {
 		return false
@@ -74,7 +77,7 @@
 	return false
 }
 
-// count counts and tells what can't be forbidden any more.
+// count counts and reports a violation that is not refused.
 func (g *Guard) count(rule Rule, id, what string) {
 	if g == nil {
 		return
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -7,14 +7,15 @@
 
 const s = time.Second
 
-// Each rule forbids what it names, once, with the id, and nothing that is lawful.
+// Guards against rules that let their violation pass, that report it more than once or under
+// another rule, or that refuse allowed actions.
 func TestRules(t *testing.T) {
 	message := func(repeat Repeat) *Message {
 		return &Message{ID: "m", Repeat: repeat, Window: 2 * s, Due: 10 * s, Kept: true}
 	}
 	sent := func(g *Guard, m *Message, now time.Duration, noEffect bool) {
 		if !m.MaySend(g, now, false) || !m.MayBegin(g, now, true) {
-			t.Error("a lawful call was forbidden")
+			t.Error("an allowed call was refused")
 		}
 		m.Back(noEffect)
 	}
@@ -74,39 +75,40 @@
 			t.Errorf("%s was allowed", rule)
 		}
 		if len(told) != 1 || told[0].Rule != rule || g.Counts()[rule] != 1 {
-			t.Errorf("%s: told %v", rule, told)
+			t.Errorf("%s: reported %v", rule, told)
 		}
 	}
 }
 
-// A connection that answers each request and then ends is no violation.
+// Guards against violations reported for a connection that answers each of its requests and then
+// ends.
 func TestExchange(t *testing.T) {
 	g := &Guard{Strict: true}
 	var e Exchange
 	for range 2 {
 		if !e.Begin() || e.Begin() {
-			t.Fatal("a request begins once")
+			t.Fatal("a request did not begin exactly once")
 		}
 		e.Whole("m", 0)
 		if !e.MayAnswer(g, 0) || e.Phase() != Idle {
-			t.Fatal("not answered")
+			t.Fatal("the response was refused, or the connection is not idle")
 		}
 	}
 	if !e.MayClose(g) || e.Phase() != Closing {
-		t.Error("not closed")
+		t.Error("the close was refused")
 	}
 	if e.Gone(); e.Phase() != Closed {
-		t.Error("not gone")
+		t.Error("the phase is not Closed after the connection's end")
 	}
 }
 
-// Guards against answers that wait for the disk beyond their client's time, and against a client that hears one thing
-// and the next process does another.
+// Guards against responses that wait for the disk beyond their client's deadline, and against
+// telling a client something that doesn't agree with what the next process will do.
 func TestResponsesWhileRecordsWait(t *testing.T) {
 	for name, c := range map[string]struct {
 		now      time.Duration
 		recorded bool
-		backs    bool // its own record can be taken back
+		backs    bool // the message's record can be withdrawn
 		want     Response
 	}{
 		"all is on disk":              {recorded: true, want: Decision},
@@ -125,15 +127,15 @@
 	}
 }
 
-// Guards against responses that leave when their client waits no more and are not counted.
+// Guards against responses after their client's deadline that are not counted.
 func TestLateResponsesAreCounted(t *testing.T) {
 	g := &Guard{}
-	for range 2 { // the second one is in time
+	for range 2 { // the second response is in time
 		var e Exchange
 		e.Begin()
 		e.Whole("m", s)
 		if !e.MayAnswer(g, s+time.Duration(1-g.Counts()[AnswerLate])) {
-			t.Error("a late response is kept back")
+			t.Error("a late response was refused")
 		}
 	}
 	if g.Counts()[AnswerLate] != 1 {
--- a/internal/lifecycle/message.go
+++ b/internal/lifecycle/message.go
@@ -2,92 +2,93 @@
 
 import "time"
 
-// Repeat is what a second effect of a message does.
+// Repeat states what a second effect of a message does at the host.
 type Repeat int
 
-// The kinds of messages.
+// The kinds of messages, by the harm of a repeat.
 const (
-	Freely   Repeat = iota // no harm
-	InWindow               // none while its repeats are remembered
-	Never                  // harm
+	Freely   Repeat = iota // a repeat does no harm
+	InWindow               // the host recognizes a repeat within a window
+	Never                  // a repeat does harm
 )
 
-// Stage is how far a message has come.
+// Stage is the state of a message.
 type Stage int
 
 // The stages of a message.
 const (
-	Held  Stage = iota // it waits for a call, or for a retry
-	Out                // a call of it is out
-	Ended              // its final answer is decided; nothing is sent any more
+	Held  Stage = iota // waits for its first call or for a retry
+	Out                // a call is in progress
+	Ended              // the final answer is decided and nothing is sent any more
 )
 
-// Message is the state of one message. Its owner is one goroutine. Times are by one clock,
-// which nobody sets.
+// Message is the state of one message. It belongs to one goroutine. All times are readings of one
+// monotonic clock.
 type Message struct {
 	ID     string
 	Repeat Repeat
-	Window time.Duration // with InWindow: repeats are remembered so long after the first call
-	Due    time.Duration // nothing is sent later
-	// Kept messages outlive the process: what is done with them waits for their records.
+	Window time.Duration // with InWindow: how long after the first call the host recognizes a repeat
+	Due    time.Duration // deadline; no call starts later
+	// Kept marks a message that is in the journal and survives a restart: actions on it wait for
+	// its records.
 	Kept bool
-	// RespondBy is when whoever handed the message in must have its answer; 0 for no such time.
+	// RespondBy is the deadline for the answer to the client's hand-in, 0 for none.
 	RespondBy time.Duration
 
 	stage    Stage
-	mayRun   bool
-	firstRun time.Duration // of the calls that may have run
-	sent     time.Duration // of the call that is out
-	unsure   time.Duration // the answer to the last call may be another's until then
-	told     bool
+	mayRun   bool          // an earlier call may have taken effect
+	firstRun time.Duration // start of the first call that may have taken effect
+	sent     time.Duration // start of the latest call
+	unsure   time.Duration // end of the time in which the latest answer may belong to another call
+	told     bool          // the final answer has been given
 }
 
-// Restore takes over what an earlier process knew: whether a call may have run, and when the
-// first such one was sent.
+// Restore sets the state known from before a restart: whether a call may have taken effect, and
+// when the first such call was sent.
 func (m *Message) Restore(mayRun bool, firstRun time.Duration) {
 	m.mayRun, m.firstRun = mayRun, firstRun
 }
 
-// Stage is how far the message has come.
+// Stage returns the current stage of the message.
 func (m *Message) Stage() Stage { return m.stage }
 
-// MaySend decides whether a call may be made now. parked tells that the relay leaves. A call
-// that may be made is out from then on.
+// MaySend reports whether a call of the message may be made now. parked states that the relay is
+// shutting down. The call counts as in progress from then on.
 func (m *Message) MaySend(g *Guard, now time.Duration, parked bool) bool {
 	switch {
 	case m.stage == Ended:
 		return g.forbid(SendAfterEnd, m.ID, "ended")
 	case now > m.Due:
-		return g.forbid(SendAfterEnd, m.ID, "its time is over")
+		return g.forbid(SendAfterEnd, m.ID, "its deadline has passed")
 	case m.stage == Out:
-		return g.forbid(SendWhileOut, m.ID, "a call is out")
+		return g.forbid(SendWhileOut, m.ID, "a call is in progress")
 	case parked:
-		return g.forbid(SendAfterPark, m.ID, "the relay leaves")
+		return g.forbid(SendAfterPark, m.ID, "the relay is shutting down")
 	case m.mayRun && m.Repeat == Never:
-		return g.forbid(RepeatUnsafe, m.ID, "a call may have run")
+		return g.forbid(RepeatUnsafe, m.ID, "a call may have taken effect")
 	case m.mayRun && m.Repeat == InWindow && now-m.firstRun > m.Window:
-		return g.forbid(RepeatAfterWindow, m.ID, "its repeats are forgotten")
+		return g.forbid(RepeatAfterWindow, m.ID, "the window for repeats has passed")
 	}
 	m.stage, m.sent = Out, now
 	return true
 }
 
-// MayBegin decides whether the first byte of the call that is out may leave now. recorded
-// tells whether all records that it rests on are on disk.
+// MayBegin reports whether the first byte of the call in progress may be sent now. recorded states
+// that all records on which the call depends are on disk.
 func (m *Message) MayBegin(g *Guard, now time.Duration, recorded bool) bool {
 	switch {
 	case m.stage != Out:
-		return g.forbid(SendAfterEnd, m.ID, "no call is out")
+		return g.forbid(SendAfterEnd, m.ID, "no call is in progress")
 	case now > m.Due:
-		return g.forbid(SendAfterEnd, m.ID, "its time is over")
+		return g.forbid(SendAfterEnd, m.ID, "its deadline has passed")
 	case m.Kept && !recorded:
-		return g.forbid(SendBeforeRecord, m.ID, "a record waits")
+		return g.forbid(SendBeforeRecord, m.ID, "a record is not yet on disk")
 	}
 	m.sent = now
 	return true
 }
 
-// Back takes in how a call ended: surely without an effect, or not.
+// Back records the end of a call. noEffect states that the call certainly had no effect.
 func (m *Message) Back(noEffect bool) {
 	if m.stage == Out {
 		m.stage = Held
@@ -97,39 +98,42 @@
 	}
 }
 
-// Doubt takes in that a call which had surely no effect, sent at a moment, may have run after all.
+// Doubt records that a call that was thought to have had no effect, sent at the given time, may
+// have had one.
 func (m *Message) Doubt(sent time.Duration) {
 	if !m.mayRun {
 		m.mayRun, m.firstRun = true, sent
 	}
 }
 
-// MayHaveRun tells whether a call of the message may have run.
+// MayHaveRun reports whether a call of the message may have taken effect.
 func (m *Message) MayHaveRun() bool { return m.mayRun }
 
-// Unconfirmed takes in that the answer to the last call may turn out to be another's, and that what
-// rests on it waits until a moment. It decides whether the next message of the same key waits too:
-// behind one that was served it would wait for nothing but silence.
+// Unconfirmed records that the answer to the latest call may belong to another call until the given
+// time, and that actions based on the answer wait until then. nextWaits reports whether the next
+// message of the same key must wait too. Behind a message that was served it need not: only the
+// absence of further bytes confirms an answer, so it would wait that time out for nothing.
 func (m *Message) Unconfirmed(until time.Duration, served bool) (nextWaits bool) {
 	m.unsure = until
 	return !served
 }
 
-// ConfirmedBy is when the answer to the last call counts as its own: nothing is sent again before.
+// ConfirmedBy returns when the answer to the latest call counts as its own. The message is not sent
+// again before.
 func (m *Message) ConfirmedBy() time.Duration { return m.unsure }
 
-// Refusal is how a message ends that is to be refused.
+// Refusal states how a message ends that should be refused.
 type Refusal int
 
-// The ways.
+// The outcomes of a refusal.
 const (
 	RefuseNow   Refusal = iota
-	RefuseLater         // once the answer to its last call is confirmed
-	FailInstead         // a call may have run, and a repeat does harm
+	RefuseLater         // refuse once the answer to the latest call is confirmed
+	FailInstead         // answer failed: a call may have taken effect, and a repeat does harm
 )
 
-// Refusal decides how a message ends that is to be refused now: the refusal promises that nothing
-// ran, or that a repeat does no harm.
+// Refusal decides how a message ends that should be refused now. A refusal promises the client that
+// nothing took effect, or that a repeat does no harm.
 func (m *Message) Refusal(now time.Duration) Refusal {
 	switch {
 	case m.Repeat != Never:
@@ -142,20 +146,21 @@
 	return RefuseNow
 }
 
-// Response is what whoever handed a message in may be told now.
+// Response is the answer that the hand-in of a message may get now.
 type Response int
 
-// The responses.
+// The responses to a hand-in.
 const (
-	Wait      Response = iota // records are on their way, and there is time
-	Decision                  // what was decided: all records about the message are on disk
-	TakenOn                   // that it was taken on: a later process knows it
-	TakenBack                 // that it was not taken on: no later process will know it
+	Wait      Response = iota // none yet: records are being written, and there is time left
+	Decision                  // the decision: all records about the message are on disk
+	TakenOn                   // accepted: the message's record is on disk and survives a restart
+	TakenBack                 // not accepted: the message's record was withdrawn and won't be known after a restart
 )
 
-// MayRespond decides what may be told of the hand-in. recorded tells whether all records about
-// the message are on disk. Past RespondBy takeBack is asked to take the message's own record
-// back; it reports false where that is on disk. Who was told one thing never hears the other.
+// MayRespond returns which response the hand-in may get now. recorded states that all records about
+// the message are on disk. Past RespondBy, MayRespond calls takeBack to withdraw the message's own
+// record; takeBack returns false if that record is on disk already. So no client is told that its
+// message was not accepted while a later process sends it, and none the other way round.
 func (m *Message) MayRespond(now time.Duration, recorded bool, takeBack func() bool) Response {
 	switch {
 	case !m.Kept || recorded:
@@ -169,31 +174,31 @@
 	return TakenBack
 }
 
-// TakeBack notes that no later process will know the message: its own record was taken back.
+// TakeBack marks the message as unknown to later processes, because its own record was withdrawn.
 func (m *Message) TakeBack() { m.Kept = false }
 
-// MayEnd decides whether a message may get its final answer, which counts from then on; a
-// refusal promises that nothing ran, or that a repeat does no harm.
+// MayEnd reports whether the message may get its final answer now, and ends it if so. A refusal
+// promises that nothing took effect, or that a repeat does no harm.
 func (m *Message) MayEnd(g *Guard, refusal bool) bool {
 	switch {
 	case m.stage == Ended:
 		return g.forbid(AnswerTwice, m.ID, "ended")
 	case refusal && m.mayRun && m.Repeat == Never:
-		return g.forbid(RefuseAfterSend, m.ID, "a call may have run")
+		return g.forbid(RefuseAfterSend, m.ID, "a call may have taken effect")
 	}
 	m.stage = Ended
 	return true
 }
 
-// MayTell decides whether the final answer may leave the relay. recorded tells whether its
-// record is on disk; past the message's time it need not be, for no later process sends the
-// message either.
+// MayTell reports whether the final answer may leave the relay. recorded states that the record of
+// the answer is on disk. Past the message's deadline it need not be, because a later process
+// doesn't send the message either.
 func (m *Message) MayTell(g *Guard, now time.Duration, recorded bool) bool {
 	switch {
 	case m.told:
 		return g.forbid(AnswerTwice, m.ID, "told")
 	case m.Kept && !recorded && now < m.Due:
-		return g.forbid(AnswerBeforeRecord, m.ID, "its record waits")
+		return g.forbid(AnswerBeforeRecord, m.ID, "its record is not yet on disk")
 	}
 	m.told = true
 	return true
--- a/internal/lifecycle/peer_test.go
+++ b/internal/lifecycle/peer_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// Guards against an answer that is believed of a call by its place on a used connection.
+// Guards against attributing an answer to a call only because of its order on a reused connection.
 func TestAnswersOnUsedConnectionsAreBelievedAsFarAsTheyAreTied(t *testing.T) {
 	for _, c := range []struct {
 		turn   int
@@ -16,7 +16,7 @@
 		want   Belief
 	}{
 		{1, PeerAnswer{Written: true}, Own},
-		{1, PeerAnswer{}, Own}, // nobody else has asked there
+		{1, PeerAnswer{}, Own}, // no other call was sent on the connection
 		{2, PeerAnswer{Written: true}, Likely},
 		{2, PeerAnswer{Written: true, Names: true}, Own},
 		{2, PeerAnswer{Written: true, Foreign: true}, Nobodys},
@@ -32,13 +32,13 @@
 		}
 		p.Begin(0)
 		if got := p.Believe(c.answer); got != c.want {
-			t.Errorf("turn %d, %+v: %d, want %d", c.turn, c.answer, got, c.want)
+			t.Errorf("call %d, %+v: %d, want %d", c.turn, c.answer, got, c.want)
 		}
 	}
 }
 
-// Guards against answers that stay believed although bytes came behind them that nobody asked for, and
-// against connections that carry a call while such bytes may still come.
+// Guards against answers that stay accepted although unsolicited bytes follow them, and against
+// connections that carry a call while such bytes may still arrive.
 func TestStrayBytesRetractWhatIsNotConfirmed(t *testing.T) {
 	var told []string
 	doubted := func(name string) func() { return func() { told = append(told, name) } }
@@ -46,7 +46,7 @@
 	call := func(at time.Duration, name string, belief Belief, served bool) time.Duration {
 		t.Helper()
 		if p.MayCarry(at, PeerRule{}) != CarryNow {
-			t.Fatalf("%s may not go out at %s", name, at)
+			t.Fatalf("%s may not be sent at %s", name, at)
 		}
 		p.Begin(at)
 		wait, unsettled := p.Answered(at+10*ms, 40*ms, belief, served, doubted(name))
@@ -64,7 +64,7 @@
 	}
 	call(215*ms, "refused", Likely, false)
 	if p.MayCarry(230*ms, PeerRule{}) != CarryLater || p.MayCarry(255*ms, PeerRule{}) != CarryNow {
-		t.Error("a connection behind a refusal is not set aside until it is confirmed")
+		t.Error("a connection carries a call before a refusal on it is confirmed, or not afterwards")
 	}
 	all, late := p.Strayed(240 * ms)
 	for _, tell := range all {
@@ -74,13 +74,13 @@
 		t.Errorf("retracted %v, %s late", told, late)
 	}
 	if p.MayCarry(time.Hour, PeerRule{}) != CarryNever {
-		t.Error("a doubted connection carries a call")
+		t.Error("a desynchronized connection carries a call")
 	}
 	p.Answered(0, s, Likely, true, doubted("x"))
 	p.Begin(ms)
 	p.Answered(2*ms, s, Doubtful, true, nil)
 	if all := p.Retract(3 * ms); len(all) != 1 {
-		t.Errorf("%d answers are retracted behind a doubtful one, want 1", len(all))
+		t.Errorf("%d answers are retracted after a doubtful one, want 1", len(all))
 	}
 	p.Answered(0, s, Likely, false, doubted("refused"))
 	p.Answered(ms, s, Likely, true, doubted("served"))
@@ -89,7 +89,7 @@
 		tell()
 	}
 	if fmt.Sprint(told) != "[served]" {
-		t.Errorf("retracted %v where the peer ended the connection, want what it had served", told)
+		t.Errorf("retracted %v after the peer closed the connection, want the served answer only", told)
 	}
 	p = PeerConn{turn: 1}
 	p.Begin(0)
@@ -104,11 +104,11 @@
 	}
 	p.Answered(0, s, Likely, true, doubted("old"))
 	if all, _ := p.Strayed(LongestDoubt + ms); len(all) != 0 {
-		t.Error("an answer is doubted for longer than its time")
+		t.Error("an answer is retracted after LongestDoubt")
 	}
 }
 
-// Guards against a peer that broke the protocol and is trusted as before.
+// Guards against a peer that violated the protocol and is trusted as before.
 func TestConductOfPeersDecidesWhatTheirConnectionsCarry(t *testing.T) {
 	c := Conduct{}
 	want := func(now time.Duration, peer string, group int, bears Bears, rule PeerRule) {
@@ -120,21 +120,21 @@
 	only := PeerRule{FirstOnly: true}
 	want(0, "a", 1, Once, PeerRule{})
 	if c.Saw(s, "a", 1, 400*ms) {
-		t.Error("one peer is taken for many")
+		t.Error("one distrusted peer is reported as a general fault")
 	}
 	want(2*s, "a", 1, Repeats, only)
 	want(2*s, "b", 1, Once, only)                        // the same destination
-	want(2*s, "b", 1, Repeats, PeerRule{Rest: 800 * ms}) // twice as long as the copy was late
+	want(2*s, "b", 1, Repeats, PeerRule{Rest: 800 * ms}) // twice the delay of the duplicate answer
 	want(2*s, "c", 2, Once, PeerRule{Rest: 800 * ms})
 	if !c.Saw(2*s, "c", 2, 10*s) || c.Saw(2*s, "c", 2, 0) {
-		t.Error("peers of two destinations are not told of, once")
+		t.Error("distrusted peers of two destinations are not reported exactly once")
 	}
-	want(3*s, "d", 3, Once, only) // two destinations: no fault of one
+	want(3*s, "d", 3, Once, only) // two destinations: the cause is not one peer
 	want(3*s, "d", 3, Repeats, only)
-	want(s+firstSpell, "d", 3, Repeats, PeerRule{Rest: longestRest}) // one again
+	want(s+firstSpell, "d", 3, Repeats, PeerRule{Rest: longestRest}) // only one destination left
 	end := 2*s + firstSpell
 	want(end, "a", 1, Once, PeerRule{})
-	c.Saw(end, "a", 1, 0) // again: twice as long
+	c.Saw(end, "a", 1, 0) // a second violation: twice as long
 	want(end+firstSpell, "a", 1, Repeats, only)
 	want(end+2*firstSpell, "a", 1, Repeats, PeerRule{})
 	want(end+firstSpell, "b", 1, Repeats, PeerRule{Rest: leastRest})
@@ -147,17 +147,18 @@
 	c = Conduct{}
 	c.Took(0, "a", 100*ms)
 	if got := c.Usual("a"); got != 200*ms {
-		t.Errorf("usual %s", got)
+		t.Errorf("expected answer time %s, want 200ms", got)
 	}
 	for range 1000 {
 		c.Took(0, "a", 10*ms)
 	}
 	if got := c.Usual("a"); got < 65*ms || got > 66*ms {
-		t.Errorf("usual %s after many quick answers", got)
+		t.Errorf("expected answer time %s after many quick answers", got)
 	}
 }
 
-// Guards against a refusal that promises that nothing ran, told because of an answer that was another call's.
+// Guards against a refusal, which promises that nothing took effect, on the ground of an answer
+// that belonged to another call.
 func TestRefusalWaitsForItsAnswerToBeConfirmed(t *testing.T) {
 	for _, c := range []struct {
 		repeat Repeat
@@ -174,7 +175,7 @@
 	} {
 		m := Message{Repeat: c.repeat}
 		if m.Unconfirmed(2*s, true) || !m.Unconfirmed(2*s, false) {
-			t.Error("the next of a key waits behind what did not serve alone")
+			t.Error("the next message of a key does not wait exactly when the answer is not a served one")
 		}
 		if c.mayRun {
 			m.Doubt(0)
