--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// Conn is one connection of an Engine. Its methods are safe for concurrent use and never
-// wait for the peer. Writes are taken whole; what the kernel does not take at once follows in order.
+// Conn is one connection of an Engine. Its methods are safe for concurrent use and never wait for
+// the peer. A write is accepted whole; what the kernel does not take at once is sent later, in
+// order.
 type Conn struct {
 	engine        *Engine
 	handler       Handler
@@ -22,45 +23,46 @@
 
 	mu       sync.Mutex
 	open     bool
-	why      error         // it is not open any more
-	ended    chan struct{} // closed with it
-	heardAll bool          // the peer has ended its sending
-	ending   bool          // nothing is written behind what waits, and then the sending side ends
-	discard  bool          // what comes is dropped
+	why      error         // reason for the close
+	ended    chan struct{} // closed when the connection is closed
+	heardAll bool          // the peer has ended its sending side
+	ending   bool          // the sending side ends once pending is written
+	discard  bool          // received bytes are discarded
 	dropped  int
-	pending  []byte // to be written
+	pending  []byte // bytes still to be written
 	by       time.Time
 	retry    *time.Timer
 	pause    time.Duration
 	closedBy *time.Timer
 
-	// Of the connection's goroutine alone.
-	failing time.Time     // reading fails since then; zero if it does not
-	heldUp  time.Duration // what was read last may have stood there for so long
+	// For the connection's goroutine only.
+	failing time.Time     // start of a series of failed reads; zero if the last read succeeded
+	heldUp  time.Duration // upper bound on the time for which the data read last waited because reads failed
 }
 
-// Errors of a connection.
+// Errors of writes.
 var (
-	// ErrFull: more waits to be written than the engine's bound.
-	ErrFull = errors.New("engine: too much waits to be written")
-	// ErrLate: the time by which all had to be written has passed.
-	ErrLate = errors.New("engine: not written in time")
+	// ErrFull reports that more bytes wait to be written than the engine's bound allows.
+	ErrFull = errors.New("engine: write buffer is full")
+	// ErrLate reports that the time by which the bytes had to be written has passed.
+	ErrLate = errors.New("engine: write deadline exceeded")
 )
 
 const (
-	// A socket that takes or gives nothing is tried again after firstPause, doubling to longestPause.
+	// The interval between two attempts at a read or write that made no progress starts at
+	// minRetryPause and doubles up to maxRetryPause.
 	firstPause   = time.Millisecond
 	longestPause = 16 * time.Millisecond
-	// mostDropped bytes are read of a peer after Finish: what was on its way by then,
-	// and not all of a body without end.
+	// maxDiscarded bounds the bytes read from a peer after Finish: enough for what was under way by
+	// then, but not for a body without end.
 	mostDropped = 1 << 20
 )
 
-// takeSocket takes what the connection's operations need from its socket.
+// initSocket obtains the raw connection and the descriptor of the socket.
 func (c *Conn) takeSocket() error {
 	socket, ok := c.raw.(syscall.Conn)
 	if !ok {
-		return fmt.Errorf("%T is no socket", c.raw)
+		return fmt.Errorf("%T is not a socket", c.raw)
 	}
 	var err error
 	if c.socket, err = socket.SyscallConn(); err != nil {
@@ -69,7 +71,7 @@
 	return c.socket.Control(func(fd uintptr) { c.descriptor = int(fd) })
 }
 
-// serve hands over what is read until the connection ends.
+// serve passes what is read to the handler until the connection ends.
 func (c *Conn) serve() {
 	pause := firstPause
 	for {
@@ -92,8 +94,8 @@
 	}
 }
 
-// outlast keeps a connection whose peer has ended its sending until the handler has ended it too, if
-// the handler wants that.
+// awaitHandlerClose keeps a connection whose peer has ended its sending side open until the handler
+// has ended it too, if the handler asks for that.
 func (c *Conn) outlast() {
 	h, may := c.handler.(HalfCloser)
 	if !may || !h.HalfClosed() {
@@ -108,11 +110,12 @@
 	<-c.ended
 }
 
-// passes tells an error of a read or write that says nothing of the connection: the system had
-// no memory for it at that moment.
+// isTransient reports whether a read or write failed only because the system was out of memory at
+// that moment, which says nothing about the connection.
 func passes(err error) bool { return err == syscall.ENOMEM || err == syscall.ENOBUFS }
 
-// receive waits for data and hands it over. io.EOF is the peer's end.
+// receive waits for data and passes it to the handler. It returns io.EOF when the peer has ended
+// its sending side.
 func (c *Conn) receive() error {
 	var buf *[]byte
 	var n int
@@ -120,7 +123,7 @@
 	err := c.socket.Read(func(fd uintptr) (done bool) {
 		buf = c.engine.buffers.Get().(*[]byte)
 		n, failed = read(int(fd), *buf)
-		if failed == syscall.EAGAIN { // no buffer is held while nothing comes
+		if failed == syscall.EAGAIN { // don't hold a buffer while waiting for data
 			c.engine.buffers.Put(buf)
 			buf = nil
 			return false
@@ -131,7 +134,7 @@
 		defer c.engine.buffers.Put(buf)
 	}
 	switch {
-	case err != nil: // closed here
+	case err != nil: // closed by this side
 		return err
 	case passes(failed) && c.failing.IsZero():
 		c.failing = time.Now()
@@ -149,11 +152,11 @@
 	return nil
 }
 
-// HeldUp is how long the data that is handed over may have stood there because reading it
-// failed; for the handler, within Data.
+// HeldUp returns an upper bound on the time for which the current data waited to be read because
+// reads failed. The handler may call it within Data.
 func (c *Conn) HeldUp() time.Duration { return c.heldUp }
 
-// read is read(2) that goes on after a signal.
+// read is read(2), repeated when a signal interrupts it.
 func read(fd int, b []byte) (n int, err error) {
 	for {
 		n, err = syscall.Read(fd, b)
@@ -163,7 +166,7 @@
 	}
 }
 
-// data hands over what was read.
+// deliver passes read data to the handler, or discards it after Finish.
 func (c *Conn) data(b []byte) {
 	c.mu.Lock()
 	wanted := c.open && !c.discard
@@ -180,12 +183,12 @@
 	}
 }
 
-// Write takes all of b, or none of it. On an error n tells how much the kernel had taken
-// before, and the connection is closed.
+// Write accepts all of b or none of it. On an error n is the number of bytes that the kernel had
+// taken before, and the connection is closed.
 func (c *Conn) Write(b []byte) (n int, err error) { return c.WriteBy(b, time.Time{}) }
 
-// WriteBy is Write of what must not leave later than by: past it the connection is closed
-// with what waits. The zero time stands for no such time.
+// WriteBy is like Write for bytes that must not be sent after by: past it, the connection is closed
+// and what still waits is dropped. The zero time means no limit.
 func (c *Conn) WriteBy(b []byte, by time.Time) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,7 +219,7 @@
 	return len(b), nil
 }
 
-// send writes as much as the kernel takes; under mu, of an open connection.
+// send writes as much as the kernel takes. The caller holds mu, and the connection is open.
 func (c *Conn) send(b []byte) (n int, err error) {
 	closed := c.socket.Control(func(fd uintptr) {
 		for n < len(b) && err == nil {
@@ -229,12 +232,12 @@
 	case closed != nil:
 		return n, closed
 	case err == syscall.EAGAIN, passes(err):
-		return n, nil // the rest is tried later
+		return n, nil // the rest is retried later
 	}
 	return n, err
 }
 
-// sendOnce is one write(2); under mu.
+// sendOnce does one write(2). The caller holds mu.
 func (c *Conn) sendOnce(fd int, b []byte) (n int, err error) {
 	if !c.by.IsZero() && !time.Now().Before(c.by) {
 		return 0, ErrLate
@@ -249,13 +252,13 @@
 	return n, err
 }
 
-// later tries what waits again after a pause; under mu.
+// scheduleFlush retries the pending write after a pause. The caller holds mu.
 func (c *Conn) later() {
 	c.retry = time.AfterFunc(c.pause, c.flush)
 	c.pause = min(2*c.pause, longestPause)
 }
 
-// flush writes what waits, and then ends the sending side if that was asked for.
+// flush writes the pending bytes, and then ends the sending side if that was requested.
 func (c *Conn) flush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,7 +284,7 @@
 	}
 }
 
-// abort ends the connection with what waits to be written; under mu.
+// abort closes the connection and drops the pending bytes. The caller holds mu.
 func (c *Conn) abort(why error) {
 	if !c.open {
 		return
@@ -296,7 +299,7 @@
 	_ = c.raw.Close()
 }
 
-// shut ends the sending side; under mu, with nothing left to be written.
+// shutdownWrite ends the sending side. The caller holds mu, and nothing is pending.
 func (c *Conn) shut() {
 	var err error
 	closed := c.socket.Control(func(fd uintptr) { err = syscall.Shutdown(int(fd), syscall.SHUT_WR) })
@@ -308,8 +311,8 @@
 	}
 }
 
-// CloseWrite ends the sending side behind all that was written, and leaves the reading
-// side open: the peer reads everything and then the end.
+// CloseWrite ends the sending side after all that was written and leaves the receiving side open:
+// the peer reads everything and then the end.
 func (c *Conn) CloseWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -319,17 +322,17 @@
 	c.endWriting()
 }
 
-// endWriting ends the sending side once nothing waits; under mu.
+// endWriting ends the sending side once nothing is pending. The caller holds mu.
 func (c *Conn) endWriting() {
 	if c.ending = true; len(c.pending) == 0 {
 		c.shut()
 	}
 }
 
-// Finish is CloseWrite for a connection of which nothing more is wanted: what comes is
-// dropped, and the connection is closed when the peer has closed it, at the latest after
-// the time given. A close over bytes that were not read would reset the connection and
-// take with it what the peer has not read yet.
+// Finish is CloseWrite for a connection from which nothing more is wanted. Received bytes are
+// discarded, and the connection is closed when the peer closes it, at the latest after the given
+// time. Closing it with unread bytes would reset the connection and destroy data that the peer has
+// not read yet.
 func (c *Conn) Finish(within time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -343,8 +346,8 @@
 	}
 }
 
-// Close ends the connection at once, with what waits to be written. The handler is told by
-// its own goroutine.
+// Close closes the connection at once and drops the pending bytes. The handler's Closed is called
+// on the connection's goroutine.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -352,32 +355,32 @@
 	return nil
 }
 
-// Unsent is how many bytes wait to be written.
+// Unsent returns the number of bytes that wait to be written.
 func (c *Conn) Unsent() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pending)
 }
 
-// IsClosed tells whether the connection has ended.
+// IsClosed reports whether the connection is closed.
 func (c *Conn) IsClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.open
 }
 
-// Peeked is what Peek finds.
+// Peeked is the result of Peek.
 type Peeked int
 
-// What may stand to be read.
+// The results of Peek.
 const (
 	Nothing Peeked = iota
 	Bytes
 	End // the peer's end, or an error
 )
 
-// Peek looks what stands to be read, without reading it: the end of a connection may not
-// have been read yet.
+// Peek looks at the socket without reading from it: the end of a connection may not have been read
+// yet.
 func (c *Conn) Peek() Peeked {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -401,19 +404,20 @@
 	return End
 }
 
-// EndedByPeer tells whether the peer has ended the connection, and not this side or an error of its own.
+// EndedByPeer reports whether the peer closed the connection, as opposed to this side or a local
+// error.
 func (c *Conn) EndedByPeer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return errors.Is(c.why, io.EOF) || errors.Is(c.why, syscall.ECONNRESET) || errors.Is(c.why, syscall.EPIPE)
 }
 
-// LocalAddr is the connection's own address.
+// LocalAddr returns the local address of the connection.
 func (c *Conn) LocalAddr() net.Addr { return c.local }
 
-// RemoteAddr is that of the peer.
+// RemoteAddr returns the peer's address.
 func (c *Conn) RemoteAddr() net.Addr { return c.remote }
 
-// Descriptor is the number of the socket, for options of it; of a closed connection it
-// may be another one's.
+// Descriptor returns the socket's descriptor, for socket options. Once the connection is closed,
+// the number may belong to another one.
 func (c *Conn) Descriptor() int { return c.descriptor }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,9 +1,11 @@
-// Package engine serves sockets on the runtime's poller, and writes to them without blocking.
+// Package engine reads from and writes to sockets with the runtime's network poller. Reading has a
+// goroutine for each connection, which holds no buffer while it waits for data; writing never
+// blocks.
 //
-// Each connection has a goroutine that waits for data without holding a buffer. A descriptor
-// is closed only when no operation uses it any more, and the runtime tells the events of a
-// closed connection from those of the next one that has its number. What a write left over is
-// kept here, so that the end of a connection stands behind it.
+// A descriptor is closed only when no operation uses it any more, and the runtime doesn't confuse
+// events of a closed connection with those of a later connection that got the same descriptor
+// number. Bytes that the kernel did not take are buffered here, so that the end of a connection
+// follows all that was written to it.
 package engine
 
 import (
@@ -14,27 +16,28 @@
 	"time"
 )
 
-// Handler takes in what happens on one connection.
+// Handler receives the events of one connection.
 type Handler interface {
-	Data(b []byte) // on the connection's goroutine; b is not to be kept
-	Closed()       // once, after the last Data, on the same goroutine
+	Data(b []byte) // called on the connection's goroutine; b must not be kept
+	Closed()       // called once, after the last Data, on the same goroutine
 }
 
-// HalfCloser is a Handler that may still owe its peer something when that has ended its sending.
+// HalfCloser is a Handler that may still have something to write after its peer has ended its
+// sending side.
 type HalfCloser interface {
-	// HalfClosed takes in that the peer has ended its sending, and tells whether the connection
-	// is kept for what is still to be written. Its end is then the handler's to make: nothing more is
-	// read, so that a peer that leaves is noticed by a write only.
+	// HalfClosed is called when the peer has ended its sending side. If it returns true, the
+	// connection stays open for writing until the handler ends it. Nothing more is read, so that
+	// only a failing write shows that the peer has left.
 	HalfClosed() bool
 }
 
-// Options of an Engine.
+// Options configure an Engine.
 type Options struct {
 	Name        string
 	ReadBuffer  int // bytes read at once
-	WriteBuffer int // bytes that may wait to be written to one connection; over it, it is closed. 0 for no bound
-	// Sent is told of bytes that the kernel has taken, in the order of writing; it must not
-	// call back into the connection. May be nil.
+	WriteBuffer int // bytes that may wait to be written to a connection, closed beyond that; 0 for no bound
+	// Sent is called with the number of bytes that the kernel has taken, in the order of writing.
+	// It must not call back into the connection. It may be nil.
 	Sent func(h Handler, n int)
 }
 
@@ -49,13 +52,15 @@
 	stopped bool
 }
 
-// leastReadBuffer bytes are read at once at least.
+// minReadBuffer is the smallest read buffer, in bytes.
 const leastReadBuffer = 4 << 10
 
-// Start begins to serve; it opens nothing. The error names an option that is out of its range.
+// Start returns an Engine that is ready to adopt connections; it opens nothing. The error names an
+// option that is out of its range.
 func Start(opt Options) (*Engine, error) {
 	if opt.ReadBuffer < 0 || opt.WriteBuffer < 0 {
-		return nil, fmt.Errorf("%s: ReadBuffer is %d and WriteBuffer %d, must be at least 0", opt.Name, opt.ReadBuffer, opt.WriteBuffer)
+		return nil, fmt.Errorf("%s: ReadBuffer is %d and WriteBuffer %d, must be at least 0",
+			opt.Name, opt.ReadBuffer, opt.WriteBuffer)
 	}
 	e := &Engine{opt: opt, conns: map[*Conn]struct{}{}}
 	size := max(opt.ReadBuffer, leastReadBuffer)
@@ -63,13 +68,14 @@
 	return e, nil
 }
 
-// errStopped says that the engine has ended.
+// errStopped is returned for a connection that comes after Stop.
 var errStopped = errors.New("engine: stopped")
 
-// Adopt serves a connected socket. bind makes its handler, before any data can come. On an
-// error the socket is closed, and the handler is told so.
+// Adopt starts to serve a connected socket. bind makes its handler before any data can arrive. On
+// an error the socket is closed, and the handler's Closed is called.
 func (e *Engine) Adopt(raw net.Conn, bind func(*Conn) Handler) (*Conn, error) {
-	c := &Conn{engine: e, raw: raw, open: true, ended: make(chan struct{}), local: raw.LocalAddr(), remote: raw.RemoteAddr()}
+	c := &Conn{engine: e, raw: raw, open: true, ended: make(chan struct{}),
+		local: raw.LocalAddr(), remote: raw.RemoteAddr()}
 	err := c.takeSocket()
 	c.handler = bind(c)
 	if err == nil {
@@ -83,7 +89,7 @@
 	return c, nil
 }
 
-// serve begins the goroutine of a connection.
+// serve starts the goroutine of a connection.
 func (e *Engine) serve(c *Conn) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -100,10 +106,11 @@
 	return nil
 }
 
-// stopTime is long for connections that have all been closed.
+// stopTimeout bounds the wait for handlers in Stop; their connections are all closed by then.
 const stopTime = 2 * time.Second
 
-// Stop ends all connections. It does not wait for ever for a handler that is held up.
+// Stop closes all connections and waits for their goroutines, but not for a handler that blocks for
+// longer than stopTimeout.
 func (e *Engine) Stop() {
 	e.mu.Lock()
 	e.stopped = true
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// An engine that is stopped before its poller has run does not hold up who stops it: on one
-// processor the poller never runs in between.
+// Guards against Stop blocking when it is called before the poller has run: with one processor the
+// poller doesn't run between Start and Stop.
 func TestStopRightAfterStart(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for range 3 {
@@ -27,11 +27,11 @@
 			e.Stop()
 			close(done)
 		}()
-		<-done // the test's own time-out otherwise
+		<-done // a Stop that blocks ends in the test's time-out
 	}
 }
 
-// recorder keeps what a connection brings.
+// recorder stores what a connection receives.
 type recorder struct {
 	mu     sync.Mutex
 	got    bytes.Buffer
@@ -46,7 +46,7 @@
 
 func (r *recorder) Closed() { close(r.closed) }
 
-// pair is a connection of an engine and its peer.
+// pair returns a connection of an engine, its handler, and its peer.
 func pair(t *testing.T, opt Options) (*Conn, *recorder, *net.TCPConn) {
 	t.Helper()
 	opt.Name = "test"
@@ -77,11 +77,11 @@
 	return c, r, peer.(*net.TCPConn)
 }
 
-// larger than what the kernel takes for a peer that does not read.
+// large is more bytes than the kernel buffers for a peer that does not read.
 const large = 16 << 20
 
-// Guards against answers that are cut off: a connection's end overtook what its write
-// had left over.
+// Guards against truncated answers: the end of a connection overtook bytes that an earlier write
+// had left pending.
 func TestTheEndComesBehindWhatWasWritten(t *testing.T) {
 	for name, end := range map[string]func(*Conn){
 		"CloseWrite": (*Conn).CloseWrite,
@@ -93,21 +93,20 @@
 				t.Fatal(n, err)
 			}
 			if c.Unsent() == 0 {
-				t.Fatal("the kernel took all: this shows nothing")
+				t.Fatal("the kernel took all bytes at once; the test needs some of them pending")
 			}
 			end(c)
 			if n, err := io.Copy(io.Discard, peer); n != large || err != nil {
 				t.Errorf("the peer reads %d of %d bytes, %v", n, large, err)
 			}
 			if _, err := c.Write([]byte("x")); !errors.Is(err, net.ErrClosed) {
-				t.Errorf("a write behind the end: %v", err)
+				t.Errorf("write after the end: %v, want net.ErrClosed", err)
 			}
 		})
 	}
 }
 
-// Guards against an answer that is taken away by a reset: a close over bytes that
-// were not read.
+// Guards against an answer destroyed by a reset, which a close with unread bytes causes.
 func TestFinishOverUnreadBytes(t *testing.T) {
 	c, r, peer := pair(t, Options{})
 	if _, err := c.Write([]byte("answer")); err != nil {
@@ -123,12 +122,12 @@
 	_ = peer.Close()
 	<-r.closed
 	if r.got.Len() > 0 {
-		t.Errorf("%d bytes behind the end were handed over", r.got.Len())
+		t.Errorf("%d bytes after the end were passed to the handler", r.got.Len())
 	}
 }
 
-// Guards against a call that leaves after its repeats are forgotten: what waits for a slow
-// socket goes with its connection when its time is over.
+// Guards against a call that is sent after the host has forgotten its first attempt: bytes that
+// wait for a slow socket must not be sent after their deadline.
 func TestNothingIsWrittenBehindItsTime(t *testing.T) {
 	c, r, peer := pair(t, Options{})
 	if _, err := c.WriteBy(make([]byte, large), time.Now().Add(20*time.Millisecond)); err != nil && !errors.Is(err, ErrLate) {
@@ -136,10 +135,10 @@
 	}
 	<-r.closed
 	if n, _ := io.Copy(io.Discard, peer); n >= large {
-		t.Error("all was written")
+		t.Error("all bytes were written after the deadline")
 	}
 	if _, err := c.WriteBy([]byte("x"), time.Now().Add(-time.Second)); err == nil {
-		t.Error("written behind its time")
+		t.Error("a write after its deadline succeeded")
 	}
 }
 
@@ -157,7 +156,7 @@
 	}
 }
 
-// Guards against a host's answer that is lost because its connection ends right behind it.
+// Guards against losing a host's answer because its connection ends right after it.
 func TestAllIsReadBeforeThePeersEnd(t *testing.T) {
 	_, r, peer := pair(t, Options{ReadBuffer: 4 << 10})
 	body := bytes.Repeat([]byte("0123456789"), 100<<10)
@@ -171,8 +170,8 @@
 	}
 }
 
-// Guards against bytes and ends that strike another connection: one that was closed has no
-// descriptor any more, whoever has its number now.
+// Guards against operations on a closed connection that affect another one: a closed connection
+// must not use its old descriptor number, whichever connection has it now.
 func TestAClosedConnectionLeavesItsNumberAlone(t *testing.T) {
 	first, r, _ := pair(t, Options{})
 	second, _, other := pair(t, Options{})
@@ -183,7 +182,7 @@
 	}
 	defer syscall.Close(first.Descriptor())
 	if _, err := first.Write([]byte("stray")); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("a write to a closed connection: %v", err)
+		t.Errorf("write to a closed connection: %v, want net.ErrClosed", err)
 	}
 	first.CloseWrite()
 	first.Finish(time.Minute)
@@ -200,7 +199,7 @@
 	}
 }
 
-// gate is a handler that holds the poller up at its first data.
+// gate is a handler that blocks the poller at its first data.
 type gate struct {
 	recorder
 	entered chan struct{}
@@ -216,10 +215,11 @@
 	})
 }
 
-// Guards against a connection that ends over a request because an earlier one had its
-// descriptor's number: events that the poller had fetched for that one struck it.
+// Guards against a connection that is closed during a request because an earlier connection had the
+// same descriptor number: events that the poller had already fetched for the earlier one were
+// applied to it.
 func TestEventsOfAClosedConnectionStrikeNoOther(t *testing.T) {
-	for range 10 { // the numbers do not always fall alike
+	for range 10 { // the descriptor numbers are not assigned alike each time
 		eventsOfAClosedConnection(t)
 	}
 }
@@ -245,7 +245,7 @@
 		t.Cleanup(func() { _ = f.Close() })
 		return f
 	}
-	lower := null() // its number is for the duplicate that is made of a socket
+	lower := null() // its number is used by the duplicate made of a socket
 	dial := func() (raw, peer net.Conn) {
 		t.Helper()
 		peer, err := net.Dial("tcp", l.Addr().String())
@@ -286,13 +286,13 @@
 	old := &recorder{closed: make(chan struct{})}
 	closed, oldPeer := connect(old)
 	raw, nextPeer := dial()
-	say(firstPeer) // while the poller is held here, two events come that it fetches together
+	say(firstPeer) // while the poller is blocked here, two events arrive that it fetches together
 	<-first.entered
 	say(secondPeer)
 	_ = oldPeer.Close()
 	close(first.release)
-	<-second.entered                                 // and here the second of them waits for its turn
-	for null().Fd() < uintptr(closed.Descriptor()) { // no other number below is free
+	<-second.entered                                 // and here the second of them waits to be processed
+	for null().Fd() < uintptr(closed.Descriptor()) { // use up all lower numbers
 	}
 	_ = lower.Close()
 	_ = closed.Close()
@@ -305,6 +305,6 @@
 	select {
 	case <-next.entered:
 	case <-next.closed:
-		t.Error("an event of the connection that was closed ended this one")
+		t.Error("an event of the closed connection ended the next one")
 	}
 }
