--- a/internal/front/clock.go
+++ b/internal/front/clock.go
@@ -4,9 +4,9 @@
 
 var began = time.Now()
 
-// Now is the time in nanoseconds since the process began. Fronts measure silence and time
-// limits by it: nobody sets it, as the wall clock may be set.
+// Now returns the nanoseconds since the process started, on the monotonic clock. Fronts measure
+// idle times and time limits by it, because the wall clock may be set.
 func Now() int64 { return Nanos(time.Now()) }
 
-// Nanos is a moment of this process on the clock of Now.
+// Nanos converts a time of this process to the scale of Now.
 func Nanos(t time.Time) int64 { return int64(t.Sub(began)) }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,6 +1,6 @@
-// Package front is what the relay's fronts share: the names that a message may
-// carry, who it is, and the way back of what the core says. It decides nothing
-// about delivery, and the core knows of no front.
+// Package front holds what the relay's fronts share: sockets and their listeners, the lookup of a
+// message's class and partner, message identities, and the path of the core's answers back to the
+// front. It makes no decisions about delivery, and the core does not depend on any front.
 package front
 
 import (
@@ -14,42 +14,42 @@
 	"basaltcross.example/basaltcross/internal/ledger"
 )
 
-// Door is where messages are handed in; core.Core is one.
+// Door accepts handed-in messages; core.Core implements it.
 type Door interface {
 	Submit(*core.Message) error
 	Withdraw(identity string)
 }
 
-// Keeper keeps what a front needs after a restart; journal.Journal is one.
+// Keeper stores what a front needs after a restart; journal.Journal implements it.
 type Keeper interface {
-	// Session keeps something for one client; nothing drops it.
+	// Session stores a value for one client, without expiry.
 	Session(front, id string, value []byte)
-	// Handed says that the client has the answer of an identity.
+	// Handed records that the client has received the answer for an identity.
 	Handed(identity string)
 }
 
-// Owed is a message of an earlier run, or its answer, that a client waits for.
+// Owed is a message from before a restart whose client still waits for it, or its answer.
 type Owed struct {
 	Identity string
 	Way      []byte
-	Answer   ledger.Answer // no verdict: it follows
-	Handed   bool          // the client has it; only its flow may be asked for again
+	Answer   ledger.Answer // without a verdict if the answer is still to come
+	Handed   bool          // the client has the answer; it may only ask to complete the protocol exchange
 }
 
-// Why a message is turned away before the core sees it.
+// Reasons to reject a message before it reaches the core.
 var (
 	ErrPending = errors.New("owed too many answers already")
 	ErrNames   = errors.New("names no class and partner of this relay")
 )
 
-// Names are the classes and partners of the configuration.
+// Names holds the classes and partners of the configuration by name.
 type Names struct {
 	Classes  map[string]int
 	Partners map[string]int
 	Lives    []time.Duration // deadline by class
 }
 
-// Route finds class and partner of a path "<class>/<partner>".
+// Route looks up the class and the partner of a path "<class>/<partner>".
 func (n *Names) Route(path string) (class, partner int, err error) {
 	name, to, ok := strings.Cut(path, "/")
 	class, known := n.Classes[name]
@@ -60,9 +60,9 @@
 	return class, partner, nil
 }
 
-// Identity joins who handed a message in and what they call it. The kind tells
-// fronts apart: the same names at two fronts are two identities. Parts cannot
-// run into each other.
+// Identity joins the sender of a message and the sender's id for it to an identity. kind keeps the
+// fronts apart, so that the same names at two fronts make two identities. The parts are
+// length-prefixed, so that different parts never make the same identity.
 func Identity(kind byte, parts ...string) string {
 	b := []byte{kind}
 	for _, p := range parts {
@@ -73,26 +73,26 @@
 	return string(b)
 }
 
-// Said is one thing that the core says of a hand-in T.
+// Said is one report of the core about a hand-in, which is a T.
 type Said[T any] struct {
 	To     T
-	Answer ledger.Answer // no verdict: whether it was taken
-	Err    error         // why it was not
+	Answer ledger.Answer // without a verdict: the report says whether the message was taken
+	Err    error         // why the message was not taken
 }
 
-// Outbox carries what the core says to one goroutine of a front, so that the
-// core waits for no socket. It holds at most one entry for each hand-in that
-// waits to be taken and one for each answer owed.
+// Outbox passes the core's reports to one goroutine of a front, so that the core never waits for a
+// socket. It holds at most one entry for each hand-in that waits to be taken, and one for each
+// answer that is still owed.
 type Outbox[T any] struct {
 	mu   sync.Mutex
 	list []Said[T]
 	wake chan struct{}
 }
 
-// NewOutbox makes an empty one.
+// NewOutbox returns an empty Outbox.
 func NewOutbox[T any]() *Outbox[T] { return &Outbox[T]{wake: make(chan struct{}, 1)} }
 
-// Put never blocks.
+// Put adds a report and never blocks.
 func (o *Outbox[T]) Put(s Said[T]) {
 	o.mu.Lock()
 	o.list = append(o.list, s)
@@ -106,7 +106,7 @@
 	}
 }
 
-// Run hands batches to f until stop is closed, and what is left then.
+// Run passes batches of reports to f until stop is closed, and then what is left.
 func (o *Outbox[T]) Run(stop <-chan struct{}, f func([]Said[T])) {
 	var spare []Said[T]
 	for {
@@ -129,7 +129,7 @@
 	}
 }
 
-// Reply is a core.Reply that puts what it hears into an outbox.
+// Reply is a core.Reply that puts the reports into an Outbox.
 type Reply[T any] struct {
 	Box *Outbox[T]
 	To  T
@@ -138,7 +138,7 @@
 func (r Reply[T]) Taken(err error)        { r.Box.Put(Said[T]{To: r.To, Err: err}) }
 func (r Reply[T]) Answer(a ledger.Answer) { r.Box.Put(Said[T]{To: r.To, Answer: a}) }
 
-// Nobody is a reply where nobody waits any more.
+// Nobody is a core.Reply for a message whose client no longer waits.
 type Nobody struct{}
 
 // Taken and Answer do nothing.
--- a/internal/front/listen.go
+++ b/internal/front/listen.go
@@ -14,23 +14,24 @@
 	"basaltcross.example/basaltcross/internal/engine"
 )
 
-// Conn is what a front keeps of one connection.
+// Conn is a front's handler for one connection.
 type Conn = engine.Handler
 
-// Sockets are the listeners of one sort, and how their connections are served.
+// Sockets configures the listeners of one front and how their connections are served.
 type Sockets struct {
 	Name        string
 	Addrs       []string
 	ReadBuffer  int
-	WriteBuffer int // bytes that wait for one connection; over it, it is closed
-	// Open makes the front's side of a connection, nil to close it at once. waited is how long
-	// it may have stood in the listener's queue because accepting failed.
+	WriteBuffer int // bytes that may wait to be written to a connection, which is closed beyond that
+	// Open makes the front's handler for a connection; nil closes the connection at once. waited
+	// bounds the time for which the connection waited in the listener's queue because accepting
+	// failed.
 	Open func(nb *engine.Conn, waited time.Duration) Conn
-	// Failed is told that an accept failed, out of descriptors mostly.
+	// Failed is called when accepting a connection fails, in most cases for lack of descriptors.
 	Failed func(err error)
 }
 
-// Listeners are open sockets.
+// Listeners are the open listening sockets of one front.
 type Listeners struct {
 	Addrs     []string
 	sockets   Sockets
@@ -40,18 +41,19 @@
 	leaving   atomic.Bool
 }
 
-// Farewell is how long a client may take to read what was written to it before a close.
+// Farewell is how long a client may take to read what was written to it before its connection is
+// closed.
 const Farewell = time.Second
 
 const (
-	// acceptPause keeps failing accepts from a hot loop.
+	// acceptRetryPause keeps failing accepts from spinning.
 	acceptPause = 20 * time.Millisecond
-	// emptyWithin is how long a listener that is to close goes on accepting what stands in its
-	// queue, where accepting fails or clients come without end.
+	// queueDrainTime bounds how long a closing listener goes on accepting the connections in its
+	// queue if accepting fails or further clients keep coming.
 	emptyWithin = time.Second
 )
 
-// Listen opens the sockets and begins to serve them.
+// Listen opens the sockets and starts to serve them.
 func Listen(s Sockets) (*Listeners, error) {
 	l := &Listeners{sockets: s}
 	for _, addr := range s.Addrs {
@@ -74,12 +76,12 @@
 	return l, nil
 }
 
-// accept serves one listener until it is to close and nothing stands in its queue: the system
-// resets what does when a listener closes.
+// accept serves one listener until it is closing and its queue is empty. The kernel resets the
+// connections that are still in the queue when a listener is closed.
 func (l *Listeners) accept(from *net.TCPListener) {
 	defer from.Close()
 	var q queue
-	var until time.Time // of the queue's emptying, once the listener is to close
+	var until time.Time // limit for emptying the queue, set once the listener is closing
 	for {
 		asked := time.Now()
 		if l.leaving.Load() {
@@ -89,13 +91,13 @@
 			if !pending(from) || asked.After(until) {
 				return
 			}
-			_ = from.SetDeadline(until) // what stands there is accepted at once
+			_ = from.SetDeadline(until) // connections in the queue are accepted at once
 		}
 		raw, err := from.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded): // it is to close
+		case errors.Is(err, os.ErrDeadlineExceeded): // the listener is closing
 		case err != nil:
 			q.held(asked)
 			l.sockets.Failed(err)
@@ -111,7 +113,7 @@
 	}
 }
 
-// pending tells whether a connection stands in a listener's queue.
+// pending reports whether a connection waits in a listener's queue.
 func pending(from *net.TCPListener) (waits bool) {
 	raw, err := from.SyscallConn()
 	if err != nil {
@@ -128,28 +130,30 @@
 	return waits
 }
 
-// prompt is what accepting takes that holds nothing up.
+// promptAccept is the longest time that accepting and serving one connection takes without delaying
+// the queue.
 const prompt = 5 * time.Millisecond
 
-// queue tells how long connections may have stood in a listener's queue: since accepting
-// failed or was held up, until one had to be waited for.
+// queueDelay bounds how long connections may have waited in a listener's queue: from the moment at
+// which accepting failed or was delayed until the next connection that was not there yet when it
+// was accepted.
 type queue struct{ since time.Time }
 
-// held says that nothing was accepted from a moment on.
+// delayed records that no connection was accepted from the given time on.
 func (q *queue) held(from time.Time) {
 	if q.since.IsZero() {
 		q.since = from
 	}
 }
 
-// got takes in that a connection was asked for and came.
+// accepted records that a connection was asked for and when it arrived.
 func (q *queue) got(asked, came time.Time) {
 	if came.Sub(asked) > prompt {
 		q.since = time.Time{}
 	}
 }
 
-// waited is the longest that a connection which has just come may have stood there.
+// longest returns the longest time for which a connection accepted now may have waited.
 func (q *queue) waited(now time.Time) time.Duration {
 	if q.since.IsZero() {
 		return 0
@@ -157,7 +161,7 @@
 	return now.Sub(q.since)
 }
 
-// serve hands one connection to the engine, and to the front.
+// serve passes one connection to the engine and to the front.
 func (l *Listeners) serve(raw net.Conn, waited time.Duration) {
 	refused := false
 	nb, err := l.engine.Adopt(raw, func(nb *engine.Conn) engine.Handler {
@@ -175,14 +179,13 @@
 	}
 }
 
-// refusal handles a connection that the front did not want.
+// rejected handles a connection that the front did not accept.
 type refusal struct{}
 
 func (refusal) Data([]byte) {}
 func (refusal) Closed()     {}
 
-// Refuse closes the listeners, once what stands in their queues has been accepted; connections
-// stand.
+// Refuse closes the listeners, after accepting what is in their queues. Open connections are kept.
 func (l *Listeners) Refuse() {
 	l.leaving.Store(true)
 	for _, one := range l.all {
@@ -190,11 +193,11 @@
 	}
 	l.accepting.Wait()
 	for _, one := range l.all {
-		_ = one.Close() // where nobody accepted yet
+		_ = one.Close() // for a listener that nobody accepted from yet
 	}
 }
 
-// Close ends everything.
+// Close closes the listeners and all connections.
 func (l *Listeners) Close() {
 	l.Refuse()
 	l.engine.Stop()
--- a/internal/front/listen_test.go
+++ b/internal/front/listen_test.go
@@ -9,34 +9,35 @@
 	"basaltcross.example/basaltcross/internal/engine"
 )
 
-// Guards against ends that are told too late: the time of a request runs while its connection
-// stands in the listener's queue because accepting fails.
+// Guards against time limits that are counted too late: a request's time already runs while its
+// connection waits in the listener's queue because accepting fails.
 func TestQueueTellsHowLongAcceptingWasHeldUp(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 	var q queue
 	if q.got(at(0), at(0)); q.waited(at(1)) != 0 {
-		t.Error("waited where nothing failed")
+		t.Error("waited although accepting did not fail")
 	}
 	q.held(at(10))
-	q.held(at(30))                          // the first one counts
-	for _, now := range []int{50, 52, 54} { // a whole queue follows
+	q.held(at(30))                          // the first report counts
+	for _, now := range []int{50, 52, 54} { // several connections were queued
 		if q.got(at(now), at(now)); q.waited(at(now)) != at(now).Sub(at(10)) {
 			t.Errorf("at %d ms: waited %v", now, q.waited(at(now)))
 		}
 	}
-	if q.got(at(60), at(80)); q.waited(at(80)) != 0 { // it was empty
+	if q.got(at(60), at(80)); q.waited(at(80)) != 0 { // the queue was empty
 		t.Errorf("waited %v after the queue was empty", q.waited(at(80)))
 	}
 }
 
-// echo answers what comes, for a test.
+// echo is a handler that sends back what it receives.
 type echo struct{ nb *engine.Conn }
 
 func (e echo) Data(b []byte) { _, _ = e.nb.Write(b) }
 func (echo) Closed()         {}
 
-// Guards against connections that the system had accepted for the relay and that are reset when it leaves: what
-// stands in the listener's queue is served before that closes, also where accepting fails or is held up.
+// Guards against resets of established connections when the relay shuts down: connections in the
+// listener's queue must be served before the listener closes, also if accepting fails or is
+// delayed.
 func TestQueuedConnectionsAreServedBeforeTheListenerCloses(t *testing.T) {
 	const clients = 30
 	held := make(chan struct{})
@@ -77,10 +78,10 @@
 		}
 	}
 	if answered != clients {
-		t.Errorf("%d of %d connections that had come up were served", answered, clients)
+		t.Errorf("%d of %d established connections were served", answered, clients)
 	}
 	if c, err := net.Dial("tcp", l.Addrs[0]); err == nil {
 		c.Close()
-		t.Error("a connection came up after the listener had closed")
+		t.Error("a connection was established after the listener was closed")
 	}
 }
