--- a/internal/hookfront/conn.go
+++ b/internal/hookfront/conn.go
@@ -15,9 +15,9 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// end shuts a connection unless a request has come on it since it was picked: that is
-// owed its answer. What comes later is dropped, so that its client may send it again
-// elsewhere. One that was shut before is closed.
+// tryEnd ends the relay's side of a connection, unless a request has arrived on it since it was
+// selected: that request is owed its answer. Later input is discarded, so that its client may send
+// it again to another relay. A connection whose sending side has already ended is closed.
 func (c *conn) end(why lifecycle.Reason) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,9 +37,10 @@
 	return true
 }
 
-// finish ends the sending side: the client reads what was written and then the end. What
-// it has sent meanwhile is read and dropped until it closes as well, within a bound: a
-// close over unread bytes would reset the connection and take the answer with it; under mu.
+// endSending ends the sending side: the client reads what was written and then the end. What the
+// client has sent meanwhile is read and discarded until the client closes as well, within bounds,
+// because closing a socket with unread bytes would reset the connection and destroy the answer. The
+// caller holds mu.
 func (c *conn) finish(why lifecycle.Reason) {
 	if c.shut || !c.life.MayClose(c.front.opt.Guard) {
 		return
@@ -50,7 +51,7 @@
 	c.nb.CloseWrite()
 }
 
-// close closes the connection whatever the client does; under mu.
+// close closes the connection whatever the client does. The caller holds mu.
 func (c *conn) close(why lifecycle.Reason) {
 	c.shut = true
 	c.ended(why)
@@ -58,42 +59,42 @@
 	_ = c.nb.Close()
 }
 
-// ended notes why a connection ends.
+// recordClose counts and traces the reason for the end of the connection.
 func (c *conn) ended(why lifecycle.Reason) {
 	c.front.counts.Closes.Add(why)
 	c.front.opt.Trace.Step(c.name, "close", string(why))
 }
 
-// mostDropped bytes of a client are read after the relay has shut the connection: what
-// was on its way by then, and not all of a body without end.
+// maxDiscarded bounds the bytes read from a client after the relay has ended its sending side:
+// enough for what was under way by then, but not for a body without end.
 const mostDropped = 1 << 20
 
-// conn is one client's connection.
+// conn is the connection of one client.
 type conn struct {
 	front   *Front
 	nb      *engine.Conn
 	name    string
-	since   atomic.Int64 // by front.Now: of the state, or of the last byte while reading
-	begun   atomic.Int64 // by front.Now: of the request, or of the connection before the first
+	since   atomic.Int64 // by front.Now: last change of phase, or last byte while a request is read
+	begun   atomic.Int64 // by front.Now: start of the request, or of the connection before its first request
 	life    lifecycle.Exchange
-	asked   atomic.Bool   // a request was answered
-	waited  time.Duration // the connection may have stood in the listener's queue so long
-	leaving atomic.Bool   // about to be closed to make room
-	// The client has ended its sending behind a request that is being answered.
+	asked   atomic.Bool   // a request has been answered
+	waited  time.Duration // upper bound on the time the connection waited in the listener's queue
+	leaving atomic.Bool   // selected to be closed to make room
+	// The client has ended its sending side while its request is being answered.
 	halfClosed atomic.Bool
 
 	mu      sync.Mutex
 	req     http1.Request
 	open    *exchange
 	shut    bool
-	bad     bool // what came was no request, or not in time
-	dropped int  // bytes after that
+	bad     bool // the input was not a valid request, or not complete in time
+	dropped int  // bytes discarded since sendingEnded
 }
 
-// before tells which of two connections goes first: one that has not asked in the time
-// in which a client sends a request; else one between two requests, whose client opens
-// another; last one that is new, for its request may be on its way and would be lost.
-// Among equals the longest silent goes.
+// evictBefore reports whether c is closed before o to make room. First go connections that have not
+// sent a request within the time a client needs for it, then those between two requests, whose
+// clients will open another one, and last the new ones, whose request may be on its way and would
+// be lost. Among equals, the one that has been idle longest goes first.
 func (c *conn) before(o *conn, now time.Time) bool {
 	if x, y := c.rank(now), o.rank(now); x != y {
 		return x < y
@@ -111,7 +112,7 @@
 	return 2
 }
 
-// overdue tells whether a connection was silent too long, or its request does not end.
+// timedOut reports whether the connection has been idle for too long or its request takes too long.
 func (c *conn) overdue(now time.Time) bool {
 	age := front.Nanos(now) - c.since.Load()
 	switch c.life.Phase() {
@@ -128,8 +129,8 @@
 	return false
 }
 
-// Closed takes in the end of the connection. Whoever had a request open there
-// hears no answer any more, so that none is owed.
+// Closed records the end of the connection. A message whose client has not been answered is
+// withdrawn, because nobody can receive the answer any more.
 func (c *conn) Closed() {
 	c.front.gone(c)
 	c.mu.Lock()
@@ -142,8 +143,9 @@
 	c.withdraw()
 }
 
-// HalfClosed takes in that the client has ended its sending. Behind a request that was read it may wait for the
-// answer: that is written whole before the connection ends (RFC 9112, 9.6), while a client waits.
+// HalfClosed records that the client has ended its sending side. Its client may still wait for the
+// answer to a request that was read, so that the answer is written completely before the connection
+// ends (RFC 9112, 9.6), as long as the client waits.
 func (c *conn) HalfClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,17 +157,19 @@
 	if c.nb.Unsent() == 0 {
 		return false
 	}
-	if c.life.Phase() == lifecycle.Idle { // between its response and the next request, which does not come
+	if c.life.Phase() == lifecycle.Idle { // between a response and a next request that won't come
 		c.finish(lifecycle.CloseClient)
 	}
 	return c.shut
 }
 
-// forsaken tells whether the client has ended its sending and its answer is still owed.
+// halfClosedWaiting reports whether the client has ended its sending side and its answer is still
+// owed.
 func (c *conn) forsaken() bool { return c.halfClosed.Load() && c.life.Phase() == lifecycle.Answering }
 
-// forsake ends such a connection once its client surely waits no more, and withdraws the message. How long the
-// request may have stood unread is no more than a bound.
+// closeGivenUp closes such a connection and withdraws its message once its client certainly no
+// longer waits. The time for which the request may have waited unread is not counted, because it is
+// only an upper bound.
 func (c *conn) forsake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,7 +179,8 @@
 	}
 }
 
-// withdraw says that nobody waits for the answer to the open request any more; under mu.
+// withdraw tells the core that nobody waits for the answer to the pending request any more. The
+// caller holds mu.
 func (c *conn) withdraw() {
 	if x := c.open; x != nil {
 		c.open = nil
@@ -183,7 +188,7 @@
 	}
 }
 
-// Data takes in what the socket gave.
+// Data processes the bytes read from the socket.
 func (c *conn) Data(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,7 +198,7 @@
 		}
 		return
 	}
-	if c.life.Phase() == lifecycle.Answering { // one request at a time, by the protocol
+	if c.life.Phase() == lifecycle.Answering { // the protocol allows one request at a time
 		c.withdraw()
 		c.reject(http.StatusBadRequest, "a request before the answer to the last one")
 		return
@@ -222,7 +227,7 @@
 	}
 }
 
-// serve answers a whole request; under mu.
+// serve answers a complete request. The caller holds mu.
 func (c *conn) serve() {
 	f, r := c.front, &c.req
 	switch {
@@ -238,7 +243,7 @@
 		c.say(http.StatusMethodNotAllowed, "POST a message here")
 	case !f.opt.Ready():
 		c.say(http.StatusServiceUnavailable, "not ready")
-	case f.finished.Load(): // after Finish had looked at this connection, or before it did
+	case f.finished.Load(): // covers requests completed after Finish visited this connection, and before
 		c.say(http.StatusServiceUnavailable, "the relay ends")
 	default:
 		m, err := c.message()
@@ -271,14 +276,15 @@
 	c.write(status, "", fmt.Sprintf(format, args...)+"\n")
 }
 
-// reject answers what is no request, and closes; under mu. A request that is open
-// on the connection is not answered any more.
+// reject answers input that is not a valid request and ends the connection. A request pending on
+// the connection gets no other answer. The caller holds mu.
 func (c *conn) reject(status int, format string, args ...any) {
 	c.req.Keep, c.bad = false, true
 	c.say(status, format, args...)
 }
 
-// write sends an answer and readies the connection for the next request; under mu.
+// writeResponse sends a response and prepares the connection for the next request. The caller holds
+// mu.
 func (c *conn) write(status int, field, body string) {
 	if c.shut || !c.life.MayAnswer(c.front.opt.Guard, time.Duration(front.Now())) {
 		return
@@ -296,7 +302,7 @@
 	_, err := c.nb.Write(b)
 	c.front.opt.Trace.Step(c.life.ID(), "response", strconv.Itoa(status))
 	switch {
-	case err != nil: // closed by the engine
+	case err != nil: // the engine has closed the connection
 		c.shut = true
 		c.ended(lifecycle.CloseError)
 		c.front.opt.Trace.Step(c.name, "error", err.Error())
--- a/internal/hookfront/ending_test.go
+++ b/internal/hookfront/ending_test.go
@@ -16,7 +16,7 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// patient is a front that closes nothing by time within a test.
+// startWithoutTimeouts returns a front whose time limits don't expire within a test.
 func patient(t *testing.T) (*Front, *door) {
 	t.Helper()
 	return startWith(t, func(o *Options) {
@@ -25,7 +25,7 @@
 	})
 }
 
-// only is the one connection that a front has.
+// onlyConn returns the only connection of a front.
 func only(t *testing.T, f *Front) *conn {
 	t.Helper()
 	f.mu.Lock()
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// drained reads to the end of a connection; the end has to be one, and no reset.
+// readToEnd reads to the end of a connection and reports an error if it is reset instead.
 func drained(t *testing.T, c net.Conn, r io.Reader) string {
 	t.Helper()
 	b, err := io.ReadAll(r)
@@ -49,8 +49,9 @@
 	return string(b)
 }
 
-// A request that crosses the close of a resting connection finds its end and no reset, so
-// that its client knows that nothing has read it; and it is not handed in.
+// Guards against a reset, or a hand-in, for a request that crosses the relay's close of an idle
+// connection. The client must read the end of the connection, which tells it that its request was
+// not read.
 func TestRequestAfterTheShutIsDropped(t *testing.T) {
 	f, d := patient(t)
 	c := dial(t, f)
@@ -59,28 +60,28 @@
 	}
 	<-d.came
 	if !only(t, f).end(lifecycle.CloseIdle) {
-		t.Fatal("not shut")
+		t.Fatal("the relay did not end its side")
 	}
-	for i := range 3 { // the second write into a closed socket would fail, and the read with it
+	for i := range 3 { // a second write to a closed socket would fail, and the read after it
 		if _, err := io.WriteString(c, hand(fmt.Sprint("crosses", i), "charge", "7", "480", "", "")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if got := drained(t, c, c); got != "" {
-		t.Errorf("%q after the shut", got)
+		t.Errorf("%q after the relay ended its side", got)
 	}
 	_ = c.Close()
-	for f.Connections() > 0 { // the relay closes when the client has
+	for f.Connections() > 0 { // the relay closes once the client has closed
 		time.Sleep(time.Millisecond)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.taken) != 1 {
-		t.Errorf("%d messages taken, want the first one alone", len(d.taken))
+		t.Errorf("%d messages handed in, want the first one only", len(d.taken))
 	}
 }
 
-// An answer that ends its connection is read whole though the client has sent more than
+// Guards against losing an answer that ends its connection because the client has sent more than
 // the relay has read by then.
 func TestAnswerBeforeUnreadBytes(t *testing.T) {
 	for name, draining := range map[string]bool{"a body over the limit": false, "a request while draining": true} {
@@ -96,17 +97,17 @@
 				t.Fatal(err)
 			}
 			if draining {
-				<-d.came // the answer was written: what comes now crosses the shut
+				<-d.came // the answer has been written; what follows crosses the close
 			}
 			for range 30 {
 				if _, err := c.Write(make([]byte, 30000)); err != nil {
-					t.Fatalf("a client that sends on: %v", err)
+					t.Fatalf("write of the remaining request: %v", err)
 				}
 			}
 			r := bufio.NewReader(c)
 			a, err := http.ReadResponse(r, nil)
 			if err != nil || a.StatusCode != want || !a.Close {
-				t.Fatalf("%v %v, want %d and the close", a, err, want)
+				t.Fatalf("%v %v, want %d and Connection: close", a, err, want)
 			}
 			_, _ = io.Copy(io.Discard, a.Body)
 			drained(t, c, r)
@@ -114,7 +115,8 @@
 	}
 }
 
-// A body without end is not read for ever, and a client that never closes is closed.
+// Guards against reading an endless body, and against keeping connections that their client never
+// closes.
 func TestLingeringIsBounded(t *testing.T) {
 	f, _ := start(t, 10)
 	c := dial(t, f)
@@ -122,14 +124,14 @@
 	var err error
 	for n := 0; err == nil; n += 1 << 16 {
 		if _, err = c.Write(make([]byte, 1<<16)); n > 60<<20 {
-			t.Fatal("60 MB were read")
+			t.Fatal("60 MB were read without a close")
 		}
 	}
 	silent := dial(t, f)
 	if got := ask(t, silent, "GET /none HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); got != 404 {
 		t.Fatal(got)
 	}
-	for f.Connections() > 0 { // by the linger alone: the client holds its side open
+	for f.Connections() > 0 { // by the linger time-out only: the client keeps its side open
 		time.Sleep(time.Millisecond)
 	}
 	var many []net.Conn
@@ -141,12 +143,12 @@
 		}
 	}
 	if n := f.Connections(); n > lingering+1 {
-		t.Errorf("%d connections linger of %d", n, len(many))
+		t.Errorf("%d of %d connections are still open", n, len(many))
 	}
 }
 
-// At a planned end a connection that has just come up still gets its request answered;
-// one that rests is shut.
+// Guards against closing a connection at shutdown that has just been established, without an answer
+// to its request. An idle one is closed.
 func TestLeaveKeepsNewConnections(t *testing.T) {
 	f, d := patient(t)
 	rests, fresh := dial(t, f), dial(t, f)
@@ -159,15 +161,15 @@
 	}
 	f.Leave()
 	if got := drained(t, rests, rests); got != "" {
-		t.Errorf("%q on the one that rests", got)
+		t.Errorf("%q on the idle connection", got)
 	}
 	if got := ask(t, fresh, hand("m2", "notice", "7", "480", "", "")); got != 202 {
-		t.Errorf("the one that had just come got %d", got)
+		t.Errorf("the request on the new connection got %d", got)
 	}
 }
 
-// Once the run finishes nothing more is handed in, and all that was gets its answer: a
-// request that is not whole 503, one that the core has its own.
+// Guards against hand-ins after Finish, and against hand-ins before it that get no answer: an
+// incomplete request gets 503, a pending one the core's answer.
 func TestFinishAnswersAll(t *testing.T) {
 	f, d := patient(t)
 	d.hold = true
@@ -195,11 +197,11 @@
 	}
 	f.Finish()
 	if r, err := http.ReadResponse(bufio.NewReader(half), nil); err != nil || r.StatusCode != 503 {
-		t.Errorf("half a request: %v %v, want 503", r, err)
+		t.Errorf("incomplete request: %v %v, want 503", r, err)
 	}
 	_, _ = io.WriteString(late, hand("late", "charge", "7", "480", "", ""))
 	if got := drained(t, late, late); got != "" && !strings.HasPrefix(got, "HTTP/1.1 503") {
-		t.Errorf("a request after the end: %q", got)
+		t.Errorf("request after Finish: %q", got)
 	}
 	d.mu.Lock()
 	m := d.taken[0]
@@ -207,15 +209,15 @@
 	m.Reply.Taken(nil)
 	m.Reply.(core.Decider).Decided()
 	if r, err := http.ReadResponse(bufio.NewReader(open), nil); err != nil || r.StatusCode != 202 {
-		t.Errorf("the open request: %v %v, want 202", r, err)
+		t.Errorf("pending request: %v %v, want 202", r, err)
 	}
 	if len(d.taken) != 1 {
-		t.Errorf("%d handed in", len(d.taken))
+		t.Errorf("%d messages handed in, want 1", len(d.taken))
 	}
 }
 
-// A request may come byte by byte as long as it goes on; one that stops, or never ends, is
-// told so.
+// Guards against closing slow requests that make progress, and against requests that stop or never
+// end and are kept open or closed without a response.
 func TestSlowWriters(t *testing.T) {
 	f, d := patient(t)
 	text := hand("slow", "charge", "7", "480", "Cookie: c=d\r\n", "some body")
@@ -226,12 +228,12 @@
 		}
 	}
 	if got := ask(t, c, text[len(text)-1:]); got != 202 {
-		t.Errorf("byte by byte: %d", got)
+		t.Errorf("request sent byte by byte: %d", got)
 	}
 	<-d.came
 	f, _ = start(t, 10)
 	if got := ask(t, dial(t, f), text[:len(text)-1]); got != 408 {
-		t.Errorf("all but a byte: %d, want 408", got)
+		t.Errorf("request without its last byte: %d, want 408", got)
 	}
 	drip := dial(t, f)
 	began := time.Now()
@@ -245,11 +247,11 @@
 	}()
 	r, err := http.ReadResponse(bufio.NewReader(drip), nil)
 	if err != nil || r.StatusCode != 408 {
-		t.Errorf("a head without end: %v %v, want 408", r, err)
+		t.Errorf("endless header: %v %v, want 408", r, err)
 	}
 }
 
-// All forms in which HTTP lets a client write a hand-in.
+// Guards against rejecting a hand-in in any of the forms that HTTP allows.
 func TestForms(t *testing.T) {
 	good := hand("ID", "charge", "7", "480", "", "body")
 	for name, text := range map[string]string{
@@ -288,7 +290,7 @@
 	}
 }
 
-// The answers are not held back for those that follow: small writes go out at once.
+// Guards against delayed answers: small writes must be sent at once.
 func TestNoDelay(t *testing.T) {
 	f, d := patient(t)
 	c := dial(t, f)
@@ -302,8 +304,9 @@
 	}
 }
 
-// The key by which a host tells a repeat goes on as it came; two of them, or one that would
-// not be the same behind the relay, are a bad client's.
+// Guards against a changed idempotency key: hosts recognize a repeat by it, so that it must be
+// passed on unchanged. Two keys, or a key that could not be passed on unchanged, are an error of
+// the client.
 func TestIdempotencyKey(t *testing.T) {
 	for field, want := range map[string]string{
 		"":                               "",
@@ -322,7 +325,7 @@
 			continue
 		}
 		if <-d.came; got != 202 || string(d.taken[0].Head) != want {
-			t.Errorf("%q: %d, %q goes on, want %q", field, got, d.taken[0].Head, want)
+			t.Errorf("%q: %d, %q is passed on, want %q", field, got, d.taken[0].Head, want)
 		}
 	}
 }
--- a/internal/hookfront/exchange.go
+++ b/internal/hookfront/exchange.go
@@ -11,21 +11,21 @@
 	"basaltcross.example/basaltcross/internal/ledger"
 )
 
-// exchange is one hand-in; the core tells it what becomes of the message.
+// handIn is one hand-in, to which the core reports what becomes of its message.
 type exchange struct {
-	conn    *conn // nil for a message of an earlier run
+	conn    *conn // nil for a message from before a restart
 	front   *Front
 	id      string
-	decided bool
-	answer  ledger.Answer // given before that
+	decided bool          // the step that accepted the message is over
+	answer  ledger.Answer // answer given within that step, if any
 }
 
-// Owe is the reply of a message of an earlier run.
+// Owe returns the core.Reply of a message from before a restart.
 func (f *Front) Owe(identity string) core.Reply {
 	return &exchange{front: f, id: identity, decided: true}
 }
 
-// Taken hears whether the core took the message.
+// Taken receives the core's decision whether the message was accepted.
 func (x *exchange) Taken(err error) {
 	if err == nil {
 		return
@@ -37,7 +37,8 @@
 	x.respond(func(c *conn) { c.say(status, "%v", err) })
 }
 
-// Answer is the final one: told to the client while it waits, to the platform later.
+// Answer receives the final answer. Within the step that accepts the message it becomes the
+// response to the client; later it becomes a notice.
 func (x *exchange) Answer(a ledger.Answer) {
 	if !x.decided {
 		x.answer = a
@@ -55,7 +56,7 @@
 	return x.front
 }
 
-// Decided: the step that took the message is over.
+// Decided sends the response when the step that accepted the message is over.
 func (x *exchange) Decided() {
 	x.decided = true
 	f := x.of()
@@ -81,7 +82,8 @@
 	f.opt.Door.Settled(x.id)
 }
 
-// Undecided: a record of what was decided cannot be written in time, or before the process ends.
+// Undecided sends the response when a record of the decision cannot be written in time, or before
+// the process ends. held states whether the message survives a restart.
 func (x *exchange) Undecided(held bool) {
 	x.decided = true
 	x.respond(func(c *conn) {
@@ -94,7 +96,7 @@
 	})
 }
 
-// retryAfter is that field, in seconds with milliseconds.
+// retryAfter returns a Retry-After field in seconds, rounded up to milliseconds.
 func retryAfter(d time.Duration) string {
 	if d <= 0 {
 		return ""
@@ -102,7 +104,7 @@
 	return "Retry-After: " + strconv.FormatFloat(math.Ceil(d.Seconds()*1e3)/1e3, 'f', -1, 64) + "\r\n"
 }
 
-// respond answers if the client still waits.
+// ifWaiting calls do if the client still waits for the response.
 func (x *exchange) respond(do func(*conn)) {
 	c := x.conn
 	c.mu.Lock()
--- a/internal/hookfront/front.go
+++ b/internal/hookfront/front.go
@@ -1,6 +1,7 @@
-// Package hookfront is the relay's front in the platform's form: POST /api hands in
-// one message, GET /up tells whether the relay may be used. What the module decides
-// in the step that takes a message is the answer; what it decides later is a notice.
+// Package hookfront is the relay's HTTP/1.1 front for the platform's clients: POST /api hands in
+// one message, and GET /up reports whether the relay is ready. A decision that the module makes in
+// the step that accepts a message is the response; a later one is sent as a notice. The package
+// decides nothing about delivery.
 package hookfront
 
 import (
@@ -17,55 +18,55 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// Name is that of the front in records.
+// Name is the name of this front in records.
 const Name = "hook"
 
-// Door is where messages are handed in; core.Core is one.
+// Door accepts messages; core.Core implements it.
 type Door interface {
 	Submit(*core.Message) error
 	Abandon(identity string, by core.Reply)
 	Settled(identity string)
 }
 
-// Keeper is told of answers that have reached their client.
+// Keeper records the answers that have been given to their client.
 type Keeper interface{ Handed(identity string) }
 
-// Notices takes the final answers of messages that were taken on.
+// Notices receives the final answers of messages whose hand-in was answered before.
 type Notices interface {
-	// Room tells whether a message may be taken, which may come to need one.
+	// Room reports whether there is room for the notice that a further message may need.
 	Room() bool
 	Add(identity string, a ledger.Answer)
 }
 
-// Options of a Front.
+// Options configure a Front.
 type Options struct {
 	Listen  string
-	Lanes   map[string]int   // classes by name
-	Ordered []bool           // by class: keys count
-	Dest    func(n int) bool // whether a destination is known
+	Lanes   map[string]int   // class by the name in X-Lane
+	Ordered []bool           // by class: messages with the same key stay in order
+	Dest    func(n int) bool // reports whether destination n is known
 	Ready   func() bool
 
-	Header      int           // bytes of a request's header
-	Body        int           // bytes of its content
-	Connections int           // open at once
-	Lingering   int           // further ones, shut by the relay and not yet by the client
-	Kept        int           // of them between two requests
-	Request     time.Duration // a begun request may pause so long
-	Whole       time.Duration // and must be whole by then; the first one since the connection came up
-	Respond     time.Duration // a request has its response within this, whatever the disk does; 0 for no such time
-	Wait        time.Duration // clients wait so long for it; 0 for an unknown time
-	Linger      time.Duration // a connection that the relay has shut is closed after it, whatever the client does
-	Idle        time.Duration // a connection without a request closes after it
+	Header      int           // limit on the bytes of a request's header
+	Body        int           // limit on the bytes of a request's content
+	Connections int           // limit on open connections, without those that the relay is closing
+	Lingering   int           // limit on connections on which the relay has ended its side and the client has not
+	Kept        int           // limit on connections between two requests
+	Request     time.Duration // longest pause between two reads of a request
+	Whole       time.Duration // longest time for a request, from its first byte; for the first, from the connection
+	Respond     time.Duration // time for the response to a request, also while the disk blocks; 0 for no limit
+	Wait        time.Duration // how long clients wait for a response; 0 if unknown
+	Linger      time.Duration // time after which a connection is closed on which only the relay has ended its side
+	Idle        time.Duration // time after which a connection without a request is closed
 	WriteBuffer int
 	Door        Door
 	Keeper      Keeper
 	Notices     Notices
 	Trace       lifecycle.Trace
-	Guard       *lifecycle.Guard // decides what may be answered and closed; nil for one that keeps no count
+	Guard       *lifecycle.Guard // checks which responses and closes are allowed; nil for one that doesn't count
 	Logf        func(format string, args ...any)
 }
 
-// Front serves clients.
+// Front serves the clients of the platform.
 type Front struct {
 	opt      Options
 	sockets  *front.Listeners
@@ -82,13 +83,13 @@
 	counts Counts
 }
 
-// Counts of a run.
+// Counts are the counters of one Front.
 type Counts struct {
 	Taken, Refused, Failed, Rejected, Closed, Evicted atomic.Int64
 	Closes                                            lifecycle.Closes
 }
 
-// New opens the listener and serves.
+// New opens the listener and starts to serve.
 func New(opt Options) (*Front, error) {
 	f := &Front{opt: opt, stop: make(chan struct{}), conns: map[*conn]struct{}{}}
 	var err error
@@ -103,24 +104,24 @@
 	return f, nil
 }
 
-// Addr is the address listened on.
+// Addr returns the address of the listener.
 func (f *Front) Addr() string { return f.sockets.Addrs[0] }
 
-// Counts of this run so far.
+// Counts returns the counters.
 func (f *Front) Counts() *Counts { return &f.counts }
 
-// Connections open now.
+// Connections returns the number of open connections.
 func (f *Front) Connections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// Drain has every connection close after the answer that comes next.
+// Drain makes every connection close after its next response.
 func (f *Front) Drain() { f.draining.Store(true) }
 
-// Leave closes the listener, and connections that rest between two requests. One that is
-// new gets the time in which a client sends a request, lest it hears no answer.
+// Leave closes the listener and the idle connections. A connection that has not sent a request yet
+// gets the time in which a client sends one, so that its request is answered.
 func (f *Front) Leave() {
 	f.Drain()
 	f.sockets.Refuse()
@@ -128,14 +129,14 @@
 	f.shutIdle(lifecycle.CloseDrain, func(c *conn) bool { return c.overdue(time.Now()) })
 }
 
-// Finish takes nothing further: a request that is not whole yet is answered with 503.
-// Those that were handed in still get their answers.
+// Finish accepts no further messages: an incomplete request is answered with 503. Messages that
+// have been handed in are still answered.
 func (f *Front) Finish() {
 	f.finished.Store(true)
 	f.shutIdle(lifecycle.CloseDrain, func(c *conn) bool { return c.life.Phase() != lifecycle.Closing })
 }
 
-// Quiet tells whether nothing is owed to a client: no response, and no byte of one.
+// Quiet reports whether no client is owed a response or a part of one.
 func (f *Front) Quiet() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,11 +148,11 @@
 	return true
 }
 
-// Close ends everything.
+// Close closes the listener and all connections.
 func (f *Front) Close() {
 	f.mu.Lock()
 	for c := range f.conns {
-		_ = c.life.MayClose(f.opt.Guard) // counted
+		_ = c.life.MayClose(f.opt.Guard) // counts each connection that is closed without its response
 	}
 	f.mu.Unlock()
 	close(f.stop)
@@ -165,7 +166,7 @@
 	}
 }
 
-// pick are the connections that a test picks.
+// matching returns the connections for which test is true.
 func (f *Front) pick(test func(*conn) bool) (out []*conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -177,14 +178,14 @@
 	return out
 }
 
-// gone takes a connection off the table.
+// remove drops a connection from the set of open ones.
 func (f *Front) gone(c *conn) {
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
 }
 
-// look is how often connections are looked over.
+// sweepInterval is the interval at which connections are checked for time-outs.
 const look = 100 * time.Millisecond
 
 func (f *Front) janitor() {
@@ -204,9 +205,10 @@
 	}
 }
 
-// open makes room for a connection: at the bound one without an open request goes, and
-// where too many are between two requests the longest silent of those. Clients have a
-// bound of their own, and hold what they asked on until the relay closes it.
+// open returns the handler for a new connection and makes room for it. At the limit a connection
+// without a pending request is closed; with too many connections between two requests, the one of
+// them that has been idle longest. Clients have a limit on their connections as well, and keep
+// those they have used open until the relay closes them.
 func (f *Front) open(nb *engine.Conn, waited time.Duration) front.Conn {
 	c := &conn{front: f, nb: nb, waited: waited, name: strconv.FormatUint(f.numbers.Add(1), 36)}
 	c.since.Store(front.Now())
@@ -221,7 +223,7 @@
 			going++
 			switch {
 			case phase != lifecycle.Closing:
-			case o.nb.Unsent() > 0: // its response is not written yet
+			case o.nb.Unsent() > 0: // its response is not completely written yet
 				owed++
 			case lingers == nil || o.since.Load() < lingers.since.Load():
 				lingers = o
--- a/internal/hookfront/front_test.go
+++ b/internal/hookfront/front_test.go
@@ -16,8 +16,8 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// door is a core of the test's own: it keeps what is handed in, and answers only when
-// the test says so.
+// fakeCore is a core for tests: it stores what is handed in, and answers only when the test says
+// so.
 type door struct {
 	mu        sync.Mutex
 	taken     []*core.Message
@@ -27,7 +27,7 @@
 	notices   []string
 	full      bool
 	came      chan struct{}
-	verdict   ledger.Answer // given in the step that takes a message
+	verdict   ledger.Answer // given in the step that accepts a message
 	hold      bool          // no step is made
 }
 
@@ -60,7 +60,8 @@
 func (d *door) Room() bool                      { return !d.full }
 func (d *door) Add(id string, a ledger.Answer)  { d.put(&d.notices, id+" "+a.Verdict.String()) }
 
-// lingering connections that the relay has shut and the test's clients have not.
+// lingering is the limit on connections on which the relay has ended its side and the client has
+// not.
 const lingering = 3
 
 func start(t *testing.T, most int, kept ...int) (*Front, *door) {
@@ -100,14 +101,14 @@
 		"X-Remaining-Ms: %s\r\nX-Addressing: dest=%s\r\n%sContent-Length: %d\r\n\r\n%s", id, lane, left, dest, more, len(body), body)
 }
 
-// ask sends text and reads the status of the answer; 0 for a close without one.
+// ask sends text and returns the status of the answer, 0 for a close without one.
 func ask(t *testing.T, c net.Conn, text string) int {
 	t.Helper()
-	go func() { _, _ = io.WriteString(c, text) }() // the other side may close under it
+	go func() { _, _ = io.WriteString(c, text) }() // the other side may close during the write
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
-			t.Fatal("neither an answer nor a close")
+			t.Fatal("neither an answer nor a close in time")
 		}
 		return 0
 	}
@@ -115,15 +116,16 @@
 	return r.StatusCode
 }
 
-// What the module decides in the step is the answer; later answers are notices.
+// Guards against decisions that reach the client in the wrong way: a decision within the step is
+// the response, a later one is a notice.
 func TestAnswers(t *testing.T) {
 	for verdict, want := range map[ledger.Verdict]int{0: 202, ledger.Delivered: 202, ledger.Refused: 429, ledger.Failed: 500} {
 		f, d := start(t, 10)
 		d.verdict = ledger.Answer{Verdict: verdict}
 		c := dial(t, f)
-		for i := range 2 { // a kept connection carries the next
+		for i := range 2 { // the second request uses the same connection
 			if got := ask(t, c, hand(fmt.Sprint("m", i), "charge", "7", "480", "", "body")); got != want {
-				t.Fatalf("%v in the step: %d, want %d", verdict, got, want)
+				t.Fatalf("%v within the step: %d, want %d", verdict, got, want)
 			}
 		}
 		m := d.taken[0]
@@ -143,43 +145,44 @@
 	}
 }
 
-// Each thing that a bad client sends gets an error or a close, and is not taken.
+// Guards against accepting invalid input: each must get an error status or a close, and nothing may
+// be handed in.
 func TestBadClients(t *testing.T) {
 	good := hand("x1", "notice", "7", "480", "", "body")
 	long := strings.Repeat("x", 4<<20)
 	for name, text := range map[string]string{
-		"noise":               "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
-		"endless head":        "POST /api HTTP/1.1\r\nHost: h\r\nX: " + long,
-		"endless fields":      "POST /api HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 100000),
-		"wrong length":        strings.Replace(good, "Content-Length: 4", "Content-Length: 4x", 1),
-		"negative length":     strings.Replace(good, "Content-Length: 4", "Content-Length: -4", 1),
-		"huge length":         strings.Replace(good, "Content-Length: 4", "Content-Length: 99999999999999999999", 1),
-		"long body":           strings.Replace(good, "Content-Length: 4", "Content-Length: 60000000", 1) + long,
-		"two lengths":         strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5", 1),
-		"length and chunked":  strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked", 1),
-		"odd chunked":         strings.Replace(good, "Content-Length: 4", "Transfer-Encoding: xchunked", 1),
-		"no such class":       hand("x1", "none", "7", "480", "", "body"),
-		"no such dest":        hand("x1", "notice", "70", "480", "", "body"),
-		"dest is no number":   hand("x1", "notice", "seven", "480", "", "body"),
-		"dest below 0":        hand("x1", "notice", "-7", "480", "", "body"),
-		"time is no number":   hand("x1", "notice", "7", "soon", "", "body"),
-		"time below 0":        hand("x1", "notice", "7", "-480", "", "body"),
-		"time without end":    hand("x1", "notice", "7", "99999999999999999999999", "", "body"),
-		"no id":               strings.Replace(good, "X-Txn: x1\r\n", "", 1),
-		"empty id":            strings.Replace(good, "X-Txn: x1", "X-Txn: ", 1),
-		"two ids":             strings.Replace(good, "X-Txn: x1", "X-Txn: x1\r\nX-Txn: x2", 1),
-		"id with a space":     strings.Replace(good, "X-Txn: x1", "X-Txn: x 1", 1),
-		"half a request":      good[:len(good)-2],
-		"half a head":         good[:40],
-		"silent":              "",
-		"hundreds at once":    strings.Repeat(good, 300),
-		"a get":               "GET /api HTTP/1.1\r\nHost: h\r\n\r\n",
-		"another path":        "POST /other HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n",
-		"no host":             strings.Replace(good, "Host: origin.svc\r\n", "", 1),
-		"bare line feeds":     strings.ReplaceAll(good, "\r\n", "\n"),
-		"space before colon":  strings.Replace(good, "X-Txn:", "X-Txn :", 1),
-		"folded field":        strings.Replace(good, "X-Lane: notice", "X-Lane: notice\r\n x", 1),
-		"version of tomorrow": strings.Replace(good, "HTTP/1.1", "HTTP/3.0", 1),
+		"noise":              "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
+		"endless head":       "POST /api HTTP/1.1\r\nHost: h\r\nX: " + long,
+		"endless fields":     "POST /api HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 100000),
+		"wrong length":       strings.Replace(good, "Content-Length: 4", "Content-Length: 4x", 1),
+		"negative length":    strings.Replace(good, "Content-Length: 4", "Content-Length: -4", 1),
+		"huge length":        strings.Replace(good, "Content-Length: 4", "Content-Length: 99999999999999999999", 1),
+		"long body":          strings.Replace(good, "Content-Length: 4", "Content-Length: 60000000", 1) + long,
+		"two lengths":        strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5", 1),
+		"length and chunked": strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked", 1),
+		"odd chunked":        strings.Replace(good, "Content-Length: 4", "Transfer-Encoding: xchunked", 1),
+		"no such class":      hand("x1", "none", "7", "480", "", "body"),
+		"no such dest":       hand("x1", "notice", "70", "480", "", "body"),
+		"dest is no number":  hand("x1", "notice", "seven", "480", "", "body"),
+		"dest below 0":       hand("x1", "notice", "-7", "480", "", "body"),
+		"time is no number":  hand("x1", "notice", "7", "soon", "", "body"),
+		"time below 0":       hand("x1", "notice", "7", "-480", "", "body"),
+		"time without end":   hand("x1", "notice", "7", "99999999999999999999999", "", "body"),
+		"no id":              strings.Replace(good, "X-Txn: x1\r\n", "", 1),
+		"empty id":           strings.Replace(good, "X-Txn: x1", "X-Txn: ", 1),
+		"two ids":            strings.Replace(good, "X-Txn: x1", "X-Txn: x1\r\nX-Txn: x2", 1),
+		"id with a space":    strings.Replace(good, "X-Txn: x1", "X-Txn: x 1", 1),
+		"half a request":     good[:len(good)-2],
+		"half a head":        good[:40],
+		"silent":             "",
+		"300 pipelined":      strings.Repeat(good, 300),
+		"a get":              "GET /api HTTP/1.1\r\nHost: h\r\n\r\n",
+		"another path":       "POST /other HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n",
+		"no host":            strings.Replace(good, "Host: origin.svc\r\n", "", 1),
+		"bare line feeds":    strings.ReplaceAll(good, "\r\n", "\n"),
+		"space before colon": strings.Replace(good, "X-Txn:", "X-Txn :", 1),
+		"folded field":       strings.Replace(good, "X-Lane: notice", "X-Lane: notice\r\n x", 1),
+		"unknown version":    strings.Replace(good, "HTTP/1.1", "HTTP/3.0", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, d := start(t, 10)
@@ -187,13 +190,14 @@
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			if got != 0 && got < 400 || len(d.taken) != 0 {
-				t.Errorf("answered %d, %d taken", got, len(d.taken))
+				t.Errorf("answered %d, %d handed in", got, len(d.taken))
 			}
 		})
 	}
 }
 
-// A client that closes before its answer withdraws its message; one that had it does not.
+// Guards against messages that are not withdrawn when their client closes before the answer, and
+// against withdrawing them when it closes afterwards.
 func TestClientsThatLeave(t *testing.T) {
 	f, d := start(t, 10)
 	d.hold = true
@@ -220,12 +224,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	if len(d.abandoned) != 1 {
-		t.Errorf("abandoned %v after its answer", d.abandoned)
+		t.Errorf("abandoned %v after the answer was given", d.abandoned)
 	}
 }
 
-// Guards against a request that is read and closed unanswered, because its client has ended its sending behind it and
-// waits for the answer; and against a message of a client that has left for good which is held for it.
+// Guards against closing without a response when the client ends its sending side after the request
+// and waits for the answer, and against holding the message of a client that has gone for good.
 func TestHalfClosedClientIsAnsweredWhileItWaits(t *testing.T) {
 	f, d := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Wait = 10, 10, 300*time.Millisecond })
 	for _, text := range []string{hand("ends", "notice", "7", "480", "", ""), "GET /up HTTP/1.1\r\nHost: r\r\n\r\n"} {
@@ -260,8 +264,9 @@
 	}
 }
 
-// Guards against a request that is closed unanswered because its connection may have stood in the listener's queue for
-// longer than its client waits: that is a bound, and the client has just sent.
+// Guards against closing a request unanswered because its connection may have waited in the
+// listener's queue for longer than its client waits: that time is only an upper bound, and the
+// client has just sent.
 func TestHalfClosedClientOfALateConnectionIsAnswered(t *testing.T) {
 	f, d := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Wait, o.Request = 10, 10, time.Minute, 2*time.Minute })
 	d.hold = true
@@ -291,28 +296,29 @@
 	}
 }
 
-// Guards against a response that is cut: its client ended its sending before the socket had taken all of it.
+// Guards against a truncated response when the client ends its sending side before the socket has
+// taken all of it.
 func TestHalfClosedClientReadsItsWholeAnswer(t *testing.T) {
 	f, _ := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Linger, o.WriteBuffer = 10, 10, time.Minute, 0 })
 	c := dial(t, f)
 	if got := ask(t, c, "GET /up HTTP/1.1\r\nHost: r\r\n\r\n"); got != 200 {
 		t.Fatal(got)
 	}
-	const large = 16 << 20 // no socket takes it at once
+	const large = 16 << 20 // more than a socket takes at once
 	if _, err := only(t, f).nb.Write(make([]byte, large)); err != nil {
 		t.Fatal(err)
 	}
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // for the relay to read the end
+	time.Sleep(50 * time.Millisecond) // time for the relay to read the end
 	if got := drained(t, c, c); len(got) < large {
-		t.Errorf("%d bytes were read of %d", len(got), large)
+		t.Errorf("%d of %d bytes were read", len(got), large)
 	}
 }
 
-// Hundreds of silent connections leave room for who asks: the longest silent go first,
-// one with a request open never.
+// Guards against silent connections that keep other clients out: the ones idle for longest are
+// closed first, and never one with a pending request.
 func TestGreedyClients(t *testing.T) {
 	f, d := start(t, 20)
 	d.hold = true
@@ -328,23 +334,23 @@
 		dial(t, f)
 		if i%20 == 19 {
 			if got := ask(t, dial(t, f), hand(fmt.Sprint("u", i), "notice", "7", "480", "", "")); got != 202 {
-				t.Fatalf("a usual client among silent ones got %d", got)
+				t.Fatalf("a client among silent connections got %d", got)
 			}
 			<-d.came
 		}
 	}
 	if n := f.Connections(); n > 20+lingering {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections are open", n)
 	}
 	d.taken[0].Reply.Taken(nil)
 	d.taken[0].Reply.(core.Decider).Decided()
 	if r, err := http.ReadResponse(bufio.NewReader(open), nil); err != nil || r.StatusCode != 202 {
-		t.Errorf("the open request: %v %v", r, err)
+		t.Errorf("pending request: %v %v, want 202", r, err)
 	}
 }
 
-// Clients that asked once and keep their connection do not keep others out: who is
-// between two requests goes before who has just come.
+// Guards against clients that keep used connections open and so keep others out: connections
+// between two requests are closed before new ones.
 func TestCrowd(t *testing.T) {
 	f, d := start(t, 20)
 	for i := range 100 {
@@ -353,11 +359,11 @@
 			t.Fatalf("client %d got %d", i, got)
 		}
 		<-d.came
-		if i >= 20 { // two that come together, the second before the first has asked
+		if i >= 20 { // two that connect together; the second sends its request first
 			first, second := dial(t, f), dial(t, f)
 			for _, c := range []net.Conn{second, first} {
 				if got := ask(t, c, hand(fmt.Sprintf("p%d%v", i, c == first), "notice", "7", "480", "", "")); got != 202 {
-					t.Fatalf("one that came beside another got %d", got)
+					t.Fatalf("a client that connected along with another got %d", got)
 				}
 				<-d.came
 			}
@@ -365,8 +371,8 @@
 	}
 }
 
-// Clients that ask once and stay use up their own bound: beyond a number the longest
-// silent connection between two requests is closed for each that comes.
+// Guards against clients that stay connected after one request and use up all connections: beyond a
+// limit, the connection between two requests that has been idle longest is closed for each new one.
 func TestClientsThatStay(t *testing.T) {
 	f, d := start(t, 50, 10)
 	var all []net.Conn
@@ -378,15 +384,15 @@
 		<-d.came
 	}
 	if n := f.Connections(); n > 11+lingering {
-		t.Errorf("%d connections are kept, 10 between two requests", n)
+		t.Errorf("%d connections are open, want at most 10 between two requests", n)
 	}
 	if got := ask(t, all[29], hand("again", "notice", "7", "480", "", "")); got != 202 {
-		t.Errorf("the last one's next request got %d", got)
+		t.Errorf("the next request of the last client got %d", got)
 	}
 }
 
-// A connection that was picked to be closed while it rested, and on which a request
-// came before it was, is not closed: its message is not withdrawn, and gets its answer.
+// Guards against closing a connection that was selected while it was idle and on which a request
+// arrived before the close: its message must not be withdrawn, and must get its answer.
 func TestRequestsThatCrossAClose(t *testing.T) {
 	f, d := start(t, 10)
 	c := dial(t, f)
@@ -407,7 +413,7 @@
 	}
 	<-d.came
 	if picked.end(lifecycle.CloseIdle) {
-		t.Error("closed while a request is open")
+		t.Error("closed while a request is pending")
 	}
 	d.mu.Lock()
 	last := d.taken[1]
@@ -418,11 +424,12 @@
 		t.Errorf("%v %v, withdrawn %v", r, err, d.abandoned)
 	}
 	if !picked.end(lifecycle.CloseIdle) {
-		t.Error("not closed once it rests again")
+		t.Error("not closed when it was idle again")
 	}
 }
 
-// While it drains each answer ends its connection; after that nothing is taken.
+// Guards against connections that stay open while draining, after their next answer, and against
+// hand-ins after that.
 func TestDrain(t *testing.T) {
 	f, _ := start(t, 10)
 	c := dial(t, f)
@@ -433,7 +440,7 @@
 	_, _ = io.WriteString(c, hand("m2", "notice", "7", "480", "", ""))
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || r.StatusCode != 202 || !r.Close {
-		t.Errorf("%v %v, want 202 and the close", r, err)
+		t.Errorf("%v %v, want 202 and Connection: close", r, err)
 	}
 	if got := ask(t, dial(t, f), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); got != 503 {
 		t.Errorf("/up says %d while draining", got)
--- a/internal/hookfront/request.go
+++ b/internal/hookfront/request.go
@@ -11,7 +11,7 @@
 	"basaltcross.example/basaltcross/internal/http1"
 )
 
-// message reads the fields of a hand-in; the error names the one that is wrong.
+// parseHandIn builds a message from a hand-in. The error names the invalid field.
 func (c *conn) message() (*core.Message, error) {
 	f, r := c.front, &c.req
 	value := map[string]string{}
@@ -45,7 +45,7 @@
 	if n > 1 || len(key) > 256 || strings.ContainsFunc(key, func(c rune) bool { return c < ' ' || c >= 0x7f }) {
 		return nil, fmt.Errorf("%s: %d fields, %.40q; one of at most 256 visible characters may be there", fieldIdempotency, n, key)
 	}
-	if n == 1 { // by it a host tells a repeat
+	if n == 1 { // the host recognizes a repeat by it
 		m.Head = []byte(fieldIdempotency + ": " + key + "\r\n")
 	}
 	if f.opt.Ordered[class] {
@@ -57,17 +57,17 @@
 	return m, nil
 }
 
-// late is how long ago a request that is being read may have been sent: reading it failed for a
-// while, or, for the first one of a connection, accepting that did.
+// readDelay returns an upper bound on how long the request that is being read waited: reading it
+// failed for a while, or, for the first request of a connection, accepting the connection did.
 func (c *conn) late() time.Duration {
 	late := c.nb.HeldUp()
 	if !c.asked.Load() {
 		late += c.waited
 	}
-	return min(late, c.front.opt.Request/2) // a client waits no longer
+	return min(late, c.front.opt.Request/2) // a client doesn't wait longer
 }
 
-// waitsUntil is when the client of a request that was read now waits no more; 0 if that is not known.
+// clientDeadline returns when the client of a request read now stops waiting; 0 if that is unknown.
 func (c *conn) waitsUntil(now time.Duration) time.Duration {
 	if c.front.opt.Wait == 0 {
 		return 0
@@ -75,7 +75,7 @@
 	return now + c.front.opt.Wait - c.late()
 }
 
-// respondWithin is how soon the core must answer a hand-in; 0 for no such time.
+// respondWithin returns how soon the core must answer a hand-in; 0 for no limit.
 func (c *conn) respondWithin() time.Duration {
 	if c.front.opt.Respond == 0 {
 		return 0
@@ -83,11 +83,11 @@
 	return max(c.front.opt.Respond-c.late(), time.Millisecond)
 }
 
-// fieldIdempotency names the field by which hosts of some classes tell a repeat; it goes on
-// to them as it came, with every attempt.
+// idempotencyField is the field by which the hosts of some classes recognize a repeat. It is passed
+// on unchanged with every attempt.
 const fieldIdempotency = "Idempotency-Key"
 
-// destination reads dest=N among parameters.
+// parseDestination finds dest=N among parameters.
 func destination(v string) (int, error) {
 	for part := range strings.FieldsFuncSeq(v, func(r rune) bool { return r == ';' || r == ',' }) {
 		name, n, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -100,7 +100,7 @@
 	return 0, fmt.Errorf("X-Addressing: %.40q names no dest", v)
 }
 
-// cookie finds one by its name (RFC 6265, 4.2.1); empty for none.
+// cookie returns the value of the cookie with the given name (RFC 6265, 4.2.1), empty for none.
 func cookie(v, name string) string {
 	for part := range strings.SplitSeq(v, ";") {
 		if n, value, _ := strings.Cut(strings.TrimSpace(part), "="); n == name {
