--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,6 +1,5 @@
-// Package http1 reads HTTP/1.1 messages (RFC 9112) from whatever pieces a
-// socket gives: requests at the Web Push front, responses in partner calls. It
-// does no I/O and keeps no content.
+// Package http1 parses HTTP/1.1 messages (RFC 9112) from pieces of any size: requests at the HTTP
+// fronts, and responses in partner calls. It does no I/O and does not buffer content.
 package http1
 
 import (
@@ -11,63 +10,62 @@
 	"strings"
 )
 
-// ErrMalformed is wrapped by every complaint about a message.
+// ErrMalformed is wrapped by every parse error.
 var ErrMalformed = errors.New("malformed message")
 
-// Malformed makes such a complaint.
+// Malformed returns an error that wraps ErrMalformed.
 func Malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// Limits bound what a message may take.
+// Limits bound the size of a message.
 type Limits struct {
-	Header int // bytes of start line and header fields, of the trailers, and of each chunk line
+	Header int // bytes of the start line and header fields, of the trailers, and of each chunk-size line
 	Body   int // bytes of content
 }
 
-// most interim responses before the final one, fields of one header, and bytes of
-// empty lines before a request.
+// Bounds on the interim responses before the final one, on the fields of one header, and on the
+// bytes of empty lines before a request.
 const (
 	mostInterim = 16
 	mostFields  = 256
 	mostBlank   = 8
 )
 
-// Framing tells how a message's content is delimited, beyond what its own
-// fields say.
+// Framing states how a message's content is delimited, in addition to the message's own fields.
 type Framing int
 
-// The framings. ByFields goes by Content-Length and Transfer-Encoding; without
-// either there is no content, but for ToClose, where it runs to the close.
+// The framings. ByFields follows Content-Length and Transfer-Encoding; without either there is no
+// content, except with ToClose, where the content then ends with the connection.
 const (
 	ByFields Framing = iota
 	ToClose
 	NoContent
-	Interim // a further header follows
+	Interim // interim response; a further header follows
 )
 
-// Handler takes in the parts of a message; an error ends the parsing.
+// Handler receives the parts of a message. An error ends the parsing.
 type Handler interface {
 	Start(line string) error
 	Field(name, value string) error
 	Head() (Framing, error)
-	Content(b []byte) error // a piece; not to be kept
+	Content(b []byte) error // b is a piece of the content and must not be kept
 }
 
-// ErrTooLong is wrapped where the content is over its limit.
+// ErrTooLong is wrapped if the content exceeds its limit.
 var ErrTooLong = fmt.Errorf("%w: content is over its limit", ErrMalformed)
 
 // Parser parses one message at a time.
 type Parser struct {
-	// Prefix is what a message must begin with, so that what is none is told at
-	// once; empty for anything. Reset leaves it.
+	// Prefix is what a message must begin with, so that other input is rejected before its first
+	// line is complete; empty to accept anything. Reset keeps it.
 	Prefix  string
 	limits  Limits
 	state   int
-	line    []byte // head or chunk line read so far
+	line    []byte // header or chunk-size line read so far
 	length  int64  // Content-Length, -1 for none
-	left    int64  // content bytes still to come
-	body    int64  // content bytes so far
+	left    int64  // bytes still to come of the content or of the current chunk
+	body    int64  // content bytes received so far
 	chunked bool
 	toClose bool
 	interim int
@@ -75,7 +73,7 @@
 	blank   int
 }
 
-// States of the parser.
+// The states of the parser.
 const (
 	inHead = iota
 	inBody
@@ -86,7 +84,7 @@
 	finished
 )
 
-// Reset begins a new message.
+// Reset prepares the parser for a new message.
 func (p *Parser) Reset(l Limits) {
 	*p = Parser{Prefix: p.Prefix, limits: l, line: p.line[:0]}
 	if cap(p.line) > 4096 {
@@ -94,8 +92,8 @@
 	}
 }
 
-// FirstLine is that of a header which is not whole yet, or in which a fault was
-// found; whole tells whether its end has come.
+// FirstLine returns the first line of a header that is incomplete or was found invalid. whole
+// reports whether the line is complete.
 func (p *Parser) FirstLine() (line string, whole bool) {
 	if p.state != inHead {
 		return "", false
@@ -107,19 +105,19 @@
 	return strings.TrimSuffix(string(p.line[:i]), "\r"), true
 }
 
-// Done tells whether the message is whole.
+// Done reports whether the message is complete.
 func (p *Parser) Done() bool { return p.state == finished }
 
-// Began tells whether any byte of the message has come.
+// Began reports whether any byte of the message has arrived.
 func (p *Parser) Began() bool { return p.state != inHead || len(p.line) > 0 || p.interim > 0 }
 
-// InContent tells whether the header is whole and content is awaited.
+// InContent reports whether the header is complete and content is still expected.
 func (p *Parser) InContent() bool { return p.state != inHead && p.state != finished }
 
-// AtClose tells whether a close now makes the message whole.
+// AtClose reports whether the end of the connection would complete the message.
 func (p *Parser) AtClose() bool { return p.state == inBody && p.toClose }
 
-// Feed takes bytes and returns those that follow the end of the message.
+// Feed parses b and returns the bytes behind the end of the message.
 func (p *Parser) Feed(b []byte, h Handler) (rest []byte, err error) {
 	for len(b) > 0 && p.state != finished {
 		switch p.state {
@@ -163,7 +161,7 @@
 	return b, nil
 }
 
-// nextLine collects up to CRLF.
+// nextLine collects a line up to its CRLF.
 func (p *Parser) nextLine(b []byte) (line, rest []byte, whole bool, err error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
@@ -215,9 +213,9 @@
 	return nil
 }
 
-// head collects start line and fields up to the empty line.
+// head collects the start line and the header fields up to the empty line.
 func (p *Parser) head(b []byte, h Handler) (rest []byte, err error) {
-	if len(p.line) == 0 && p.Prefix == "" { // empty lines before a request (RFC 9112, 2.2)
+	if len(p.line) == 0 && p.Prefix == "" { // skip empty lines before a request (RFC 9112, 2.2)
 		for len(b) > 0 && p.blank < mostBlank && (b[0] == '\r' || b[0] == '\n') {
 			b, p.blank = b[1:], p.blank+1
 		}
@@ -318,7 +316,7 @@
 	return nil
 }
 
-// Token tells whether a name is one by RFC 9110, 5.6.2.
+// Token reports whether s is a token as defined in RFC 9110, 5.6.2.
 func Token(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -329,7 +327,7 @@
 	return s != ""
 }
 
-// Closes tells whether a Connection field asks for the close.
+// Closes reports whether a Connection field contains the close option.
 func Closes(value string) bool {
 	for part := range strings.SplitSeq(value, ",") {
 		if strings.EqualFold(strings.Trim(part, " \t"), "close") {
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -2,16 +2,16 @@
 
 import "strings"
 
-// Request is one request while it is parsed and answered; it is its parser's
-// Handler: r.Feed(b, r).
+// Request is one request while it is parsed and answered. It is the Handler of its own parser:
+// r.Feed(b, r).
 type Request struct {
 	Parser
 	Method, Path string
 	Body         []byte
 	Keep         bool // the connection may carry a further request
-	Expect       bool // waits for 100 Continue
+	Expect       bool // the client waits for 100 Continue
 	fields       []field
-	old          bool // HTTP/1.0
+	old          bool // the request's version is HTTP/1.0
 	hosts        int
 }
 
@@ -19,11 +19,11 @@
 
 const scheme = "http://"
 
-// Start takes the request line.
+// Start parses the request line.
 func (r *Request) Start(line string) error {
 	parts := strings.Split(line, " ")
 	if len(parts) == 3 && len(parts[1]) > len(scheme) && strings.EqualFold(parts[1][:len(scheme)], scheme) {
-		// The absolute form (RFC 9112, 3.2.2); only its path counts here.
+		// The absolute form (RFC 9112, 3.2.2); only the path is used.
 		_, path, _ := strings.Cut(parts[1][len(scheme):], "/")
 		parts[1] = "/" + path
 	}
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Field takes one header field.
+// Field records one header field.
 func (r *Request) Field(name, value string) error {
 	switch {
 	case strings.EqualFold(name, "connection"):
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// Head takes the end of the header.
+// Head checks the header when it is complete.
 func (r *Request) Head() (Framing, error) {
 	if r.hosts != 1 && !r.old || r.hosts > 1 { // RFC 9112, 3.2
 		return 0, Malformed("%d Host fields", r.hosts)
@@ -62,13 +62,13 @@
 	return ByFields, nil
 }
 
-// Content takes a piece of the body.
+// Content appends a piece of the body.
 func (r *Request) Content(b []byte) error {
 	r.Body = append(r.Body, b...)
 	return nil
 }
 
-// All are the values of every field of a name, in their order.
+// All returns the values of all fields with the given name, in their order.
 func (r *Request) All(name string) (values []string) {
 	for _, f := range r.fields {
 		if strings.EqualFold(f.name, name) {
@@ -78,13 +78,13 @@
 	return values
 }
 
-// Header is the value of the first field of a name, empty for none.
+// Header returns the value of the first field with the given name, empty for none.
 func (r *Request) Header(name string) string {
 	v, _ := r.Only(name)
 	return v
 }
 
-// Only is that, and how many fields have the name.
+// Only returns the value of the first field with the given name, and the number of such fields.
 func (r *Request) Only(name string) (value string, n int) {
 	for _, f := range r.fields {
 		if strings.EqualFold(f.name, name) {
