--- a/internal/lifecycle/conduct.go
+++ b/internal/lifecycle/conduct.go
@@ -44,19 +44,19 @@
 	socketGrace = 50 * time.Millisecond
 	// A connection stays idle for twice the largest delay at which duplicate answers came, within
 	// these bounds.
-	leastRest   = socketGrace
-	longestRest = 2 * time.Second
+	minIdleTime = socketGrace
+	maxIdleTime = 2 * time.Second
 	// A peer that violated the protocol is distrusted for minDistrust at first, twice as long after
 	// each further violation, and for maxDistrust at most.
-	firstSpell   = time.Minute
-	longestSpell = 16 * time.Minute
+	minDistrust = time.Minute
+	maxDistrust = 16 * time.Minute
 	// maxPeers bounds the peers that are remembered.
-	mostPeers = 1 << 13
+	maxPeers = 1 << 13
 	// A peer is expected to answer within its slowest recent answer time plus 1/answerTimeMargin of
 	// it, plus socketGrace. The slowest answer time decays by 1/slowestDecay with each further
 	// answer.
-	usualMargin = 2
-	usualFade   = 64
+	answerTimeMargin = 2
+	slowestDecay     = 64
 )
 
 // Conduct records which peers sent unsolicited bytes and how long peers take to answer, and decides
@@ -67,19 +67,19 @@
 	// Off makes every peer trusted, for tests that must then fail.
 	Off bool
 
-	mu     sync.Mutex
-	peers  map[string]*peerConduct
-	groups map[int]time.Duration // by destination: when the last of its distrusted peers is trusted again
-	late   time.Duration         // largest delay of a duplicate answer behind the answer before it
-	until  time.Duration         // when the last distrusted peer is trusted again
-	counts map[PeerBreach]int
+	mu             sync.Mutex
+	peers          map[string]*peerRecord
+	destinations   map[int]time.Duration // by destination: when the last of its distrusted peers is trusted again
+	duplicateDelay time.Duration         // largest delay of a duplicate answer behind the answer before it
+	distrustEnd    time.Duration         // when the last distrusted peer is trusted again
+	counts         map[PeerBreach]int
 }
 
-// peerTrust is what is known of one peer.
-type peerConduct struct {
-	until   time.Duration // end of the peer's distrust
-	spell   time.Duration // length of the latest period of distrust
-	slowest time.Duration // slowest recent answer time, decaying
+// peerRecord is what is known of one peer.
+type peerRecord struct {
+	distrustEnd  time.Duration // end of the peer's distrust
+	distrustTime time.Duration // length of the latest period of distrust
+	slowest      time.Duration // slowest recent answer time, decaying
 }
 
 // Refuse counts a refusal and passes it to Refused.
@@ -105,50 +105,50 @@
 // Saw records that a peer sent unsolicited bytes, and how long after its last answer they came.
 // From then on each connection of the peer carries one call. general reports that, with this peer,
 // peers of a second destination have become distrusted, so that the cause is not a single peer.
-func (c *Conduct) Saw(now time.Duration, peer string, group int, late time.Duration) (general bool) {
+func (c *Conduct) Saw(now time.Duration, peer string, destination int, delay time.Duration) (general bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before := c.doubtedGroups(now) > 1
-	c.saw(now, peer, group, late)
-	return !before && c.doubtedGroups(now) > 1
+	generalBefore := c.distrustedDestinations(now) > 1
+	c.recordUnsolicited(now, peer, destination, delay)
+	return !generalBefore && c.distrustedDestinations(now) > 1
 }
 
 // recordUnsolicited does the work of Saw; the caller holds mu.
-func (c *Conduct) saw(now time.Duration, peer string, group int, late time.Duration) {
-	if now >= c.until {
-		c.late = 0
+func (c *Conduct) recordUnsolicited(now time.Duration, peer string, destination int, delay time.Duration) {
+	if now >= c.distrustEnd {
+		c.duplicateDelay = 0
 	}
 	p := c.peer(now, peer)
-	if p == nil || now < p.until { // bytes on a connection from before the current distrust
-		c.late = max(c.late, late)
+	if p == nil || now < p.distrustEnd { // bytes on a connection from before the current distrust
+		c.duplicateDelay = max(c.duplicateDelay, delay)
 		return
 	}
-	p.spell = min(max(firstSpell, 2*p.spell), longestSpell)
-	p.until = now + p.spell
-	if c.groups == nil {
-		c.groups = map[int]time.Duration{}
+	p.distrustTime = min(max(minDistrust, 2*p.distrustTime), maxDistrust)
+	p.distrustEnd = now + p.distrustTime
+	if c.destinations == nil {
+		c.destinations = map[int]time.Duration{}
 	}
-	c.groups[group] = max(c.groups[group], p.until)
-	c.until = max(c.until, p.until)
-	c.late = max(c.late, late)
+	c.destinations[destination] = max(c.destinations[destination], p.distrustEnd)
+	c.distrustEnd = max(c.distrustEnd, p.distrustEnd)
+	c.duplicateDelay = max(c.duplicateDelay, delay)
 }
 
 // peer returns the entry of a peer and creates it if needed, or nil when maxPeers are remembered
 // already. The caller holds mu.
-func (c *Conduct) peer(now time.Duration, name string) *peerConduct {
+func (c *Conduct) peer(now time.Duration, name string) *peerRecord {
 	if p := c.peers[name]; p != nil {
 		return p
 	}
-	if len(c.peers) >= mostPeers {
-		maps.DeleteFunc(c.peers, func(_ string, p *peerConduct) bool { return now >= p.until })
+	if len(c.peers) >= maxPeers {
+		maps.DeleteFunc(c.peers, func(_ string, p *peerRecord) bool { return now >= p.distrustEnd })
 	}
-	if len(c.peers) >= mostPeers {
+	if len(c.peers) >= maxPeers {
 		return nil
 	}
 	if c.peers == nil {
-		c.peers = map[string]*peerConduct{}
+		c.peers = map[string]*peerRecord{}
 	}
-	p := &peerConduct{}
+	p := &peerRecord{}
 	c.peers[name] = p
 	return p
 }
@@ -164,7 +164,7 @@
 func (c *Conduct) Forget(now time.Duration, peer string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.peers[peer]; p != nil && now >= p.until {
+	if p := c.peers[peer]; p != nil && now >= p.distrustEnd {
 		delete(c.peers, peer)
 	}
 }
@@ -174,24 +174,25 @@
 // since the cause is then not a single peer. With one such destination, calls whose second effect
 // does harm get single-use connections at its other peers as well, and on all other connections a
 // minimum idle time separates two calls.
-func (c *Conduct) Rule(now time.Duration, peer string, group int, bears Bears) PeerRule {
+func (c *Conduct) Rule(now time.Duration, peer string, destination int, requirement Bears) PeerRule {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Off || now >= c.until {
+	if c.Off || now >= c.distrustEnd {
 		return PeerRule{}
 	}
 	p := c.peers[peer]
-	doubted := p != nil && now < p.until
-	if doubted || c.doubtedGroups(now) > 1 || bears == Once && now < c.groups[group] {
+	distrusted := p != nil && now < p.distrustEnd
+	if distrusted || c.distrustedDestinations(now) > 1 || requirement == Once && now < c.destinations[destination] {
 		return PeerRule{FirstOnly: true}
 	}
-	return PeerRule{Rest: min(max(2*c.late, leastRest), longestRest)}
+	return PeerRule{Rest: min(max(2*c.duplicateDelay, minIdleTime), maxIdleTime)}
 }
 
-// distrustedGroups returns the number of destinations with a distrusted peer. The caller holds mu.
-func (c *Conduct) doubtedGroups(now time.Duration) int {
-	maps.DeleteFunc(c.groups, func(_ int, until time.Duration) bool { return now >= until })
-	return len(c.groups)
+// distrustedDestinations returns the number of destinations with a distrusted peer. The caller
+// holds mu.
+func (c *Conduct) distrustedDestinations(now time.Duration) int {
+	maps.DeleteFunc(c.destinations, func(_ int, until time.Duration) bool { return now >= until })
+	return len(c.destinations)
 }
 
 // Took records how long a peer took to answer a call.
@@ -199,7 +200,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p := c.peer(now, peer); p != nil {
-		p.slowest = max(took, p.slowest-p.slowest/usualFade)
+		p.slowest = max(took, p.slowest-p.slowest/slowestDecay)
 	}
 }
 
@@ -211,5 +212,5 @@
 	if p == nil || c.Off {
 		return 0
 	}
-	return p.slowest + p.slowest/usualMargin + socketGrace
+	return p.slowest + p.slowest/answerTimeMargin + socketGrace
 }
--- a/internal/lifecycle/exchange.go
+++ b/internal/lifecycle/exchange.go
@@ -24,9 +24,9 @@
 // Exchange is the state of a connection that carries one request at a time. Phase may be called
 // from any goroutine; everything else is guarded by the owner's lock.
 type Exchange struct {
-	phase atomic.Int32
-	id    string        // id of the request in progress, or of the connection
-	by    time.Duration // time until which the client waits for the response; 0 for no limit
+	phase    atomic.Int32
+	id       string        // id of the request in progress, or of the connection
+	deadline time.Duration // time until which the client waits for the response; 0 for no limit
 }
 
 // Phase returns the current phase of the connection.
@@ -38,9 +38,9 @@
 }
 
 // Whole records the last byte of a request. From now on the client is owed a response, for which it
-// waits until by; 0 for no limit.
-func (e *Exchange) Whole(id string, by time.Duration) {
-	e.id, e.by = id, by
+// waits until deadline; 0 for no limit.
+func (e *Exchange) Whole(id string, deadline time.Duration) {
+	e.id, e.deadline = id, deadline
 	e.phase.Store(int32(Answering))
 }
 
@@ -56,7 +56,7 @@
 func (e *Exchange) MayAnswer(g *Guard, now time.Duration) bool {
 	switch p := e.Phase(); p {
 	case Reading, Answering:
-		if p == Answering && e.by > 0 && now > e.by {
+		if p == Answering && e.deadline > 0 && now > e.deadline {
 			g.count(AnswerLate, e.id, "its client's deadline has passed")
 		}
 		e.phase.Store(int32(Idle))
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -66,19 +66,19 @@
 }
 
 // forbid counts a violation and returns false, for the caller to return.
-func (g *Guard) forbid(rule Rule, id, what string) bool {
+func (g *Guard) forbid(rule Rule, id, state string) bool {
 	if g == nil {
 		return false
 	}
-	g.count(rule, id, what)
+	g.count(rule, id, state)
 	if g.Strict {
-		panic(Violation{rule, id, what})
+		panic(Violation{rule, id, state})
 	}
 	return false
 }
 
 // count counts and reports a violation that is not refused.
-func (g *Guard) count(rule Rule, id, what string) {
+func (g *Guard) count(rule Rule, id, state string) {
 	if g == nil {
 		return
 	}
@@ -89,6 +89,6 @@
 	g.counts[rule]++
 	g.mu.Unlock()
 	if g.Told != nil {
-		g.Told(Violation{rule, id, what})
+		g.Told(Violation{rule, id, state})
 	}
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -104,7 +104,7 @@
 
 // Guards against responses that wait for the disk beyond their client's deadline, and against
 // telling a client something that doesn't agree with what the next process will do.
-func TestResponsesWhileRecordsWait(t *testing.T) {
+func TestHandInResponseWhileRecordsArePending(t *testing.T) {
 	for name, c := range map[string]struct {
 		now      time.Duration
 		recorded bool
--- a/internal/lifecycle/message.go
+++ b/internal/lifecycle/message.go
@@ -35,26 +35,26 @@
 	// RespondBy is the deadline for the answer to the client's hand-in, 0 for none.
 	RespondBy time.Duration
 
-	stage    Stage
-	mayRun   bool          // an earlier call may have taken effect
-	firstRun time.Duration // start of the first call that may have taken effect
-	sent     time.Duration // start of the latest call
-	unsure   time.Duration // end of the time in which the latest answer may belong to another call
-	told     bool          // the final answer has been given
+	stage       Stage
+	mayHaveRun  bool          // an earlier call may have taken effect
+	firstRun    time.Duration // start of the first call that may have taken effect
+	sentAt      time.Duration // start of the latest call
+	confirmedBy time.Duration // end of the time in which the latest answer may belong to another call
+	answered    bool          // the final answer has been given
 }
 
 // Restore sets the state known from before a restart: whether a call may have taken effect, and
 // when the first such call was sent.
-func (m *Message) Restore(mayRun bool, firstRun time.Duration) {
-	m.mayRun, m.firstRun = mayRun, firstRun
+func (m *Message) Restore(mayHaveRun bool, firstRun time.Duration) {
+	m.mayHaveRun, m.firstRun = mayHaveRun, firstRun
 }
 
 // Stage returns the current stage of the message.
 func (m *Message) Stage() Stage { return m.stage }
 
-// MaySend reports whether a call of the message may be made now. parked states that the relay is
-// shutting down. The call counts as in progress from then on.
-func (m *Message) MaySend(g *Guard, now time.Duration, parked bool) bool {
+// MaySend reports whether a call of the message may be made now. shuttingDown states that
+// the relay is shutting down. The call counts as in progress from then on.
+func (m *Message) MaySend(g *Guard, now time.Duration, shuttingDown bool) bool {
 	switch {
 	case m.stage == Ended:
 		return g.forbid(SendAfterEnd, m.ID, "ended")
@@ -62,14 +62,14 @@
 		return g.forbid(SendAfterEnd, m.ID, "its deadline has passed")
 	case m.stage == Out:
 		return g.forbid(SendWhileOut, m.ID, "a call is in progress")
-	case parked:
+	case shuttingDown:
 		return g.forbid(SendAfterPark, m.ID, "the relay is shutting down")
-	case m.mayRun && m.Repeat == Never:
+	case m.mayHaveRun && m.Repeat == Never:
 		return g.forbid(RepeatUnsafe, m.ID, "a call may have taken effect")
-	case m.mayRun && m.Repeat == InWindow && now-m.firstRun > m.Window:
+	case m.mayHaveRun && m.Repeat == InWindow && now-m.firstRun > m.Window:
 		return g.forbid(RepeatAfterWindow, m.ID, "the window for repeats has passed")
 	}
-	m.stage, m.sent = Out, now
+	m.stage, m.sentAt = Out, now
 	return true
 }
 
@@ -84,7 +84,7 @@
 	case m.Kept && !recorded:
 		return g.forbid(SendBeforeRecord, m.ID, "a record is not yet on disk")
 	}
-	m.sent = now
+	m.sentAt = now
 	return true
 }
 
@@ -93,34 +93,34 @@
 	if m.stage == Out {
 		m.stage = Held
 	}
-	if !noEffect && !m.mayRun {
-		m.mayRun, m.firstRun = true, m.sent
+	if !noEffect && !m.mayHaveRun {
+		m.mayHaveRun, m.firstRun = true, m.sentAt
 	}
 }
 
 // Doubt records that a call that was thought to have had no effect, sent at the given time, may
 // have had one.
 func (m *Message) Doubt(sent time.Duration) {
-	if !m.mayRun {
-		m.mayRun, m.firstRun = true, sent
+	if !m.mayHaveRun {
+		m.mayHaveRun, m.firstRun = true, sent
 	}
 }
 
 // MayHaveRun reports whether a call of the message may have taken effect.
-func (m *Message) MayHaveRun() bool { return m.mayRun }
+func (m *Message) MayHaveRun() bool { return m.mayHaveRun }
 
 // Unconfirmed records that the answer to the latest call may belong to another call until the given
 // time, and that actions based on the answer wait until then. nextWaits reports whether the next
 // message of the same key must wait too. Behind a message that was served it need not: only the
 // absence of further bytes confirms an answer, so it would wait that time out for nothing.
 func (m *Message) Unconfirmed(until time.Duration, served bool) (nextWaits bool) {
-	m.unsure = until
+	m.confirmedBy = until
 	return !served
 }
 
 // ConfirmedBy returns when the answer to the latest call counts as its own. The message is not sent
 // again before.
-func (m *Message) ConfirmedBy() time.Duration { return m.unsure }
+func (m *Message) ConfirmedBy() time.Duration { return m.confirmedBy }
 
 // Refusal states how a message ends that should be refused.
 type Refusal int
@@ -138,9 +138,9 @@
 	switch {
 	case m.Repeat != Never:
 		return RefuseNow
-	case m.mayRun:
+	case m.mayHaveRun:
 		return FailInstead
-	case now < m.unsure:
+	case now < m.confirmedBy:
 		return RefuseLater
 	}
 	return RefuseNow
@@ -158,16 +158,16 @@
 )
 
 // MayRespond returns which response the hand-in may get now. recorded states that all records about
-// the message are on disk. Past RespondBy, MayRespond calls takeBack to withdraw the message's own
-// record; takeBack returns false if that record is on disk already. So no client is told that its
+// the message are on disk. Past RespondBy, MayRespond calls withdraw to take the message's own
+// record back; withdraw returns false if that record is on disk already. So no client is told that its
 // message was not accepted while a later process sends it, and none the other way round.
-func (m *Message) MayRespond(now time.Duration, recorded bool, takeBack func() bool) Response {
+func (m *Message) MayRespond(now time.Duration, recorded bool, withdraw func() bool) Response {
 	switch {
 	case !m.Kept || recorded:
 		return Decision
 	case m.RespondBy == 0 || now < m.RespondBy:
 		return Wait
-	case !takeBack():
+	case !withdraw():
 		return TakenOn
 	}
 	m.TakeBack()
@@ -183,7 +183,7 @@
 	switch {
 	case m.stage == Ended:
 		return g.forbid(AnswerTwice, m.ID, "ended")
-	case refusal && m.mayRun && m.Repeat == Never:
+	case refusal && m.mayHaveRun && m.Repeat == Never:
 		return g.forbid(RefuseAfterSend, m.ID, "a call may have taken effect")
 	}
 	m.stage = Ended
@@ -195,11 +195,11 @@
 // doesn't send the message either.
 func (m *Message) MayTell(g *Guard, now time.Duration, recorded bool) bool {
 	switch {
-	case m.told:
+	case m.answered:
 		return g.forbid(AnswerTwice, m.ID, "told")
 	case m.Kept && !recorded && now < m.Due:
 		return g.forbid(AnswerBeforeRecord, m.ID, "its record is not yet on disk")
 	}
-	m.told = true
+	m.answered = true
 	return true
 }
--- a/internal/lifecycle/peer.go
+++ b/internal/lifecycle/peer.go
@@ -26,31 +26,31 @@
 // belongs to that call: any later answer may be a duplicate of the one before it. The owner guards
 // a PeerConn with one lock. All times are readings of one monotonic clock.
 type PeerConn struct {
-	phase     PeerPhase
-	turn      int           // number of calls so far
-	sent      time.Duration // start of the latest call
-	ended     time.Duration // arrival of the latest answer
-	confirmed time.Duration // when actions that wait for the latest answer's confirmation go on
-	aside     bool          // no call is carried before the latest answer is confirmed
-	settled   time.Duration // when the latest answer can no longer turn out to belong to another call
-	answers   []unconfirmed // answers since the connection was last certainly synchronized
+	phase                PeerPhase
+	calls                int                 // number of calls so far
+	sentAt               time.Duration       // start of the latest call
+	answeredAt           time.Duration       // arrival of the latest answer
+	confirmedAt          time.Duration       // when actions that wait for the latest answer's confirmation go on
+	waitsForConfirmation bool                // no call is carried before the latest answer is confirmed
+	settledAt            time.Duration       // when the latest answer can no longer turn out to belong to another call
+	answers              []unconfirmedAnswer // answers since the connection was last certainly synchronized
 }
 
 // unconfirmedAnswer is an answer that may turn out to belong to another call.
-type unconfirmed struct {
-	at      time.Duration
-	settled time.Duration // confirmed if nothing arrives by then, or the peer never answers the call
-	served  bool
-	doubted func()
+type unconfirmedAnswer struct {
+	answeredAt time.Duration
+	settledAt  time.Duration // confirmed if nothing arrives by then, or the peer never answers the call
+	served     bool
+	retract    func()
 }
 
 const (
 	// maxUnconfirmed bounds the unconfirmed answers remembered for one connection.
-	mostUnconfirmed = 16
+	maxUnconfirmed = 16
 	// LongestDoubt is how long an answer may turn out to belong to another call.
 	LongestDoubt = 5 * time.Second
 	// maxConfirmation bounds how long any action waits for an answer to be confirmed.
-	longestConfirmation = 250 * time.Millisecond
+	maxConfirmation = 250 * time.Millisecond
 )
 
 // Carry states whether a connection may carry a call.
@@ -71,7 +71,7 @@
 
 // Phase returns the current phase of the connection, Turn the number of calls on it so far.
 func (p *PeerConn) Phase() PeerPhase { return p.phase }
-func (p *PeerConn) Turn() int        { return p.turn }
+func (p *PeerConn) Turn() int        { return p.calls }
 
 // MayCarry reports whether a call may be sent on the connection now.
 func (p *PeerConn) MayCarry(now time.Duration, rule PeerRule) Carry {
@@ -88,32 +88,34 @@
 
 // RestsUntil returns when an idle connection may carry a call again.
 func (p *PeerConn) RestsUntil(rule PeerRule) time.Duration {
-	until := p.ended + rule.Rest
-	if p.aside {
-		until = max(until, p.confirmed)
+	until := p.answeredAt + rule.Rest
+	if p.waitsForConfirmation {
+		until = max(until, p.confirmedAt)
 	}
 	return until
 }
 
 // Confirmed reports that nothing waits for an answer on the connection to be confirmed.
-func (p *PeerConn) Confirmed(now time.Duration) bool { return p.phase == PeerNew || now >= p.confirmed }
+func (p *PeerConn) Confirmed(now time.Duration) bool {
+	return p.phase == PeerNew || now >= p.confirmedAt
+}
 
 // Unsettled returns how much longer an idle connection should stay open because an answer on it may
-// turn out to belong to another call. It is at most longestConfirmation after the answer.
+// turn out to belong to another call. It is at most maxConfirmation after the answer.
 func (p *PeerConn) Unsettled(now time.Duration) time.Duration {
 	if p.phase != PeerResting {
 		return 0
 	}
-	return max(0, min(p.settled, p.ended+longestConfirmation)-now)
+	return max(0, min(p.settledAt, p.answeredAt+maxConfirmation)-now)
 }
 
 // Begin records the start of a call and returns how long the connection had been idle.
 func (p *PeerConn) Begin(now time.Duration) (rested time.Duration) {
-	if p.turn > 0 {
-		rested = now - p.ended
+	if p.calls > 0 {
+		rested = now - p.answeredAt
 	}
-	p.phase, p.sent = PeerInUse, now
-	p.turn++
+	p.phase, p.sentAt = PeerInUse, now
+	p.calls++
 	return rested
 }
 
@@ -140,9 +142,9 @@
 // Believe decides how certainly an answer belongs to the call in progress.
 func (p *PeerConn) Believe(a PeerAnswer) Belief {
 	switch {
-	case p.turn > 1 && (!a.Written || a.Foreign):
+	case p.calls > 1 && (!a.Written || a.Foreign):
 		return Nobodys
-	case p.turn <= 1 || a.Names:
+	case p.calls <= 1 || a.Names:
 		return Own
 	case a.Followed || a.FirstOnly:
 		return Doubtful
@@ -151,13 +153,14 @@
 }
 
 // Answered records the answer to the call in progress. A likely answer is confirmed if no
-// unsolicited bytes arrive until the peer would have answered, at the latest usual after the call
-// was sent; doubted is called if such bytes arrive before. An answer that doesn't say that the call
+// unsolicited bytes arrive until the peer would have answered, at the latest expected after the call
+// was sent; retract is called if such bytes arrive before. An answer that doesn't say that the call
 // was served keeps the connection from carrying calls until the answer is confirmed, which takes a
 // bounded time. Answered returns how long actions based on the answer should wait, and how long the
 // answer may turn out to belong to another call.
-func (p *PeerConn) Answered(now, usual time.Duration, belief Belief, served bool, doubted func()) (wait, unsettled time.Duration) {
-	p.phase, p.ended, p.confirmed, p.settled, p.aside = PeerResting, now, now, now, false
+func (p *PeerConn) Answered(now, expected time.Duration, belief Belief, served bool, retract func()) (
+	wait, unsettled time.Duration) {
+	p.phase, p.answeredAt, p.confirmedAt, p.settledAt, p.waitsForConfirmation = PeerResting, now, now, now, false
 	switch belief {
 	case Own: // earlier answers on the connection are certain as well
 		p.answers = nil
@@ -165,27 +168,27 @@
 	case Doubtful, Nobodys:
 		return 0, 0
 	case Likely: // the peer has answered, so it isn't still processing an earlier call
-		p.answers = slices.DeleteFunc(p.answers, func(a unconfirmed) bool { return a.settled <= p.sent })
+		p.answers = slices.DeleteFunc(p.answers, func(a unconfirmedAnswer) bool { return a.settledAt <= p.sentAt })
 	}
-	p.settled = max(now, p.sent+min(usual, LongestDoubt))
-	p.confirmed = max(now, p.sent+min(usual, longestConfirmation))
-	p.aside = !served
-	if doubted != nil {
-		if len(p.answers) == mostUnconfirmed {
+	p.settledAt = max(now, p.sentAt+min(expected, LongestDoubt))
+	p.confirmedAt = max(now, p.sentAt+min(expected, maxConfirmation))
+	p.waitsForConfirmation = !served
+	if retract != nil {
+		if len(p.answers) == maxUnconfirmed {
 			p.answers = append(p.answers[:0], p.answers[1:]...)
 		}
-		p.answers = append(p.answers, unconfirmed{now, p.settled, served, doubted})
+		p.answers = append(p.answers, unconfirmedAnswer{now, p.settledAt, served, retract})
 	}
-	return p.confirmed - now, p.settled - now
+	return p.confirmedAt - now, p.settledAt - now
 }
 
 // Strayed records unsolicited bytes. It returns the callbacks of all answers since the connection
 // was last certainly synchronized that may have belonged to other calls, and how long after the
 // latest answer the bytes arrived. The connection carries no further call.
-func (p *PeerConn) Strayed(now time.Duration) (doubted []func(), late time.Duration) {
-	doubted = p.Retract(now)
+func (p *PeerConn) Strayed(now time.Duration) (retractions []func(), delay time.Duration) {
+	retractions = p.Retract(now)
 	p.phase = PeerDoubted
-	return doubted, now - p.ended
+	return retractions, now - p.answeredAt
 }
 
 // Retract returns the callbacks of the answers that may have belonged to other calls, after the
@@ -193,31 +196,33 @@
 // served, the absence of bytes since then proves nothing: the peer may never answer the call
 // itself.
 func (p *PeerConn) Retract(now time.Duration) []func() {
-	return p.pick(func(a unconfirmed) bool { return now < a.settled || a.served && now-a.at <= LongestDoubt })
+	return p.take(func(a unconfirmedAnswer) bool {
+		return now < a.settledAt || a.served && now-a.answeredAt <= LongestDoubt
+	})
 }
 
 // Broke returns the callbacks to run when the peer closes the connection: it may still have been
 // processing a call that a duplicate answer had ended. Only answers that said the call was served
 // are returned, since such a message would be lost. A refusal is not retracted.
 func (p *PeerConn) Broke(now time.Duration) []func() {
-	return p.pick(func(a unconfirmed) bool { return now < a.settled && a.served })
+	return p.take(func(a unconfirmedAnswer) bool { return now < a.settledAt && a.served })
 }
 
 // Left returns, for a connection that ends, the callbacks to run if the peer becomes distrusted
 // later.
 func (p *PeerConn) Left() []func() {
-	return p.pick(func(a unconfirmed) bool { return a.served })
+	return p.take(func(a unconfirmedAnswer) bool { return a.served })
 }
 
 // take removes all unconfirmed answers and returns the callbacks of those that match.
-func (p *PeerConn) pick(test func(unconfirmed) bool) (doubted []func()) {
+func (p *PeerConn) take(matches func(unconfirmedAnswer) bool) (retractions []func()) {
 	for _, a := range p.answers {
-		if test(a) {
-			doubted = append(doubted, a.doubted)
+		if matches(a) {
+			retractions = append(retractions, a.retract)
 		}
 	}
 	p.answers = nil
-	return doubted
+	return retractions
 }
 
 // Closed records the end of the connection.
--- a/internal/lifecycle/peer_test.go
+++ b/internal/lifecycle/peer_test.go
@@ -9,7 +9,7 @@
 const ms = time.Millisecond
 
 // Guards against attributing an answer to a call only because of its order on a reused connection.
-func TestAnswersOnUsedConnectionsAreBelievedAsFarAsTheyAreTied(t *testing.T) {
+func TestAnswerAttributionOnReusedConnections(t *testing.T) {
 	for _, c := range []struct {
 		turn   int
 		answer PeerAnswer
@@ -39,7 +39,7 @@
 
 // Guards against answers that stay accepted although unsolicited bytes follow them, and against
 // connections that carry a call while such bytes may still arrive.
-func TestStrayBytesRetractWhatIsNotConfirmed(t *testing.T) {
+func TestUnsolicitedBytesRetractUnconfirmedAnswers(t *testing.T) {
 	var told []string
 	doubted := func(name string) func() { return func() { told = append(told, name) } }
 	p := PeerConn{}
@@ -91,16 +91,16 @@
 	if fmt.Sprint(told) != "[served]" {
 		t.Errorf("retracted %v after the peer closed the connection, want the served answer only", told)
 	}
-	p = PeerConn{turn: 1}
+	p = PeerConn{calls: 1}
 	p.Begin(0)
-	if wait, unsettled := p.Answered(s, 2*s, Likely, true, doubted("slow")); wait != 0 || unsettled != s || p.Unsettled(s) != longestConfirmation {
+	if wait, unsettled := p.Answered(s, 2*s, Likely, true, doubted("slow")); wait != 0 || unsettled != s || p.Unsettled(s) != maxConfirmation {
 		t.Errorf("a slow answer: waits %s, unsettled for %s, kept for %s", wait, unsettled, p.Unsettled(s))
 	}
-	for range 2 * mostUnconfirmed {
+	for range 2 * maxUnconfirmed {
 		p.Answered(0, s, Likely, true, doubted("x"))
 	}
-	if all, _ := p.Strayed(0); len(all) != mostUnconfirmed {
-		t.Errorf("%d answers are remembered, want %d", len(all), mostUnconfirmed)
+	if all, _ := p.Strayed(0); len(all) != maxUnconfirmed {
+		t.Errorf("%d answers are remembered, want %d", len(all), maxUnconfirmed)
 	}
 	p.Answered(0, s, Likely, true, doubted("old"))
 	if all, _ := p.Strayed(LongestDoubt + ms); len(all) != 0 {
@@ -109,7 +109,7 @@
 }
 
 // Guards against a peer that violated the protocol and is trusted as before.
-func TestConductOfPeersDecidesWhatTheirConnectionsCarry(t *testing.T) {
+func TestDistrustLimitsWhatConnectionsCarry(t *testing.T) {
 	c := Conduct{}
 	want := func(now time.Duration, peer string, group int, bears Bears, rule PeerRule) {
 		t.Helper()
@@ -131,17 +131,17 @@
 	}
 	want(3*s, "d", 3, Once, only) // two destinations: the cause is not one peer
 	want(3*s, "d", 3, Repeats, only)
-	want(s+firstSpell, "d", 3, Repeats, PeerRule{Rest: longestRest}) // only one destination left
-	end := 2*s + firstSpell
+	want(s+minDistrust, "d", 3, Repeats, PeerRule{Rest: maxIdleTime}) // only one destination left
+	end := 2*s + minDistrust
 	want(end, "a", 1, Once, PeerRule{})
 	c.Saw(end, "a", 1, 0) // a second violation: twice as long
-	want(end+firstSpell, "a", 1, Repeats, only)
-	want(end+2*firstSpell, "a", 1, Repeats, PeerRule{})
-	want(end+firstSpell, "b", 1, Repeats, PeerRule{Rest: leastRest})
-	for i := range 2 * mostPeers {
+	want(end+minDistrust, "a", 1, Repeats, only)
+	want(end+2*minDistrust, "a", 1, Repeats, PeerRule{})
+	want(end+minDistrust, "b", 1, Repeats, PeerRule{Rest: minIdleTime})
+	for i := range 2 * maxPeers {
 		c.Saw(end, fmt.Sprint(i), 4, 0)
 	}
-	if len(c.peers) > mostPeers {
+	if len(c.peers) > maxPeers {
 		t.Errorf("%d peers are remembered", len(c.peers))
 	}
 	c = Conduct{}
@@ -159,7 +159,7 @@
 
 // Guards against a refusal, which promises that nothing took effect, on the ground of an answer
 // that belonged to another call.
-func TestRefusalWaitsForItsAnswerToBeConfirmed(t *testing.T) {
+func TestRefusalWaitsForConfirmation(t *testing.T) {
 	for _, c := range []struct {
 		repeat Repeat
 		now    time.Duration
--- a/internal/lifecycle/trace.go
+++ b/internal/lifecycle/trace.go
@@ -46,11 +46,11 @@
 
 // Trace is called with each step of a request: its id, the step, and a detail. A nil Trace records
 // nothing. It must not block.
-type Trace func(id, step, with string)
+type Trace func(id, step, detail string)
 
 // Step records one step if tracing is on.
-func (t Trace) Step(id, step, with string) {
+func (t Trace) Step(id, step, detail string) {
 	if t != nil {
-		t(id, step, with)
+		t(id, step, detail)
 	}
 }
