--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -27,9 +27,9 @@
 // Bounds on the interim responses before the final one, on the fields of one header, and on the
 // bytes of empty lines before a request.
 const (
-	mostInterim = 16
-	mostFields  = 256
-	mostBlank   = 8
+	maxInterim = 16
+	maxFields  = 256
+	maxBlank   = 8
 )
 
 // Framing states how a message's content is delimited, in addition to the message's own fields.
@@ -59,18 +59,18 @@
 type Parser struct {
 	// Prefix is what a message must begin with, so that other input is rejected before its first
 	// line is complete; empty to accept anything. Reset keeps it.
-	Prefix  string
-	limits  Limits
-	state   int
-	line    []byte // header or chunk-size line read so far
-	length  int64  // Content-Length, -1 for none
-	left    int64  // bytes still to come of the content or of the current chunk
-	body    int64  // content bytes received so far
-	chunked bool
-	toClose bool
-	interim int
-	fields  int
-	blank   int
+	Prefix        string
+	limits        Limits
+	state         int
+	line          []byte // header or chunk-size line read so far
+	length        int64  // Content-Length, -1 for none
+	remaining     int64  // bytes still to come of the content or of the current chunk
+	received      int64  // content bytes received so far
+	chunked       bool
+	untilClose    bool
+	interimCount  int
+	trailerFields int
+	blankBytes    int
 }
 
 // The states of the parser.
@@ -109,13 +109,13 @@
 func (p *Parser) Done() bool { return p.state == finished }
 
 // Began reports whether any byte of the message has arrived.
-func (p *Parser) Began() bool { return p.state != inHead || len(p.line) > 0 || p.interim > 0 }
+func (p *Parser) Began() bool { return p.state != inHead || len(p.line) > 0 || p.interimCount > 0 }
 
 // InContent reports whether the header is complete and content is still expected.
 func (p *Parser) InContent() bool { return p.state != inHead && p.state != finished }
 
 // AtClose reports whether the end of the connection would complete the message.
-func (p *Parser) AtClose() bool { return p.state == inBody && p.toClose }
+func (p *Parser) AtClose() bool { return p.state == inBody && p.untilClose }
 
 // Feed parses b and returns the bytes behind the end of the message.
 func (p *Parser) Feed(b []byte, h Handler) (rest []byte, err error) {
@@ -127,18 +127,18 @@
 			}
 		case inBody, inChunk:
 			n := int64(len(b))
-			if !p.toClose {
-				n = min(n, p.left)
+			if !p.untilClose {
+				n = min(n, p.remaining)
 			}
-			p.left -= n
-			if p.body += n; p.body > int64(p.limits.Body) {
+			p.remaining -= n
+			if p.received += n; p.received > int64(p.limits.Body) {
 				return nil, fmt.Errorf("%w of %d bytes", ErrTooLong, p.limits.Body)
 			}
 			if err = h.Content(b[:n]); err != nil {
 				return nil, err
 			}
 			b = b[n:]
-			if p.left == 0 && !p.toClose {
+			if p.remaining == 0 && !p.untilClose {
 				if p.state == inBody {
 					p.state = finished
 				} else {
@@ -152,7 +152,7 @@
 				return nil, err
 			}
 			if whole {
-				if err = p.chunk(line); err != nil {
+				if err = p.chunkedLine(line); err != nil {
 					return nil, err
 				}
 			}
@@ -183,7 +183,7 @@
 	return line[:len(line)-2], rest, true, nil
 }
 
-func (p *Parser) chunk(line []byte) error {
+func (p *Parser) chunkedLine(line []byte) error {
 	switch p.state {
 	case inChunkEnd:
 		if len(line) > 0 {
@@ -197,7 +197,7 @@
 		if err != nil || size[0] == '+' {
 			return Malformed("chunk size %.20q", size)
 		}
-		p.left = int64(n)
+		p.remaining = int64(n)
 		if p.state = inChunk; n == 0 {
 			p.state = inTrailer
 		}
@@ -206,8 +206,8 @@
 			p.state = finished
 			return nil
 		}
-		if p.fields++; p.fields > mostFields {
-			return Malformed("over %d trailer fields", mostFields)
+		if p.trailerFields++; p.trailerFields > maxFields {
+			return Malformed("over %d trailer fields", maxFields)
 		}
 	}
 	return nil
@@ -216,8 +216,8 @@
 // head collects the start line and the header fields up to the empty line.
 func (p *Parser) head(b []byte, h Handler) (rest []byte, err error) {
 	if len(p.line) == 0 && p.Prefix == "" { // skip empty lines before a request (RFC 9112, 2.2)
-		for len(b) > 0 && p.blank < mostBlank && (b[0] == '\r' || b[0] == '\n') {
-			b, p.blank = b[1:], p.blank+1
+		for len(b) > 0 && p.blankBytes < maxBlank && (b[0] == '\r' || b[0] == '\n') {
+			b, p.blankBytes = b[1:], p.blankBytes+1
 		}
 		if len(b) == 0 {
 			return nil, nil
@@ -240,14 +240,14 @@
 	if end > p.limits.Header {
 		return nil, Malformed("header is over the limit of %d bytes", p.limits.Header)
 	}
-	if err := p.parse(string(p.line[:end-4]), h); err != nil {
+	if err := p.parseHeader(string(p.line[:end-4]), h); err != nil {
 		return nil, err
 	}
 	p.line = p.line[:0]
 	return b[end-before:], nil
 }
 
-func (p *Parser) parse(head string, h Handler) error {
+func (p *Parser) parseHeader(head string, h Handler) error {
 	line, fields, _ := strings.Cut(head, "\r\n")
 	if strings.ContainsAny(line, "\r\n\x00") {
 		return Malformed("start line holds a control character")
@@ -255,10 +255,10 @@
 	if err := h.Start(line); err != nil {
 		return err
 	}
-	p.length, p.chunked, p.toClose = -1, false, false
+	p.length, p.chunked, p.untilClose = -1, false, false
 	for count := 0; fields != ""; count++ {
-		if count >= mostFields {
-			return Malformed("over %d header fields", mostFields)
+		if count >= maxFields {
+			return Malformed("over %d header fields", maxFields)
 		}
 		line, fields, _ = strings.Cut(fields, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
@@ -295,8 +295,8 @@
 	}
 	switch {
 	case framing == Interim:
-		if p.interim++; p.interim > mostInterim {
-			return Malformed("over %d interim responses", mostInterim)
+		if p.interimCount++; p.interimCount > maxInterim {
+			return Malformed("over %d interim responses", maxInterim)
 		}
 	case framing == NoContent:
 		p.state = finished
@@ -307,9 +307,9 @@
 	case p.length > int64(p.limits.Body):
 		return fmt.Errorf("%w of %d bytes", ErrTooLong, p.limits.Body)
 	case p.length > 0:
-		p.state, p.left = inBody, p.length
+		p.state, p.remaining = inBody, p.length
 	case p.length < 0 && framing == ToClose:
-		p.state, p.toClose = inBody, true
+		p.state, p.untilClose = inBody, true
 	default:
 		p.state = finished
 	}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -11,8 +11,8 @@
 	Keep         bool // the connection may carry a further request
 	Expect       bool // the client waits for 100 Continue
 	fields       []field
-	old          bool // the request's version is HTTP/1.0
-	hosts        int
+	http10       bool // the request's version is HTTP/1.0
+	hostFields   int
 }
 
 type field struct{ name, value string }
@@ -34,9 +34,9 @@
 		return Malformed("version %.20q", parts[2])
 	}
 	r.Method, r.Path = parts[0], parts[1]
-	r.old = parts[2] == "HTTP/1.0"
-	r.Keep = !r.old
-	r.fields, r.Body, r.Expect, r.hosts = r.fields[:0], nil, false, 0
+	r.http10 = parts[2] == "HTTP/1.0"
+	r.Keep = !r.http10
+	r.fields, r.Body, r.Expect, r.hostFields = r.fields[:0], nil, false, 0
 	return nil
 }
 
@@ -46,7 +46,7 @@
 	case strings.EqualFold(name, "connection"):
 		r.Keep = r.Keep && !Closes(value)
 	case strings.EqualFold(name, "host"):
-		r.hosts++
+		r.hostFields++
 	case strings.EqualFold(name, "expect"):
 		r.Expect = strings.EqualFold(value, "100-continue")
 	}
@@ -56,8 +56,8 @@
 
 // Head checks the header when it is complete.
 func (r *Request) Head() (Framing, error) {
-	if r.hosts != 1 && !r.old || r.hosts > 1 { // RFC 9112, 3.2
-		return 0, Malformed("%d Host fields", r.hosts)
+	if r.hostFields != 1 && !r.http10 || r.hostFields > 1 { // RFC 9112, 3.2
+		return 0, Malformed("%d Host fields", r.hostFields)
 	}
 	return ByFields, nil
 }
