--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -21,23 +21,23 @@
 	descriptor    int
 	local, remote net.Addr
 
-	mu       sync.Mutex
-	open     bool
-	why      error         // reason for the close
-	ended    chan struct{} // closed when the connection is closed
-	heardAll bool          // the peer has ended its sending side
-	ending   bool          // the sending side ends once pending is written
-	discard  bool          // received bytes are discarded
-	dropped  int
-	pending  []byte // bytes still to be written
-	by       time.Time
-	retry    *time.Timer
-	pause    time.Duration
-	closedBy *time.Timer
+	mu           sync.Mutex
+	open         bool
+	closeReason  error         // reason for the close
+	closedSignal chan struct{} // closed when the connection is closed
+	peerEnded    bool          // the peer has ended its sending side
+	writeEnding  bool          // the sending side ends once pending is written
+	discarding   bool          // received bytes are discarded
+	discarded    int
+	pending      []byte // bytes still to be written
+	writeBy      time.Time
+	retryTimer   *time.Timer
+	retryPause   time.Duration
+	closeTimer   *time.Timer
 
 	// For the connection's goroutine only.
-	failing time.Time     // start of a series of failed reads; zero if the last read succeeded
-	heldUp  time.Duration // upper bound on the time for which the data read last waited because reads failed
+	failingSince time.Time     // start of a series of failed reads; zero if the last read succeeded
+	readDelay    time.Duration // upper bound on the time for which the data read last waited because reads failed
 }
 
 // Errors of writes.
@@ -51,15 +51,15 @@
 const (
 	// The interval between two attempts at a read or write that made no progress starts at
 	// minRetryPause and doubles up to maxRetryPause.
-	firstPause   = time.Millisecond
-	longestPause = 16 * time.Millisecond
+	minRetryPause = time.Millisecond
+	maxRetryPause = 16 * time.Millisecond
 	// maxDiscarded bounds the bytes read from a peer after Finish: enough for what was under way by
 	// then, but not for a body without end.
-	mostDropped = 1 << 20
+	maxDiscarded = 1 << 20
 )
 
 // initSocket obtains the raw connection and the descriptor of the socket.
-func (c *Conn) takeSocket() error {
+func (c *Conn) initSocket() error {
 	socket, ok := c.raw.(syscall.Conn)
 	if !ok {
 		return fmt.Errorf("%T is not a socket", c.raw)
@@ -73,17 +73,17 @@
 
 // serve passes what is read to the handler until the connection ends.
 func (c *Conn) serve() {
-	pause := firstPause
+	pause := minRetryPause
 	for {
 		switch err := c.receive(); {
 		case err == nil:
-			pause = firstPause
-		case passes(err):
+			pause = minRetryPause
+		case isTransient(err):
 			time.Sleep(pause)
-			pause = min(2*pause, longestPause)
+			pause = min(2*pause, maxRetryPause)
 		default:
 			if errors.Is(err, io.EOF) {
-				c.outlast()
+				c.awaitHandlerClose()
 			}
 			c.mu.Lock()
 			c.abort(err)
@@ -96,34 +96,34 @@
 
 // awaitHandlerClose keeps a connection whose peer has ended its sending side open until the handler
 // has ended it too, if the handler asks for that.
-func (c *Conn) outlast() {
+func (c *Conn) awaitHandlerClose() {
 	h, may := c.handler.(HalfCloser)
 	if !may || !h.HalfClosed() {
 		return
 	}
 	c.mu.Lock()
-	c.heardAll = true
-	if c.ending && len(c.pending) == 0 { // both sides have ended by now
+	c.peerEnded = true
+	if c.writeEnding && len(c.pending) == 0 { // both sides have ended by now
 		c.abort(io.EOF)
 	}
 	c.mu.Unlock()
-	<-c.ended
+	<-c.closedSignal
 }
 
 // isTransient reports whether a read or write failed only because the system was out of memory at
 // that moment, which says nothing about the connection.
-func passes(err error) bool { return err == syscall.ENOMEM || err == syscall.ENOBUFS }
+func isTransient(err error) bool { return err == syscall.ENOMEM || err == syscall.ENOBUFS }
 
 // receive waits for data and passes it to the handler. It returns io.EOF when the peer has ended
 // its sending side.
 func (c *Conn) receive() error {
 	var buf *[]byte
 	var n int
-	var failed error
+	var readErr error
 	err := c.socket.Read(func(fd uintptr) (done bool) {
 		buf = c.engine.buffers.Get().(*[]byte)
-		n, failed = read(int(fd), *buf)
-		if failed == syscall.EAGAIN { // don't hold a buffer while waiting for data
+		n, readErr = read(int(fd), *buf)
+		if readErr == syscall.EAGAIN { // don't hold a buffer while waiting for data
 			c.engine.buffers.Put(buf)
 			buf = nil
 			return false
@@ -136,25 +136,25 @@
 	switch {
 	case err != nil: // closed by this side
 		return err
-	case passes(failed) && c.failing.IsZero():
-		c.failing = time.Now()
-		return failed
-	case failed != nil:
-		return failed
+	case isTransient(readErr) && c.failingSince.IsZero():
+		c.failingSince = time.Now()
+		return readErr
+	case readErr != nil:
+		return readErr
 	case n == 0:
 		return io.EOF
 	}
-	c.heldUp = 0
-	if !c.failing.IsZero() {
-		c.heldUp, c.failing = time.Since(c.failing), time.Time{}
+	c.readDelay = 0
+	if !c.failingSince.IsZero() {
+		c.readDelay, c.failingSince = time.Since(c.failingSince), time.Time{}
 	}
-	c.data((*buf)[:n])
+	c.deliver((*buf)[:n])
 	return nil
 }
 
 // HeldUp returns an upper bound on the time for which the current data waited to be read because
 // reads failed. The handler may call it within Data.
-func (c *Conn) HeldUp() time.Duration { return c.heldUp }
+func (c *Conn) HeldUp() time.Duration { return c.readDelay }
 
 // read is read(2), repeated when a signal interrupts it.
 func read(fd int, b []byte) (n int, err error) {
@@ -167,13 +167,13 @@
 }
 
 // deliver passes read data to the handler, or discards it after Finish.
-func (c *Conn) data(b []byte) {
+func (c *Conn) deliver(b []byte) {
 	c.mu.Lock()
-	wanted := c.open && !c.discard
-	if c.discard {
-		c.dropped += len(b)
+	wanted := c.open && !c.discarding
+	if c.discarding {
+		c.discarded += len(b)
 	}
-	over := c.dropped > mostDropped
+	over := c.discarded > maxDiscarded
 	c.mu.Unlock()
 	switch {
 	case over:
@@ -193,16 +193,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.open {
-		return 0, fmt.Errorf("%w: %w", net.ErrClosed, c.why)
+		return 0, fmt.Errorf("%w: %w", net.ErrClosed, c.closeReason)
 	}
-	if c.ending {
+	if c.writeEnding {
 		return 0, net.ErrClosed
 	}
 	if most := c.engine.opt.WriteBuffer; most > 0 && len(c.pending)+len(b) > most {
 		c.abort(ErrFull)
 		return 0, ErrFull
 	}
-	if c.by = by; len(c.pending) > 0 {
+	if c.writeBy = by; len(c.pending) > 0 {
 		c.pending = append(c.pending, b...)
 		return len(b), nil
 	}
@@ -213,8 +213,8 @@
 	}
 	if n < len(b) {
 		c.pending = append([]byte(nil), b[n:]...)
-		c.pause = firstPause
-		c.later()
+		c.retryPause = minRetryPause
+		c.scheduleFlush()
 	}
 	return len(b), nil
 }
@@ -231,7 +231,7 @@
 	switch {
 	case closed != nil:
 		return n, closed
-	case err == syscall.EAGAIN, passes(err):
+	case err == syscall.EAGAIN, isTransient(err):
 		return n, nil // the rest is retried later
 	}
 	return n, err
@@ -239,7 +239,7 @@
 
 // sendOnce does one write(2). The caller holds mu.
 func (c *Conn) sendOnce(fd int, b []byte) (n int, err error) {
-	if !c.by.IsZero() && !time.Now().Before(c.by) {
+	if !c.writeBy.IsZero() && !time.Now().Before(c.writeBy) {
 		return 0, ErrLate
 	}
 	n, err = syscall.Write(fd, b)
@@ -253,9 +253,9 @@
 }
 
 // scheduleFlush retries the pending write after a pause. The caller holds mu.
-func (c *Conn) later() {
-	c.retry = time.AfterFunc(c.pause, c.flush)
-	c.pause = min(2*c.pause, longestPause)
+func (c *Conn) scheduleFlush() {
+	c.retryTimer = time.AfterFunc(c.retryPause, c.flush)
+	c.retryPause = min(2*c.retryPause, maxRetryPause)
 }
 
 // flush writes the pending bytes, and then ends the sending side if that was requested.
@@ -271,27 +271,27 @@
 		return
 	}
 	if n > 0 {
-		c.pause = firstPause
+		c.retryPause = minRetryPause
 	}
 	if c.pending = c.pending[n:]; len(c.pending) > 0 {
-		c.later()
+		c.scheduleFlush()
 		return
 	}
-	c.retry = nil
+	c.retryTimer = nil
 	c.pending = nil
-	if c.ending {
-		c.shut()
+	if c.writeEnding {
+		c.shutdownWrite()
 	}
 }
 
 // abort closes the connection and drops the pending bytes. The caller holds mu.
-func (c *Conn) abort(why error) {
+func (c *Conn) abort(reason error) {
 	if !c.open {
 		return
 	}
-	c.open, c.why, c.pending = false, why, nil
-	close(c.ended)
-	for _, t := range []*time.Timer{c.retry, c.closedBy} {
+	c.open, c.closeReason, c.pending = false, reason, nil
+	close(c.closedSignal)
+	for _, t := range []*time.Timer{c.retryTimer, c.closeTimer} {
 		if t != nil {
 			t.Stop()
 		}
@@ -300,13 +300,13 @@
 }
 
 // shutdownWrite ends the sending side. The caller holds mu, and nothing is pending.
-func (c *Conn) shut() {
+func (c *Conn) shutdownWrite() {
 	var err error
 	closed := c.socket.Control(func(fd uintptr) { err = syscall.Shutdown(int(fd), syscall.SHUT_WR) })
 	switch err = errors.Join(closed, err); {
 	case err != nil:
 		c.abort(err)
-	case c.heardAll:
+	case c.peerEnded:
 		c.abort(io.EOF)
 	}
 }
@@ -316,7 +316,7 @@
 func (c *Conn) CloseWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.open || c.ending {
+	if !c.open || c.writeEnding {
 		return
 	}
 	c.endWriting()
@@ -324,8 +324,8 @@
 
 // endWriting ends the sending side once nothing is pending. The caller holds mu.
 func (c *Conn) endWriting() {
-	if c.ending = true; len(c.pending) == 0 {
-		c.shut()
+	if c.writeEnding = true; len(c.pending) == 0 {
+		c.shutdownWrite()
 	}
 }
 
@@ -336,12 +336,12 @@
 func (c *Conn) Finish(within time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.open || c.discard {
+	if !c.open || c.discarding {
 		return
 	}
-	c.discard = true
-	c.closedBy = time.AfterFunc(within, func() { _ = c.Close() })
-	if !c.ending {
+	c.discarding = true
+	c.closeTimer = time.AfterFunc(within, func() { _ = c.Close() })
+	if !c.writeEnding {
 		c.endWriting()
 	}
 }
@@ -396,7 +396,7 @@
 	switch {
 	case closed != nil:
 		return End
-	case err == syscall.EAGAIN || err == syscall.EINTR || passes(err):
+	case err == syscall.EAGAIN || err == syscall.EINTR || isTransient(err):
 		return Nothing
 	case err == nil && n > 0:
 		return Bytes
@@ -409,7 +409,8 @@
 func (c *Conn) EndedByPeer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return errors.Is(c.why, io.EOF) || errors.Is(c.why, syscall.ECONNRESET) || errors.Is(c.why, syscall.EPIPE)
+	return errors.Is(c.closeReason, io.EOF) || errors.Is(c.closeReason, syscall.ECONNRESET) ||
+		errors.Is(c.closeReason, syscall.EPIPE)
 }
 
 // LocalAddr returns the local address of the connection.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -53,7 +53,7 @@
 }
 
 // minReadBuffer is the smallest read buffer, in bytes.
-const leastReadBuffer = 4 << 10
+const minReadBuffer = 4 << 10
 
 // Start returns an Engine that is ready to adopt connections; it opens nothing. The error names an
 // option that is out of its range.
@@ -63,7 +63,7 @@
 			opt.Name, opt.ReadBuffer, opt.WriteBuffer)
 	}
 	e := &Engine{opt: opt, conns: map[*Conn]struct{}{}}
-	size := max(opt.ReadBuffer, leastReadBuffer)
+	size := max(opt.ReadBuffer, minReadBuffer)
 	e.buffers.New = func() any { b := make([]byte, size); return &b }
 	return e, nil
 }
@@ -74,9 +74,9 @@
 // Adopt starts to serve a connected socket. bind makes its handler before any data can arrive. On
 // an error the socket is closed, and the handler's Closed is called.
 func (e *Engine) Adopt(raw net.Conn, bind func(*Conn) Handler) (*Conn, error) {
-	c := &Conn{engine: e, raw: raw, open: true, ended: make(chan struct{}),
+	c := &Conn{engine: e, raw: raw, open: true, closedSignal: make(chan struct{}),
 		local: raw.LocalAddr(), remote: raw.RemoteAddr()}
-	err := c.takeSocket()
+	err := c.initSocket()
 	c.handler = bind(c)
 	if err == nil {
 		err = e.serve(c)
@@ -107,7 +107,7 @@
 }
 
 // stopTimeout bounds the wait for handlers in Stop; their connections are all closed by then.
-const stopTime = 2 * time.Second
+const stopTimeout = 2 * time.Second
 
 // Stop closes all connections and waits for their goroutines, but not for a handler that blocks for
 // longer than stopTimeout.
@@ -129,6 +129,6 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(stopTime):
+	case <-time.After(stopTimeout):
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -82,7 +82,7 @@
 
 // Guards against truncated answers: the end of a connection overtook bytes that an earlier write
 // had left pending.
-func TestTheEndComesBehindWhatWasWritten(t *testing.T) {
+func TestEndFollowsPendingWrites(t *testing.T) {
 	for name, end := range map[string]func(*Conn){
 		"CloseWrite": (*Conn).CloseWrite,
 		"Finish":     func(c *Conn) { c.Finish(time.Minute) },
@@ -107,7 +107,7 @@
 }
 
 // Guards against an answer destroyed by a reset, which a close with unread bytes causes.
-func TestFinishOverUnreadBytes(t *testing.T) {
+func TestFinishWithUnreadBytes(t *testing.T) {
 	c, r, peer := pair(t, Options{})
 	if _, err := c.Write([]byte("answer")); err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 
 // Guards against a call that is sent after the host has forgotten its first attempt: bytes that
 // wait for a slow socket must not be sent after their deadline.
-func TestNothingIsWrittenBehindItsTime(t *testing.T) {
+func TestNothingIsWrittenAfterItsDeadline(t *testing.T) {
 	c, r, peer := pair(t, Options{})
 	if _, err := c.WriteBy(make([]byte, large), time.Now().Add(20*time.Millisecond)); err != nil && !errors.Is(err, ErrLate) {
 		t.Fatal(err)
@@ -157,7 +157,7 @@
 }
 
 // Guards against losing a host's answer because its connection ends right after it.
-func TestAllIsReadBeforeThePeersEnd(t *testing.T) {
+func TestAllDataIsReadBeforeThePeersEnd(t *testing.T) {
 	_, r, peer := pair(t, Options{ReadBuffer: 4 << 10})
 	body := bytes.Repeat([]byte("0123456789"), 100<<10)
 	if _, err := peer.Write(body); err != nil {
@@ -172,7 +172,7 @@
 
 // Guards against operations on a closed connection that affect another one: a closed connection
 // must not use its old descriptor number, whichever connection has it now.
-func TestAClosedConnectionLeavesItsNumberAlone(t *testing.T) {
+func TestClosedConnectionDoesNotUseItsOldDescriptor(t *testing.T) {
 	first, r, _ := pair(t, Options{})
 	second, _, other := pair(t, Options{})
 	_ = first.Close()
@@ -218,13 +218,13 @@
 // Guards against a connection that is closed during a request because an earlier connection had the
 // same descriptor number: events that the poller had already fetched for the earlier one were
 // applied to it.
-func TestEventsOfAClosedConnectionStrikeNoOther(t *testing.T) {
+func TestEventsOfClosedConnectionDoNotAffectTheNext(t *testing.T) {
 	for range 10 { // the descriptor numbers are not assigned alike each time
-		eventsOfAClosedConnection(t)
+		checkEventsOfClosedConnection(t)
 	}
 }
 
-func eventsOfAClosedConnection(t *testing.T) {
+func checkEventsOfClosedConnection(t *testing.T) {
 	t.Helper()
 	e, err := Start(Options{Name: "test"})
 	if err != nil {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -84,9 +84,9 @@
 // socket. It holds at most one entry for each hand-in that waits to be taken, and one for each
 // answer that is still owed.
 type Outbox[T any] struct {
-	mu   sync.Mutex
-	list []Said[T]
-	wake chan struct{}
+	mu      sync.Mutex
+	entries []Said[T]
+	wake    chan struct{}
 }
 
 // NewOutbox returns an empty Outbox.
@@ -95,8 +95,8 @@
 // Put adds a report and never blocks.
 func (o *Outbox[T]) Put(s Said[T]) {
 	o.mu.Lock()
-	o.list = append(o.list, s)
-	first := len(o.list) == 1
+	o.entries = append(o.entries, s)
+	first := len(o.entries) == 1
 	o.mu.Unlock()
 	if first {
 		select {
@@ -117,8 +117,8 @@
 			stopping = true
 		}
 		o.mu.Lock()
-		list := o.list
-		o.list = spare[:0]
+		list := o.entries
+		o.entries = spare[:0]
 		o.mu.Unlock()
 		f(list)
 		clear(list)
--- a/internal/front/listen.go
+++ b/internal/front/listen.go
@@ -36,9 +36,9 @@
 	Addrs     []string
 	sockets   Sockets
 	engine    *engine.Engine
-	all       []*net.TCPListener
-	accepting sync.WaitGroup
-	leaving   atomic.Bool
+	listeners []*net.TCPListener
+	acceptors sync.WaitGroup
+	closing   atomic.Bool
 }
 
 // Farewell is how long a client may take to read what was written to it before its connection is
@@ -47,22 +47,23 @@
 
 const (
 	// acceptRetryPause keeps failing accepts from spinning.
-	acceptPause = 20 * time.Millisecond
+	acceptRetryPause = 20 * time.Millisecond
 	// queueDrainTime bounds how long a closing listener goes on accepting the connections in its
 	// queue if accepting fails or further clients keep coming.
-	emptyWithin = time.Second
+	queueDrainTime = time.Second
 )
 
 // Listen opens the sockets and starts to serve them.
 func Listen(s Sockets) (*Listeners, error) {
 	l := &Listeners{sockets: s}
 	for _, addr := range s.Addrs {
-		one, err := net.Listen("tcp", addr)
+		listener, err := net.Listen("tcp", addr)
 		if err != nil {
 			l.Refuse()
 			return nil, fmt.Errorf("%s: %w", s.Name, err)
 		}
-		l.Addrs, l.all = append(l.Addrs, one.Addr().String()), append(l.all, one.(*net.TCPListener))
+		l.Addrs, l.listeners = append(l.Addrs, listener.Addr().String()),
+			append(l.listeners, listener.(*net.TCPListener))
 	}
 	var err error
 	l.engine, err = engine.Start(engine.Options{Name: s.Name, ReadBuffer: s.ReadBuffer, WriteBuffer: s.WriteBuffer})
@@ -70,52 +71,52 @@
 		l.Refuse()
 		return nil, err
 	}
-	for _, one := range l.all {
-		l.accepting.Go(func() { l.accept(one) })
+	for _, listener := range l.listeners {
+		l.acceptors.Go(func() { l.accept(listener) })
 	}
 	return l, nil
 }
 
 // accept serves one listener until it is closing and its queue is empty. The kernel resets the
 // connections that are still in the queue when a listener is closed.
-func (l *Listeners) accept(from *net.TCPListener) {
-	defer from.Close()
-	var q queue
-	var until time.Time // limit for emptying the queue, set once the listener is closing
+func (l *Listeners) accept(listener *net.TCPListener) {
+	defer listener.Close()
+	var delay queueDelay
+	var drainUntil time.Time // limit for emptying the queue, set once the listener is closing
 	for {
 		asked := time.Now()
-		if l.leaving.Load() {
-			if until.IsZero() {
-				until = asked.Add(emptyWithin)
+		if l.closing.Load() {
+			if drainUntil.IsZero() {
+				drainUntil = asked.Add(queueDrainTime)
 			}
-			if !pending(from) || asked.After(until) {
+			if !pending(listener) || asked.After(drainUntil) {
 				return
 			}
-			_ = from.SetDeadline(until) // connections in the queue are accepted at once
+			_ = listener.SetDeadline(drainUntil) // connections in the queue are accepted at once
 		}
-		raw, err := from.Accept()
+		raw, err := listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded): // the listener is closing
 		case err != nil:
-			q.held(asked)
+			delay.delayed(asked)
 			l.sockets.Failed(err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryPause)
 		default:
-			q.got(asked, time.Now())
+			delay.accepted(asked, time.Now())
 			asked = time.Now()
-			l.serve(raw, q.waited(asked))
-			if time.Since(asked) > prompt {
-				q.held(asked)
+			l.serve(raw, delay.longest(asked))
+			if time.Since(asked) > promptAccept {
+				delay.delayed(asked)
 			}
 		}
 	}
 }
 
 // pending reports whether a connection waits in a listener's queue.
-func pending(from *net.TCPListener) (waits bool) {
-	raw, err := from.SyscallConn()
+func pending(listener *net.TCPListener) (waits bool) {
+	raw, err := listener.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -132,29 +133,29 @@
 
 // promptAccept is the longest time that accepting and serving one connection takes without delaying
 // the queue.
-const prompt = 5 * time.Millisecond
+const promptAccept = 5 * time.Millisecond
 
 // queueDelay bounds how long connections may have waited in a listener's queue: from the moment at
 // which accepting failed or was delayed until the next connection that was not there yet when it
 // was accepted.
-type queue struct{ since time.Time }
+type queueDelay struct{ since time.Time }
 
 // delayed records that no connection was accepted from the given time on.
-func (q *queue) held(from time.Time) {
+func (q *queueDelay) delayed(from time.Time) {
 	if q.since.IsZero() {
 		q.since = from
 	}
 }
 
 // accepted records that a connection was asked for and when it arrived.
-func (q *queue) got(asked, came time.Time) {
-	if came.Sub(asked) > prompt {
+func (q *queueDelay) accepted(asked, came time.Time) {
+	if came.Sub(asked) > promptAccept {
 		q.since = time.Time{}
 	}
 }
 
 // longest returns the longest time for which a connection accepted now may have waited.
-func (q *queue) waited(now time.Time) time.Duration {
+func (q *queueDelay) longest(now time.Time) time.Duration {
 	if q.since.IsZero() {
 		return 0
 	}
@@ -167,7 +168,7 @@
 	nb, err := l.engine.Adopt(raw, func(nb *engine.Conn) engine.Handler {
 		c := l.sockets.Open(nb, waited)
 		if refused = c == nil; refused {
-			return refusal{}
+			return rejected{}
 		}
 		return c
 	})
@@ -180,20 +181,20 @@
 }
 
 // rejected handles a connection that the front did not accept.
-type refusal struct{}
+type rejected struct{}
 
-func (refusal) Data([]byte) {}
-func (refusal) Closed()     {}
+func (rejected) Data([]byte) {}
+func (rejected) Closed()     {}
 
 // Refuse closes the listeners, after accepting what is in their queues. Open connections are kept.
 func (l *Listeners) Refuse() {
-	l.leaving.Store(true)
-	for _, one := range l.all {
-		_ = one.SetDeadline(time.Now()) // ends the wait for the next connection
+	l.closing.Store(true)
+	for _, listener := range l.listeners {
+		_ = listener.SetDeadline(time.Now()) // ends the wait for the next connection
 	}
-	l.accepting.Wait()
-	for _, one := range l.all {
-		_ = one.Close() // for a listener that nobody accepted from yet
+	l.acceptors.Wait()
+	for _, listener := range l.listeners {
+		_ = listener.Close() // for a listener that nobody accepted from yet
 	}
 }
 
--- a/internal/front/listen_test.go
+++ b/internal/front/listen_test.go
@@ -11,21 +11,21 @@
 
 // Guards against time limits that are counted too late: a request's time already runs while its
 // connection waits in the listener's queue because accepting fails.
-func TestQueueTellsHowLongAcceptingWasHeldUp(t *testing.T) {
+func TestQueueDelayAfterFailedAccepts(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
-	var q queue
-	if q.got(at(0), at(0)); q.waited(at(1)) != 0 {
+	var delay queueDelay
+	if delay.accepted(at(0), at(0)); delay.longest(at(1)) != 0 {
 		t.Error("waited although accepting did not fail")
 	}
-	q.held(at(10))
-	q.held(at(30))                          // the first report counts
+	delay.delayed(at(10))
+	delay.delayed(at(30))                   // the first report counts
 	for _, now := range []int{50, 52, 54} { // several connections were queued
-		if q.got(at(now), at(now)); q.waited(at(now)) != at(now).Sub(at(10)) {
-			t.Errorf("at %d ms: waited %v", now, q.waited(at(now)))
+		if delay.accepted(at(now), at(now)); delay.longest(at(now)) != at(now).Sub(at(10)) {
+			t.Errorf("at %d ms: waited %v", now, delay.longest(at(now)))
 		}
 	}
-	if q.got(at(60), at(80)); q.waited(at(80)) != 0 { // the queue was empty
-		t.Errorf("waited %v after the queue was empty", q.waited(at(80)))
+	if delay.accepted(at(60), at(80)); delay.longest(at(80)) != 0 { // the queue was empty
+		t.Errorf("waited %v after the queue was empty", delay.longest(at(80)))
 	}
 }
 
--- a/internal/hookfront/conn.go
+++ b/internal/hookfront/conn.go
@@ -18,21 +18,21 @@
 // tryEnd ends the relay's side of a connection, unless a request has arrived on it since it was
 // selected: that request is owed its answer. Later input is discarded, so that its client may send
 // it again to another relay. A connection whose sending side has already ended is closed.
-func (c *conn) end(why lifecycle.Reason) bool {
+func (c *conn) tryEnd(why lifecycle.Reason) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	phase := c.life.Phase()
+	phase := c.state.Phase()
 	switch {
 	case phase == lifecycle.Answering:
 		return false
-	case c.shut:
+	case c.sendingEnded:
 		c.close(lifecycle.CloseLinger)
 	case phase == lifecycle.Reading && c.front.finished.Load():
 		c.reject(http.StatusServiceUnavailable, "the relay ends")
 	case phase == lifecycle.Reading:
 		c.reject(http.StatusRequestTimeout, "the request did not end")
 	default:
-		c.finish(why)
+		c.endSending(why)
 	}
 	return true
 }
@@ -41,88 +41,88 @@
 // client has sent meanwhile is read and discarded until the client closes as well, within bounds,
 // because closing a socket with unread bytes would reset the connection and destroy the answer. The
 // caller holds mu.
-func (c *conn) finish(why lifecycle.Reason) {
-	if c.shut || !c.life.MayClose(c.front.opt.Guard) {
+func (c *conn) endSending(why lifecycle.Reason) {
+	if c.sendingEnded || !c.state.MayClose(c.front.opt.Guard) {
 		return
 	}
-	c.shut = true
-	c.since.Store(front.Now())
-	c.ended(why)
+	c.sendingEnded = true
+	c.lastActive.Store(front.Now())
+	c.recordClose(why)
 	c.nb.CloseWrite()
 }
 
 // close closes the connection whatever the client does. The caller holds mu.
 func (c *conn) close(why lifecycle.Reason) {
-	c.shut = true
-	c.ended(why)
-	c.front.gone(c)
+	c.sendingEnded = true
+	c.recordClose(why)
+	c.front.remove(c)
 	_ = c.nb.Close()
 }
 
 // recordClose counts and traces the reason for the end of the connection.
-func (c *conn) ended(why lifecycle.Reason) {
+func (c *conn) recordClose(why lifecycle.Reason) {
 	c.front.counts.Closes.Add(why)
 	c.front.opt.Trace.Step(c.name, "close", string(why))
 }
 
 // maxDiscarded bounds the bytes read from a client after the relay has ended its sending side:
 // enough for what was under way by then, but not for a body without end.
-const mostDropped = 1 << 20
+const maxDiscarded = 1 << 20
 
 // conn is the connection of one client.
 type conn struct {
-	front   *Front
-	nb      *engine.Conn
-	name    string
-	since   atomic.Int64 // by front.Now: last change of phase, or last byte while a request is read
-	begun   atomic.Int64 // by front.Now: start of the request, or of the connection before its first request
-	life    lifecycle.Exchange
-	asked   atomic.Bool   // a request has been answered
-	waited  time.Duration // upper bound on the time the connection waited in the listener's queue
-	leaving atomic.Bool   // selected to be closed to make room
+	front        *Front
+	nb           *engine.Conn
+	name         string
+	lastActive   atomic.Int64 // by front.Now: last change of phase, or last byte while a request is read
+	requestBegun atomic.Int64 // by front.Now: start of the request, or of the connection before its first request
+	state        lifecycle.Exchange
+	answeredOnce atomic.Bool   // a request has been answered
+	queueTime    time.Duration // upper bound on the time the connection waited in the listener's queue
+	evicting     atomic.Bool   // selected to be closed to make room
 	// The client has ended its sending side while its request is being answered.
 	halfClosed atomic.Bool
 
-	mu      sync.Mutex
-	req     http1.Request
-	open    *exchange
-	shut    bool
-	bad     bool // the input was not a valid request, or not complete in time
-	dropped int  // bytes discarded since sendingEnded
+	mu           sync.Mutex
+	req          http1.Request
+	pending      *handIn
+	sendingEnded bool
+	invalid      bool // the input was not a valid request, or not complete in time
+	discarded    int  // bytes received and discarded after sendingEnded
 }
 
 // evictBefore reports whether c is closed before o to make room. First go connections that have not
 // sent a request within the time a client needs for it, then those between two requests, whose
 // clients will open another one, and last the new ones, whose request may be on its way and would
 // be lost. Among equals, the one that has been idle longest goes first.
-func (c *conn) before(o *conn, now time.Time) bool {
-	if x, y := c.rank(now), o.rank(now); x != y {
+func (c *conn) evictBefore(o *conn, now time.Time) bool {
+	if x, y := c.evictionRank(now), o.evictionRank(now); x != y {
 		return x < y
 	}
-	return c.since.Load() < o.since.Load()
+	return c.lastActive.Load() < o.lastActive.Load()
 }
 
-func (c *conn) rank(now time.Time) int {
+func (c *conn) evictionRank(now time.Time) int {
 	switch {
-	case c.asked.Load():
+	case c.answeredOnce.Load():
 		return 1
-	case front.Nanos(now)-c.since.Load() > int64(c.front.opt.Request)/2:
+	case front.Nanos(now)-c.lastActive.Load() > int64(c.front.opt.Request)/2:
 		return 0
 	}
 	return 2
 }
 
 // timedOut reports whether the connection has been idle for too long or its request takes too long.
-func (c *conn) overdue(now time.Time) bool {
-	age := front.Nanos(now) - c.since.Load()
-	switch c.life.Phase() {
+func (c *conn) timedOut(now time.Time) bool {
+	age := front.Nanos(now) - c.lastActive.Load()
+	switch c.state.Phase() {
 	case lifecycle.Idle:
-		if c.front.left.Load() {
-			return c.asked.Load() || age > int64(c.front.opt.Request)/2
+		if c.front.listenerClosed.Load() {
+			return c.answeredOnce.Load() || age > int64(c.front.opt.Request)/2
 		}
 		return age > int64(c.front.opt.Idle)
 	case lifecycle.Reading:
-		return age > int64(c.front.opt.Request) || front.Nanos(now)-c.begun.Load() > int64(c.front.opt.Whole)
+		return age > int64(c.front.opt.Request) || front.Nanos(now)-c.requestBegun.Load() > int64(c.front.opt.Whole)
 	case lifecycle.Closing:
 		return age > int64(c.front.opt.Linger)
 	}
@@ -132,14 +132,14 @@
 // Closed records the end of the connection. A message whose client has not been answered is
 // withdrawn, because nobody can receive the answer any more.
 func (c *conn) Closed() {
-	c.front.gone(c)
+	c.front.remove(c)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.shut {
-		c.ended(lifecycle.CloseClient)
+	if !c.sendingEnded {
+		c.recordClose(lifecycle.CloseClient)
 	}
-	c.shut = true
-	c.life.Gone()
+	c.sendingEnded = true
+	c.state.Gone()
 	c.withdraw()
 }
 
@@ -150,30 +150,32 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.req.Keep = false
-	if !c.shut && c.life.Phase() == lifecycle.Answering && c.front.opt.Wait > 0 {
+	if !c.sendingEnded && c.state.Phase() == lifecycle.Answering && c.front.opt.Wait > 0 {
 		c.halfClosed.Store(true)
 		return true
 	}
 	if c.nb.Unsent() == 0 {
 		return false
 	}
-	if c.life.Phase() == lifecycle.Idle { // between a response and a next request that won't come
-		c.finish(lifecycle.CloseClient)
+	if c.state.Phase() == lifecycle.Idle { // between a response and a next request that won't come
+		c.endSending(lifecycle.CloseClient)
 	}
-	return c.shut
+	return c.sendingEnded
 }
 
 // halfClosedWaiting reports whether the client has ended its sending side and its answer is still
 // owed.
-func (c *conn) forsaken() bool { return c.halfClosed.Load() && c.life.Phase() == lifecycle.Answering }
+func (c *conn) halfClosedWaiting() bool {
+	return c.halfClosed.Load() && c.state.Phase() == lifecycle.Answering
+}
 
 // closeGivenUp closes such a connection and withdraws its message once its client certainly no
 // longer waits. The time for which the request may have waited unread is not counted, because it is
 // only an upper bound.
-func (c *conn) forsake() {
+func (c *conn) closeGivenUp() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open != nil && time.Duration(front.Now()-c.since.Load()) > c.front.opt.Wait {
+	if c.pending != nil && time.Duration(front.Now()-c.lastActive.Load()) > c.front.opt.Wait {
 		c.withdraw()
 		c.close(lifecycle.CloseClient)
 	}
@@ -182,8 +184,8 @@
 // withdraw tells the core that nobody waits for the answer to the pending request any more. The
 // caller holds mu.
 func (c *conn) withdraw() {
-	if x := c.open; x != nil {
-		c.open = nil
+	if x := c.pending; x != nil {
+		c.pending = nil
 		c.front.opt.Door.Abandon(x.id, x)
 	}
 }
@@ -192,22 +194,22 @@
 func (c *conn) Data(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut {
-		if c.dropped += len(b); c.dropped > mostDropped {
+	if c.sendingEnded {
+		if c.discarded += len(b); c.discarded > maxDiscarded {
 			c.close(lifecycle.CloseFlood)
 		}
 		return
 	}
-	if c.life.Phase() == lifecycle.Answering { // the protocol allows one request at a time
+	if c.state.Phase() == lifecycle.Answering { // the protocol allows one request at a time
 		c.withdraw()
 		c.reject(http.StatusBadRequest, "a request before the answer to the last one")
 		return
 	}
 	now := front.Now()
-	if c.life.Begin() && c.asked.Load() {
-		c.begun.Store(now)
+	if c.state.Begin() && c.answeredOnce.Load() {
+		c.requestBegun.Store(now)
 	}
-	c.since.Store(now)
+	c.lastActive.Store(now)
 	rest, err := c.req.Feed(b, &c.req)
 	switch {
 	case errors.Is(err, http1.ErrTooLong):
@@ -222,7 +224,7 @@
 	case len(rest) > 0:
 		c.reject(http.StatusBadRequest, "a request before the answer to the last one")
 	default:
-		c.life.Whole(c.name, c.waitsUntil(time.Duration(now)))
+		c.state.Whole(c.name, c.clientDeadline(time.Duration(now)))
 		c.serve()
 	}
 }
@@ -233,60 +235,60 @@
 	switch {
 	case r.Path == "/up" && r.Method == http.MethodGet:
 		if f.opt.Ready() && !f.draining.Load() {
-			c.write(http.StatusOK, "", "ready\n")
+			c.writeResponse(http.StatusOK, "", "ready\n")
 		} else {
-			c.write(http.StatusServiceUnavailable, "", "not ready\n")
+			c.writeResponse(http.StatusServiceUnavailable, "", "not ready\n")
 		}
 	case r.Path != "/api":
-		c.say(http.StatusNotFound, "no such resource")
+		c.writeError(http.StatusNotFound, "no such resource")
 	case r.Method != http.MethodPost:
-		c.say(http.StatusMethodNotAllowed, "POST a message here")
+		c.writeError(http.StatusMethodNotAllowed, "POST a message here")
 	case !f.opt.Ready():
-		c.say(http.StatusServiceUnavailable, "not ready")
+		c.writeError(http.StatusServiceUnavailable, "not ready")
 	case f.finished.Load(): // covers requests completed after Finish visited this connection, and before
-		c.say(http.StatusServiceUnavailable, "the relay ends")
+		c.writeError(http.StatusServiceUnavailable, "the relay ends")
 	default:
-		m, err := c.message()
+		m, err := c.parseHandIn()
 		if err != nil {
-			c.say(http.StatusBadRequest, "%v", err)
+			c.writeError(http.StatusBadRequest, "%v", err)
 			return
 		}
 		if !f.opt.Dest(m.Partner) {
-			c.say(http.StatusServiceUnavailable, "dest: %d has no host", m.Partner)
+			c.writeError(http.StatusServiceUnavailable, "dest: %d has no host", m.Partner)
 			return
 		}
 		if !f.opt.Notices.Room() {
-			c.say(http.StatusServiceUnavailable, "notices are owed, and not taken")
+			c.writeError(http.StatusServiceUnavailable, "notices are owed, and not taken")
 			return
 		}
-		c.life.Name(m.Identity)
+		c.state.Name(m.Identity)
 		f.opt.Trace.Step(m.Identity, "read", c.name)
-		x := &exchange{conn: c, id: m.Identity}
+		x := &handIn{conn: c, id: m.Identity}
 		m.Reply = x
-		c.open = x
+		c.pending = x
 		if err := f.opt.Door.Submit(m); err != nil {
-			c.open = nil
-			c.say(http.StatusServiceUnavailable, "%v", err)
+			c.pending = nil
+			c.writeError(http.StatusServiceUnavailable, "%v", err)
 		}
 	}
 }
 
-func (c *conn) say(status int, format string, args ...any) {
+func (c *conn) writeError(status int, format string, args ...any) {
 	c.front.counts.Rejected.Add(1)
-	c.write(status, "", fmt.Sprintf(format, args...)+"\n")
+	c.writeResponse(status, "", fmt.Sprintf(format, args...)+"\n")
 }
 
 // reject answers input that is not a valid request and ends the connection. A request pending on
 // the connection gets no other answer. The caller holds mu.
 func (c *conn) reject(status int, format string, args ...any) {
-	c.req.Keep, c.bad = false, true
-	c.say(status, format, args...)
+	c.req.Keep, c.invalid = false, true
+	c.writeError(status, format, args...)
 }
 
 // writeResponse sends a response and prepares the connection for the next request. The caller holds
 // mu.
-func (c *conn) write(status int, field, body string) {
-	if c.shut || !c.life.MayAnswer(c.front.opt.Guard, time.Duration(front.Now())) {
+func (c *conn) writeResponse(status int, field, body string) {
+	if c.sendingEnded || !c.state.MayAnswer(c.front.opt.Guard, time.Duration(front.Now())) {
 		return
 	}
 	keep := c.req.Keep && !c.front.draining.Load()
@@ -300,25 +302,25 @@
 	}
 	b = append(append(b, "\r\n\r\n"...), body...)
 	_, err := c.nb.Write(b)
-	c.front.opt.Trace.Step(c.life.ID(), "response", strconv.Itoa(status))
+	c.front.opt.Trace.Step(c.state.ID(), "response", strconv.Itoa(status))
 	switch {
 	case err != nil: // the engine has closed the connection
-		c.shut = true
-		c.ended(lifecycle.CloseError)
+		c.sendingEnded = true
+		c.recordClose(lifecycle.CloseError)
 		c.front.opt.Trace.Step(c.name, "error", err.Error())
 		return
 	case !keep:
 		why := lifecycle.CloseAnswer
-		if c.bad {
+		if c.invalid {
 			why = lifecycle.CloseBadData
 		} else if c.front.draining.Load() {
 			why = lifecycle.CloseDrain
 		}
-		c.finish(why)
+		c.endSending(why)
 		return
 	}
 	c.req.Reset(http1.Limits{Header: c.front.opt.Header, Body: c.front.opt.Body})
 	c.req.Body = nil
-	c.asked.Store(true)
-	c.since.Store(front.Now())
+	c.answeredOnce.Store(true)
+	c.lastActive.Store(front.Now())
 }
--- a/internal/hookfront/ending_test.go
+++ b/internal/hookfront/ending_test.go
@@ -17,7 +17,7 @@
 )
 
 // startWithoutTimeouts returns a front whose time limits don't expire within a test.
-func patient(t *testing.T) (*Front, *door) {
+func startWithoutTimeouts(t *testing.T) (*Front, *fakeCore) {
 	t.Helper()
 	return startWith(t, func(o *Options) {
 		o.Connections, o.Kept = 10, 10
@@ -26,7 +26,7 @@
 }
 
 // onlyConn returns the only connection of a front.
-func only(t *testing.T, f *Front) *conn {
+func onlyConn(t *testing.T, f *Front) *conn {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,7 +40,7 @@
 }
 
 // readToEnd reads to the end of a connection and reports an error if it is reset instead.
-func drained(t *testing.T, c net.Conn, r io.Reader) string {
+func readToEnd(t *testing.T, c net.Conn, r io.Reader) string {
 	t.Helper()
 	b, err := io.ReadAll(r)
 	if err != nil {
@@ -52,22 +52,22 @@
 // Guards against a reset, or a hand-in, for a request that crosses the relay's close of an idle
 // connection. The client must read the end of the connection, which tells it that its request was
 // not read.
-func TestRequestAfterTheShutIsDropped(t *testing.T) {
-	f, d := patient(t)
+func TestRequestAfterCloseIsDiscarded(t *testing.T) {
+	f, d := startWithoutTimeouts(t)
 	c := dial(t, f)
-	if got := ask(t, c, hand("first", "charge", "7", "480", "", "")); got != 202 {
+	if got := ask(t, c, handInText("first", "charge", "7", "480", "", "")); got != 202 {
 		t.Fatal(got)
 	}
-	<-d.came
-	if !only(t, f).end(lifecycle.CloseIdle) {
+	<-d.events
+	if !onlyConn(t, f).tryEnd(lifecycle.CloseIdle) {
 		t.Fatal("the relay did not end its side")
 	}
 	for i := range 3 { // a second write to a closed socket would fail, and the read after it
-		if _, err := io.WriteString(c, hand(fmt.Sprint("crosses", i), "charge", "7", "480", "", "")); err != nil {
+		if _, err := io.WriteString(c, handInText(fmt.Sprint("crosses", i), "charge", "7", "480", "", "")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := drained(t, c, c); got != "" {
+	if got := readToEnd(t, c, c); got != "" {
 		t.Errorf("%q after the relay ended its side", got)
 	}
 	_ = c.Close()
@@ -83,21 +83,21 @@
 
 // Guards against losing an answer that ends its connection because the client has sent more than
 // the relay has read by then.
-func TestAnswerBeforeUnreadBytes(t *testing.T) {
+func TestAnswerSurvivesUnreadBytes(t *testing.T) {
 	for name, draining := range map[string]bool{"a body over the limit": false, "a request while draining": true} {
 		t.Run(name, func(t *testing.T) {
-			f, d := patient(t)
+			f, d := startWithoutTimeouts(t)
 			c := dial(t, f)
-			text, want := strings.Replace(hand("x", "notice", "7", "480", "", ""), "Content-Length: 0", "Content-Length: 900000", 1), 413
+			text, want := strings.Replace(handInText("x", "notice", "7", "480", "", ""), "Content-Length: 0", "Content-Length: 900000", 1), 413
 			if draining {
 				f.Drain()
-				text, want = hand("x", "notice", "7", "480", "", ""), 202
+				text, want = handInText("x", "notice", "7", "480", "", ""), 202
 			}
 			if _, err := io.WriteString(c, text); err != nil {
 				t.Fatal(err)
 			}
 			if draining {
-				<-d.came // the answer has been written; what follows crosses the close
+				<-d.events // the answer has been written; what follows crosses the close
 			}
 			for range 30 {
 				if _, err := c.Write(make([]byte, 30000)); err != nil {
@@ -110,7 +110,7 @@
 				t.Fatalf("%v %v, want %d and Connection: close", a, err, want)
 			}
 			_, _ = io.Copy(io.Discard, a.Body)
-			drained(t, c, r)
+			readToEnd(t, c, r)
 		})
 	}
 }
@@ -120,7 +120,7 @@
 func TestLingeringIsBounded(t *testing.T) {
 	f, _ := start(t, 10)
 	c := dial(t, f)
-	_, _ = io.WriteString(c, strings.Replace(hand("x", "notice", "7", "480", "", ""), "Content-Length: 0", "Content-Length: 60000000", 1))
+	_, _ = io.WriteString(c, strings.Replace(handInText("x", "notice", "7", "480", "", ""), "Content-Length: 0", "Content-Length: 60000000", 1))
 	var err error
 	for n := 0; err == nil; n += 1 << 16 {
 		if _, err = c.Write(make([]byte, 1<<16)); n > 60<<20 {
@@ -135,14 +135,14 @@
 		time.Sleep(time.Millisecond)
 	}
 	var many []net.Conn
-	for range 5 * lingering {
+	for range 5 * maxLingering {
 		c := dial(t, f)
 		many = append(many, c)
 		if got := ask(t, c, "GET /none HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"); got != 404 {
 			t.Fatal(got)
 		}
 	}
-	if n := f.Connections(); n > lingering+1 {
+	if n := f.Connections(); n > maxLingering+1 {
 		t.Errorf("%d of %d connections are still open", n, len(many))
 	}
 }
@@ -150,20 +150,20 @@
 // Guards against closing a connection at shutdown that has just been established, without an answer
 // to its request. An idle one is closed.
 func TestLeaveKeepsNewConnections(t *testing.T) {
-	f, d := patient(t)
+	f, d := startWithoutTimeouts(t)
 	rests, fresh := dial(t, f), dial(t, f)
-	if got := ask(t, rests, hand("m1", "notice", "7", "480", "", "")); got != 202 {
+	if got := ask(t, rests, handInText("m1", "notice", "7", "480", "", "")); got != 202 {
 		t.Fatal(got)
 	}
-	<-d.came
+	<-d.events
 	for f.Connections() < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	f.Leave()
-	if got := drained(t, rests, rests); got != "" {
+	if got := readToEnd(t, rests, rests); got != "" {
 		t.Errorf("%q on the idle connection", got)
 	}
-	if got := ask(t, fresh, hand("m2", "notice", "7", "480", "", "")); got != 202 {
+	if got := ask(t, fresh, handInText("m2", "notice", "7", "480", "", "")); got != 202 {
 		t.Errorf("the request on the new connection got %d", got)
 	}
 }
@@ -171,14 +171,14 @@
 // Guards against hand-ins after Finish, and against hand-ins before it that get no answer: an
 // incomplete request gets 503, a pending one the core's answer.
 func TestFinishAnswersAll(t *testing.T) {
-	f, d := patient(t)
+	f, d := startWithoutTimeouts(t)
 	d.hold = true
 	open, half, late := dial(t, f), dial(t, f), dial(t, f)
-	if _, err := io.WriteString(open, hand("open", "charge", "7", "480", "", "")); err != nil {
+	if _, err := io.WriteString(open, handInText("open", "charge", "7", "480", "", "")); err != nil {
 		t.Fatal(err)
 	}
-	<-d.came
-	text := hand("half", "charge", "7", "480", "", "body")
+	<-d.events
+	text := handInText("half", "charge", "7", "480", "", "body")
 	if _, err := io.WriteString(half, text[:len(text)-2]); err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +186,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
-			if c.life.Phase() == lifecycle.Reading {
+			if c.state.Phase() == lifecycle.Reading {
 				n++
 			}
 		}
@@ -199,8 +199,8 @@
 	if r, err := http.ReadResponse(bufio.NewReader(half), nil); err != nil || r.StatusCode != 503 {
 		t.Errorf("incomplete request: %v %v, want 503", r, err)
 	}
-	_, _ = io.WriteString(late, hand("late", "charge", "7", "480", "", ""))
-	if got := drained(t, late, late); got != "" && !strings.HasPrefix(got, "HTTP/1.1 503") {
+	_, _ = io.WriteString(late, handInText("late", "charge", "7", "480", "", ""))
+	if got := readToEnd(t, late, late); got != "" && !strings.HasPrefix(got, "HTTP/1.1 503") {
 		t.Errorf("request after Finish: %q", got)
 	}
 	d.mu.Lock()
@@ -219,8 +219,8 @@
 // Guards against closing slow requests that make progress, and against requests that stop or never
 // end and are kept open or closed without a response.
 func TestSlowWriters(t *testing.T) {
-	f, d := patient(t)
-	text := hand("slow", "charge", "7", "480", "Cookie: c=d\r\n", "some body")
+	f, d := startWithoutTimeouts(t)
+	text := handInText("slow", "charge", "7", "480", "Cookie: c=d\r\n", "some body")
 	c := dial(t, f)
 	for i := range len(text) - 1 {
 		if _, err := io.WriteString(c, text[i:i+1]); err != nil {
@@ -230,7 +230,7 @@
 	if got := ask(t, c, text[len(text)-1:]); got != 202 {
 		t.Errorf("request sent byte by byte: %d", got)
 	}
-	<-d.came
+	<-d.events
 	f, _ = start(t, 10)
 	if got := ask(t, dial(t, f), text[:len(text)-1]); got != 408 {
 		t.Errorf("request without its last byte: %d, want 408", got)
@@ -252,8 +252,8 @@
 }
 
 // Guards against rejecting a hand-in in any of the forms that HTTP allows.
-func TestForms(t *testing.T) {
-	good := hand("ID", "charge", "7", "480", "", "body")
+func TestHandInForms(t *testing.T) {
+	good := handInText("ID", "charge", "7", "480", "", "body")
 	for name, text := range map[string]string{
 		"an empty line before it": "\r\n" + good,
 		"the absolute form":       strings.Replace(good, "POST /api", "POST http://origin.svc/api", 1),
@@ -266,7 +266,7 @@
 	} {
 		for pieces, size := range map[string]int{"whole": len(text), "in pieces": 7} {
 			t.Run(name+" "+pieces, func(t *testing.T) {
-				f, d := patient(t)
+				f, d := startWithoutTimeouts(t)
 				c := dial(t, f)
 				for rest := strings.Replace(text, "ID", "id1", 1); rest != ""; rest = rest[min(size, len(rest)):] {
 					if _, err := io.WriteString(c, rest[:min(size, len(rest))]); err != nil {
@@ -281,7 +281,7 @@
 				if err != nil || a.StatusCode != 202 {
 					t.Fatalf("%v %v", a, err)
 				}
-				<-d.came
+				<-d.events
 				if m := d.taken[0]; m.Identity != "id1" || m.Key != "key1" || m.Partner != 7 || string(m.Body) != "body" {
 					t.Errorf("%+v", m)
 				}
@@ -292,13 +292,13 @@
 
 // Guards against delayed answers: small writes must be sent at once.
 func TestNoDelay(t *testing.T) {
-	f, d := patient(t)
+	f, d := startWithoutTimeouts(t)
 	c := dial(t, f)
-	if got := ask(t, c, hand("m", "notice", "7", "480", "", "")); got != 202 {
+	if got := ask(t, c, handInText("m", "notice", "7", "480", "", "")); got != 202 {
 		t.Fatal(got)
 	}
-	<-d.came
-	v, err := syscall.GetsockoptInt(only(t, f).nb.Descriptor(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+	<-d.events
+	v, err := syscall.GetsockoptInt(onlyConn(t, f).nb.Descriptor(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 	if err != nil || v == 0 {
 		t.Errorf("TCP_NODELAY is %d (%v)", v, errors.Unwrap(err))
 	}
@@ -316,15 +316,15 @@
 		"Idempotency-Key: " + strings.Repeat("k", 257) + "\r\n": "400",
 		"Idempotency-Key: a\tb\r\n":                             "400",
 	} {
-		f, d := patient(t)
-		got := ask(t, dial(t, f), hand("m", "charge", "7", "480", field, "body"))
+		f, d := startWithoutTimeouts(t)
+		got := ask(t, dial(t, f), handInText("m", "charge", "7", "480", field, "body"))
 		if want == "400" {
 			if got != 400 || len(d.taken) != 0 {
 				t.Errorf("%.40q: %d", field, got)
 			}
 			continue
 		}
-		if <-d.came; got != 202 || string(d.taken[0].Head) != want {
+		if <-d.events; got != 202 || string(d.taken[0].Head) != want {
 			t.Errorf("%q: %d, %q is passed on, want %q", field, got, d.taken[0].Head, want)
 		}
 	}
--- a/internal/hookfront/exchange.go
+++ b/internal/hookfront/exchange.go
@@ -12,7 +12,7 @@
 )
 
 // handIn is one hand-in, to which the core reports what becomes of its message.
-type exchange struct {
+type handIn struct {
 	conn    *conn // nil for a message from before a restart
 	front   *Front
 	id      string
@@ -22,11 +22,11 @@
 
 // Owe returns the core.Reply of a message from before a restart.
 func (f *Front) Owe(identity string) core.Reply {
-	return &exchange{front: f, id: identity, decided: true}
+	return &handIn{front: f, id: identity, decided: true}
 }
 
 // Taken receives the core's decision whether the message was accepted.
-func (x *exchange) Taken(err error) {
+func (x *handIn) Taken(err error) {
 	if err == nil {
 		return
 	}
@@ -34,22 +34,22 @@
 	if errors.Is(err, core.ErrKnown) {
 		status = http.StatusConflict
 	}
-	x.respond(func(c *conn) { c.say(status, "%v", err) })
+	x.ifWaiting(func(c *conn) { c.writeError(status, "%v", err) })
 }
 
 // Answer receives the final answer. Within the step that accepts the message it becomes the
 // response to the client; later it becomes a notice.
-func (x *exchange) Answer(a ledger.Answer) {
+func (x *handIn) Answer(a ledger.Answer) {
 	if !x.decided {
 		x.answer = a
 		return
 	}
 	if a.Verdict == ledger.Refused || a.Verdict == ledger.Failed {
-		x.of().opt.Notices.Add(x.id, a)
+		x.owner().opt.Notices.Add(x.id, a)
 	}
 }
 
-func (x *exchange) of() *Front {
+func (x *handIn) owner() *Front {
 	if x.conn != nil {
 		return x.conn.front
 	}
@@ -57,22 +57,22 @@
 }
 
 // Decided sends the response when the step that accepted the message is over.
-func (x *exchange) Decided() {
+func (x *handIn) Decided() {
 	x.decided = true
-	f := x.of()
+	f := x.owner()
 	switch x.answer.Verdict {
 	case ledger.Refused:
 		f.counts.Refused.Add(1)
-		x.respond(func(c *conn) { c.write(http.StatusTooManyRequests, retryAfter(x.answer.After), "") })
+		x.ifWaiting(func(c *conn) { c.writeResponse(http.StatusTooManyRequests, retryAfter(x.answer.After), "") })
 	case ledger.Failed:
 		f.counts.Failed.Add(1)
-		x.respond(func(c *conn) { c.write(http.StatusInternalServerError, "", "") })
+		x.ifWaiting(func(c *conn) { c.writeResponse(http.StatusInternalServerError, "", "") })
 	case ledger.Abandoned:
 		return
 	default:
 		f.counts.Taken.Add(1)
-		x.respond(func(c *conn) {
-			c.write(http.StatusAccepted, "", "")
+		x.ifWaiting(func(c *conn) {
+			c.writeResponse(http.StatusAccepted, "", "")
 		})
 		return
 	}
@@ -84,15 +84,15 @@
 
 // Undecided sends the response when a record of the decision cannot be written in time, or before
 // the process ends. held states whether the message survives a restart.
-func (x *exchange) Undecided(held bool) {
+func (x *handIn) Undecided(held bool) {
 	x.decided = true
-	x.respond(func(c *conn) {
+	x.ifWaiting(func(c *conn) {
 		if held {
-			x.of().counts.Taken.Add(1)
-			c.write(http.StatusAccepted, "", "")
+			x.owner().counts.Taken.Add(1)
+			c.writeResponse(http.StatusAccepted, "", "")
 			return
 		}
-		c.say(http.StatusServiceUnavailable, "nothing can be recorded")
+		c.writeError(http.StatusServiceUnavailable, "nothing can be recorded")
 	})
 }
 
@@ -105,12 +105,12 @@
 }
 
 // ifWaiting calls do if the client still waits for the response.
-func (x *exchange) respond(do func(*conn)) {
+func (x *handIn) ifWaiting(do func(*conn)) {
 	c := x.conn
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open == x {
-		c.open = nil
+	if c.pending == x {
+		c.pending = nil
 		do(c)
 	}
 }
--- a/internal/hookfront/front.go
+++ b/internal/hookfront/front.go
@@ -68,14 +68,14 @@
 
 // Front serves the clients of the platform.
 type Front struct {
-	opt      Options
-	sockets  *front.Listeners
-	stop     chan struct{}
-	done     sync.WaitGroup
-	draining atomic.Bool
-	left     atomic.Bool
-	finished atomic.Bool
-	numbers  atomic.Uint64
+	opt            Options
+	sockets        *front.Listeners
+	stop           chan struct{}
+	goroutines     sync.WaitGroup
+	draining       atomic.Bool
+	listenerClosed atomic.Bool
+	finished       atomic.Bool
+	lastNumber     atomic.Uint64
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
@@ -99,8 +99,8 @@
 	if err != nil {
 		return nil, err
 	}
-	f.done.Add(1)
-	go f.janitor()
+	f.goroutines.Add(1)
+	go f.sweep()
 	return f, nil
 }
 
@@ -125,15 +125,15 @@
 func (f *Front) Leave() {
 	f.Drain()
 	f.sockets.Refuse()
-	f.left.Store(true)
-	f.shutIdle(lifecycle.CloseDrain, func(c *conn) bool { return c.overdue(time.Now()) })
+	f.listenerClosed.Store(true)
+	f.endMatching(lifecycle.CloseDrain, func(c *conn) bool { return c.timedOut(time.Now()) })
 }
 
 // Finish accepts no further messages: an incomplete request is answered with 503. Messages that
 // have been handed in are still answered.
 func (f *Front) Finish() {
 	f.finished.Store(true)
-	f.shutIdle(lifecycle.CloseDrain, func(c *conn) bool { return c.life.Phase() != lifecycle.Closing })
+	f.endMatching(lifecycle.CloseDrain, func(c *conn) bool { return c.state.Phase() != lifecycle.Closing })
 }
 
 // Quiet reports whether no client is owed a response or a part of one.
@@ -141,7 +141,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if c.life.Phase() == lifecycle.Answering || c.nb.Unsent() > 0 {
+		if c.state.Phase() == lifecycle.Answering || c.nb.Unsent() > 0 {
 			return false
 		}
 	}
@@ -152,22 +152,22 @@
 func (f *Front) Close() {
 	f.mu.Lock()
 	for c := range f.conns {
-		_ = c.life.MayClose(f.opt.Guard) // counts each connection that is closed without its response
+		_ = c.state.MayClose(f.opt.Guard) // counts each connection that is closed without its response
 	}
 	f.mu.Unlock()
 	close(f.stop)
-	f.done.Wait()
+	f.goroutines.Wait()
 	f.sockets.Close()
 }
 
-func (f *Front) shutIdle(why lifecycle.Reason, pick func(*conn) bool) {
-	for _, c := range f.pick(pick) {
-		c.end(why)
+func (f *Front) endMatching(why lifecycle.Reason, pick func(*conn) bool) {
+	for _, c := range f.matching(pick) {
+		c.tryEnd(why)
 	}
 }
 
 // matching returns the connections for which test is true.
-func (f *Front) pick(test func(*conn) bool) (out []*conn) {
+func (f *Front) matching(test func(*conn) bool) (out []*conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -179,95 +179,95 @@
 }
 
 // remove drops a connection from the set of open ones.
-func (f *Front) gone(c *conn) {
+func (f *Front) remove(c *conn) {
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
 }
 
 // sweepInterval is the interval at which connections are checked for time-outs.
-const look = 100 * time.Millisecond
+const sweepInterval = 100 * time.Millisecond
 
-func (f *Front) janitor() {
-	defer f.done.Done()
-	tick := time.NewTicker(look)
+func (f *Front) sweep() {
+	defer f.goroutines.Done()
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-f.stop:
 			return
 		case now := <-tick.C:
-			f.shutIdle(lifecycle.CloseIdle, func(c *conn) bool { return c.overdue(now) })
-			for _, c := range f.pick((*conn).forsaken) {
-				c.forsake()
+			f.endMatching(lifecycle.CloseIdle, func(c *conn) bool { return c.timedOut(now) })
+			for _, c := range f.matching((*conn).halfClosedWaiting) {
+				c.closeGivenUp()
 			}
 		}
 	}
 }
 
-// open returns the handler for a new connection and makes room for it. At the limit a connection
+// open returns the handler of a new connection and makes room for it. At the limit a connection
 // without a pending request is closed; with too many connections between two requests, the one of
 // them that has been idle longest. Clients have a limit on their connections as well, and keep
 // those they have used open until the relay closes them.
 func (f *Front) open(nb *engine.Conn, waited time.Duration) front.Conn {
-	c := &conn{front: f, nb: nb, waited: waited, name: strconv.FormatUint(f.numbers.Add(1), 36)}
-	c.since.Store(front.Now())
-	c.begun.Store(c.since.Load())
+	c := &conn{front: f, nb: nb, queueTime: waited, name: strconv.FormatUint(f.lastNumber.Add(1), 36)}
+	c.lastActive.Store(front.Now())
+	c.requestBegun.Store(c.lastActive.Load())
 	c.req.Reset(http1.Limits{Header: f.opt.Header, Body: f.opt.Body})
 	f.mu.Lock()
-	var out, rests, lingers *conn
-	resting, going, owed, now := 0, 0, 0, time.Now()
+	var evict, longestIdle, longestLingering *conn
+	idle, closing, unsent, now := 0, 0, 0, time.Now()
 	for o := range f.conns {
-		phase := o.life.Phase()
-		if phase == lifecycle.Closing || o.leaving.Load() {
-			going++
+		phase := o.state.Phase()
+		if phase == lifecycle.Closing || o.evicting.Load() {
+			closing++
 			switch {
 			case phase != lifecycle.Closing:
 			case o.nb.Unsent() > 0: // its response is not completely written yet
-				owed++
-			case lingers == nil || o.since.Load() < lingers.since.Load():
-				lingers = o
+				unsent++
+			case longestLingering == nil || o.lastActive.Load() < longestLingering.lastActive.Load():
+				longestLingering = o
 			}
 			continue
 		}
-		if phase == lifecycle.Idle && o.asked.Load() {
-			if resting++; rests == nil || o.since.Load() < rests.since.Load() {
-				rests = o
+		if phase == lifecycle.Idle && o.answeredOnce.Load() {
+			if idle++; longestIdle == nil || o.lastActive.Load() < longestIdle.lastActive.Load() {
+				longestIdle = o
 			}
 		}
-		if phase != lifecycle.Answering && (out == nil || o.before(out, now)) {
-			out = o
+		if phase != lifecycle.Answering && (evict == nil || o.evictBefore(evict, now)) {
+			evict = o
 		}
 	}
 	switch {
-	case owed > f.opt.Lingering:
+	case unsent > f.opt.Lingering:
 		f.mu.Unlock()
 		f.counts.Closed.Add(1)
 		return nil
-	case len(f.conns)-going < f.opt.Connections && resting > f.opt.Kept:
-		out = rests
-	case len(f.conns)-going < f.opt.Connections:
-		out = nil
-	case out == nil:
+	case len(f.conns)-closing < f.opt.Connections && idle > f.opt.Kept:
+		evict = longestIdle
+	case len(f.conns)-closing < f.opt.Connections:
+		evict = nil
+	case evict == nil:
 		f.mu.Unlock()
 		f.counts.Closed.Add(1)
 		return nil
 	}
-	if out != nil {
-		out.leaving.Store(true)
+	if evict != nil {
+		evict.evicting.Store(true)
 	}
 	f.conns[c] = struct{}{}
-	if going < f.opt.Lingering {
-		lingers = nil
+	if closing < f.opt.Lingering {
+		longestLingering = nil
 	}
 	f.mu.Unlock()
-	if lingers != nil {
-		lingers.end(lifecycle.CloseEvicted)
+	if longestLingering != nil {
+		longestLingering.tryEnd(lifecycle.CloseEvicted)
 	}
-	if out != nil {
+	if evict != nil {
 		f.counts.Evicted.Add(1)
-		if !out.end(lifecycle.CloseEvicted) {
-			out.leaving.Store(false)
+		if !evict.tryEnd(lifecycle.CloseEvicted) {
+			evict.evicting.Store(false)
 		}
 	}
 	return c
--- a/internal/hookfront/front_test.go
+++ b/internal/hookfront/front_test.go
@@ -18,7 +18,7 @@
 
 // fakeCore is a core for tests: it stores what is handed in, and answers only when the test says
 // so.
-type door struct {
+type fakeCore struct {
 	mu        sync.Mutex
 	taken     []*core.Message
 	abandoned []string
@@ -26,12 +26,12 @@
 	handed    []string
 	notices   []string
 	full      bool
-	came      chan struct{}
+	events    chan struct{}
 	verdict   ledger.Answer // given in the step that accepts a message
 	hold      bool          // no step is made
 }
 
-func (d *door) Submit(m *core.Message) error {
+func (d *fakeCore) Submit(m *core.Message) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.taken = append(d.taken, m)
@@ -43,39 +43,39 @@
 			}
 			m.Reply.(core.Decider).Decided()
 		}
-		d.came <- struct{}{}
+		d.events <- struct{}{}
 	}()
 	return nil
 }
 
-func (d *door) put(list *[]string, s string) {
+func (d *fakeCore) record(list *[]string, s string) {
 	d.mu.Lock()
 	*list = append(*list, s)
 	d.mu.Unlock()
-	d.came <- struct{}{}
+	d.events <- struct{}{}
 }
-func (d *door) Abandon(id string, _ core.Reply) { d.put(&d.abandoned, id) }
-func (d *door) Settled(id string)               { d.put(&d.settled, id) }
-func (d *door) Handed(id string)                { d.put(&d.handed, id) }
-func (d *door) Room() bool                      { return !d.full }
-func (d *door) Add(id string, a ledger.Answer)  { d.put(&d.notices, id+" "+a.Verdict.String()) }
+func (d *fakeCore) Abandon(id string, _ core.Reply) { d.record(&d.abandoned, id) }
+func (d *fakeCore) Settled(id string)               { d.record(&d.settled, id) }
+func (d *fakeCore) Handed(id string)                { d.record(&d.handed, id) }
+func (d *fakeCore) Room() bool                      { return !d.full }
+func (d *fakeCore) Add(id string, a ledger.Answer)  { d.record(&d.notices, id+" "+a.Verdict.String()) }
 
-// lingering is the limit on connections on which the relay has ended its side and the client has
+// maxLingering is the limit on connections on which the relay has ended its side and the client has
 // not.
-const lingering = 3
+const maxLingering = 3
 
-func start(t *testing.T, most int, kept ...int) (*Front, *door) {
+func start(t *testing.T, maxConns int, kept ...int) (*Front, *fakeCore) {
 	t.Helper()
-	return startWith(t, func(o *Options) { o.Connections, o.Kept = most, append(kept, most)[0] })
+	return startWith(t, func(o *Options) { o.Connections, o.Kept = maxConns, append(kept, maxConns)[0] })
 }
 
-func startWith(t *testing.T, change func(*Options)) (*Front, *door) {
+func startWith(t *testing.T, change func(*Options)) (*Front, *fakeCore) {
 	t.Helper()
-	d := &door{came: make(chan struct{}, 1000)}
+	d := &fakeCore{events: make(chan struct{}, 1000)}
 	o := Options{Listen: "127.0.0.1:0", Lanes: map[string]int{"notice": 0, "charge": 1}, Ordered: []bool{false, true},
 		Dest: func(n int) bool { return n < 10 }, Ready: func() bool { return true }, Header: 16 << 10, Body: 64 << 10,
 		Request: 500 * time.Millisecond, Whole: time.Second, Idle: 500 * time.Millisecond, Linger: 200 * time.Millisecond,
-		Lingering: lingering, WriteBuffer: 64 << 10, Door: d, Keeper: d, Notices: d, Logf: t.Logf}
+		Lingering: maxLingering, WriteBuffer: 64 << 10, Door: d, Keeper: d, Notices: d, Logf: t.Logf}
 	change(&o)
 	f, err := New(o)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return c
 }
 
-func hand(id, lane, dest, left, more, body string) string {
+func handInText(id, lane, dest, left, more, body string) string {
 	return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nCookie: a=b; about=key1\r\n"+
 		"X-Remaining-Ms: %s\r\nX-Addressing: dest=%s\r\n%sContent-Length: %d\r\n\r\n%s", id, lane, left, dest, more, len(body), body)
 }
@@ -124,7 +124,7 @@
 		d.verdict = ledger.Answer{Verdict: verdict}
 		c := dial(t, f)
 		for i := range 2 { // the second request uses the same connection
-			if got := ask(t, c, hand(fmt.Sprint("m", i), "charge", "7", "480", "", "body")); got != want {
+			if got := ask(t, c, handInText(fmt.Sprint("m", i), "charge", "7", "480", "", "body")); got != want {
 				t.Fatalf("%v within the step: %d, want %d", verdict, got, want)
 			}
 		}
@@ -132,8 +132,8 @@
 		if m.Identity != "m0" || m.Class != 1 || m.Partner != 7 || m.Key != "key1" || m.Left != 480*time.Millisecond || string(m.Body) != "body" {
 			t.Errorf("%+v", m)
 		}
-		<-d.came
-		<-d.came
+		<-d.events
+		<-d.events
 		if verdict != 0 {
 			continue
 		}
@@ -148,7 +148,7 @@
 // Guards against accepting invalid input: each must get an error status or a close, and nothing may
 // be handed in.
 func TestBadClients(t *testing.T) {
-	good := hand("x1", "notice", "7", "480", "", "body")
+	good := handInText("x1", "notice", "7", "480", "", "body")
 	long := strings.Repeat("x", 4<<20)
 	for name, text := range map[string]string{
 		"noise":              "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
@@ -161,13 +161,13 @@
 		"two lengths":        strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5", 1),
 		"length and chunked": strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked", 1),
 		"odd chunked":        strings.Replace(good, "Content-Length: 4", "Transfer-Encoding: xchunked", 1),
-		"no such class":      hand("x1", "none", "7", "480", "", "body"),
-		"no such dest":       hand("x1", "notice", "70", "480", "", "body"),
-		"dest is no number":  hand("x1", "notice", "seven", "480", "", "body"),
-		"dest below 0":       hand("x1", "notice", "-7", "480", "", "body"),
-		"time is no number":  hand("x1", "notice", "7", "soon", "", "body"),
-		"time below 0":       hand("x1", "notice", "7", "-480", "", "body"),
-		"time without end":   hand("x1", "notice", "7", "99999999999999999999999", "", "body"),
+		"no such class":      handInText("x1", "none", "7", "480", "", "body"),
+		"no such dest":       handInText("x1", "notice", "70", "480", "", "body"),
+		"dest is no number":  handInText("x1", "notice", "seven", "480", "", "body"),
+		"dest below 0":       handInText("x1", "notice", "-7", "480", "", "body"),
+		"time is no number":  handInText("x1", "notice", "7", "soon", "", "body"),
+		"time below 0":       handInText("x1", "notice", "7", "-480", "", "body"),
+		"time without end":   handInText("x1", "notice", "7", "99999999999999999999999", "", "body"),
 		"no id":              strings.Replace(good, "X-Txn: x1\r\n", "", 1),
 		"empty id":           strings.Replace(good, "X-Txn: x1", "X-Txn: ", 1),
 		"two ids":            strings.Replace(good, "X-Txn: x1", "X-Txn: x1\r\nX-Txn: x2", 1),
@@ -202,12 +202,12 @@
 	f, d := start(t, 10)
 	d.hold = true
 	c := dial(t, f)
-	if _, err := io.WriteString(c, hand("gone", "notice", "7", "480", "", "")); err != nil {
+	if _, err := io.WriteString(c, handInText("gone", "notice", "7", "480", "", "")); err != nil {
 		t.Fatal(err)
 	}
-	<-d.came
+	<-d.events
 	_ = c.Close()
-	<-d.came
+	<-d.events
 	d.mu.Lock()
 	if len(d.abandoned) != 1 || d.abandoned[0] != "gone" {
 		t.Errorf("abandoned %v", d.abandoned)
@@ -215,10 +215,10 @@
 	d.hold = false
 	d.mu.Unlock()
 	c = dial(t, f)
-	if got := ask(t, c, hand("stays", "notice", "7", "480", "", "")); got != 202 {
+	if got := ask(t, c, handInText("stays", "notice", "7", "480", "", "")); got != 202 {
 		t.Fatal(got)
 	}
-	<-d.came
+	<-d.events
 	_ = c.Close()
 	for f.Connections() > 0 {
 		time.Sleep(time.Millisecond)
@@ -232,7 +232,7 @@
 // and waits for the answer, and against holding the message of a client that has gone for good.
 func TestHalfClosedClientIsAnsweredWhileItWaits(t *testing.T) {
 	f, d := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Wait = 10, 10, 300*time.Millisecond })
-	for _, text := range []string{hand("ends", "notice", "7", "480", "", ""), "GET /up HTTP/1.1\r\nHost: r\r\n\r\n"} {
+	for _, text := range []string{handInText("ends", "notice", "7", "480", "", ""), "GET /up HTTP/1.1\r\nHost: r\r\n\r\n"} {
 		c := dial(t, f)
 		if _, err := io.WriteString(c, text); err != nil {
 			t.Fatal(err)
@@ -240,21 +240,21 @@
 		if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-		if got := drained(t, c, c); !strings.HasPrefix(got, "HTTP/1.1 20") {
+		if got := readToEnd(t, c, c); !strings.HasPrefix(got, "HTTP/1.1 20") {
 			t.Errorf("%q", got)
 		}
 	}
-	<-d.came
+	<-d.events
 	d.mu.Lock()
 	d.hold = true
 	d.mu.Unlock()
 	c := dial(t, f)
-	if _, err := io.WriteString(c, hand("leaves", "notice", "7", "480", "", "")); err != nil {
+	if _, err := io.WriteString(c, handInText("leaves", "notice", "7", "480", "", "")); err != nil {
 		t.Fatal(err)
 	}
-	<-d.came
+	<-d.events
 	_ = c.Close()
-	<-d.came
+	<-d.events
 	if d.mu.Lock(); fmt.Sprint(d.abandoned) != "[leaves]" {
 		t.Errorf("abandoned %v", d.abandoned)
 	}
@@ -267,28 +267,28 @@
 // Guards against closing a request unanswered because its connection may have waited in the
 // listener's queue for longer than its client waits: that time is only an upper bound, and the
 // client has just sent.
-func TestHalfClosedClientOfALateConnectionIsAnswered(t *testing.T) {
+func TestHalfClosedClientOfQueuedConnectionIsAnswered(t *testing.T) {
 	f, d := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Wait, o.Request = 10, 10, time.Minute, 2*time.Minute })
 	d.hold = true
 	c := dial(t, f)
 	for f.Connections() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	late := only(t, f)
+	late := onlyConn(t, f)
 	late.mu.Lock()
-	late.waited = time.Hour
+	late.queueTime = time.Hour
 	late.mu.Unlock()
-	if _, err := io.WriteString(c, hand("late", "notice", "7", "480", "", "")); err != nil {
+	if _, err := io.WriteString(c, handInText("late", "notice", "7", "480", "", "")); err != nil {
 		t.Fatal(err)
 	}
-	<-d.came
+	<-d.events
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	for !late.halfClosed.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	late.forsake()
+	late.closeGivenUp()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.abandoned) > 0 {
@@ -305,41 +305,41 @@
 		t.Fatal(got)
 	}
 	const large = 16 << 20 // more than a socket takes at once
-	if _, err := only(t, f).nb.Write(make([]byte, large)); err != nil {
+	if _, err := onlyConn(t, f).nb.Write(make([]byte, large)); err != nil {
 		t.Fatal(err)
 	}
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(50 * time.Millisecond) // time for the relay to read the end
-	if got := drained(t, c, c); len(got) < large {
+	if got := readToEnd(t, c, c); len(got) < large {
 		t.Errorf("%d of %d bytes were read", len(got), large)
 	}
 }
 
 // Guards against silent connections that keep other clients out: the ones idle for longest are
 // closed first, and never one with a pending request.
-func TestGreedyClients(t *testing.T) {
+func TestSilentConnectionsMakeRoom(t *testing.T) {
 	f, d := start(t, 20)
 	d.hold = true
 	open := dial(t, f)
-	if _, err := io.WriteString(open, hand("open", "notice", "7", "480", "", "")); err != nil {
+	if _, err := io.WriteString(open, handInText("open", "notice", "7", "480", "", "")); err != nil {
 		t.Fatal(err)
 	}
-	<-d.came
+	<-d.events
 	d.mu.Lock()
 	d.hold = false
 	d.mu.Unlock()
 	for i := range 200 {
 		dial(t, f)
 		if i%20 == 19 {
-			if got := ask(t, dial(t, f), hand(fmt.Sprint("u", i), "notice", "7", "480", "", "")); got != 202 {
+			if got := ask(t, dial(t, f), handInText(fmt.Sprint("u", i), "notice", "7", "480", "", "")); got != 202 {
 				t.Fatalf("a client among silent connections got %d", got)
 			}
-			<-d.came
+			<-d.events
 		}
 	}
-	if n := f.Connections(); n > 20+lingering {
+	if n := f.Connections(); n > 20+maxLingering {
 		t.Errorf("%d connections are open", n)
 	}
 	d.taken[0].Reply.Taken(nil)
@@ -351,21 +351,21 @@
 
 // Guards against clients that keep used connections open and so keep others out: connections
 // between two requests are closed before new ones.
-func TestCrowd(t *testing.T) {
+func TestIdleConnectionsAreEvictedBeforeNewOnes(t *testing.T) {
 	f, d := start(t, 20)
 	for i := range 100 {
 		c := dial(t, f)
-		if got := ask(t, c, hand(fmt.Sprint("m", i), "notice", "7", "480", "", "")); got != 202 {
+		if got := ask(t, c, handInText(fmt.Sprint("m", i), "notice", "7", "480", "", "")); got != 202 {
 			t.Fatalf("client %d got %d", i, got)
 		}
-		<-d.came
+		<-d.events
 		if i >= 20 { // two that connect together; the second sends its request first
 			first, second := dial(t, f), dial(t, f)
 			for _, c := range []net.Conn{second, first} {
-				if got := ask(t, c, hand(fmt.Sprintf("p%d%v", i, c == first), "notice", "7", "480", "", "")); got != 202 {
+				if got := ask(t, c, handInText(fmt.Sprintf("p%d%v", i, c == first), "notice", "7", "480", "", "")); got != 202 {
 					t.Fatalf("a client that connected along with another got %d", got)
 				}
-				<-d.came
+				<-d.events
 			}
 		}
 	}
@@ -373,46 +373,46 @@
 
 // Guards against clients that stay connected after one request and use up all connections: beyond a
 // limit, the connection between two requests that has been idle longest is closed for each new one.
-func TestClientsThatStay(t *testing.T) {
+func TestIdleConnectionLimit(t *testing.T) {
 	f, d := start(t, 50, 10)
 	var all []net.Conn
 	for i := range 30 {
 		all = append(all, dial(t, f))
-		if got := ask(t, all[i], hand(fmt.Sprint("m", i), "notice", "7", "480", "", "")); got != 202 {
+		if got := ask(t, all[i], handInText(fmt.Sprint("m", i), "notice", "7", "480", "", "")); got != 202 {
 			t.Fatalf("client %d got %d", i, got)
 		}
-		<-d.came
+		<-d.events
 	}
-	if n := f.Connections(); n > 11+lingering {
+	if n := f.Connections(); n > 11+maxLingering {
 		t.Errorf("%d connections are open, want at most 10 between two requests", n)
 	}
-	if got := ask(t, all[29], hand("again", "notice", "7", "480", "", "")); got != 202 {
+	if got := ask(t, all[29], handInText("again", "notice", "7", "480", "", "")); got != 202 {
 		t.Errorf("the next request of the last client got %d", got)
 	}
 }
 
 // Guards against closing a connection that was selected while it was idle and on which a request
 // arrived before the close: its message must not be withdrawn, and must get its answer.
-func TestRequestsThatCrossAClose(t *testing.T) {
+func TestRequestCrossingCloseIsAnswered(t *testing.T) {
 	f, d := start(t, 10)
 	c := dial(t, f)
-	if got := ask(t, c, hand("first", "charge", "7", "480", "", "")); got != 202 {
+	if got := ask(t, c, handInText("first", "charge", "7", "480", "", "")); got != 202 {
 		t.Fatal(got)
 	}
-	<-d.came
+	<-d.events
 	d.mu.Lock()
 	d.hold = true
 	d.mu.Unlock()
 	var picked *conn
-	f.shutIdle(lifecycle.CloseIdle, func(c *conn) bool {
+	f.endMatching(lifecycle.CloseIdle, func(c *conn) bool {
 		picked = c
 		return false
 	})
-	if _, err := io.WriteString(c, hand("crosses", "charge", "7", "480", "", "")); err != nil {
+	if _, err := io.WriteString(c, handInText("crosses", "charge", "7", "480", "", "")); err != nil {
 		t.Fatal(err)
 	}
-	<-d.came
-	if picked.end(lifecycle.CloseIdle) {
+	<-d.events
+	if picked.tryEnd(lifecycle.CloseIdle) {
 		t.Error("closed while a request is pending")
 	}
 	d.mu.Lock()
@@ -423,7 +423,7 @@
 	if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != 202 || len(d.abandoned) != 0 {
 		t.Errorf("%v %v, withdrawn %v", r, err, d.abandoned)
 	}
-	if !picked.end(lifecycle.CloseIdle) {
+	if !picked.tryEnd(lifecycle.CloseIdle) {
 		t.Error("not closed when it was idle again")
 	}
 }
@@ -433,11 +433,11 @@
 func TestDrain(t *testing.T) {
 	f, _ := start(t, 10)
 	c := dial(t, f)
-	if got := ask(t, c, hand("m1", "notice", "7", "480", "", "")); got != 202 {
+	if got := ask(t, c, handInText("m1", "notice", "7", "480", "", "")); got != 202 {
 		t.Fatal(got)
 	}
 	f.Drain()
-	_, _ = io.WriteString(c, hand("m2", "notice", "7", "480", "", ""))
+	_, _ = io.WriteString(c, handInText("m2", "notice", "7", "480", "", ""))
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || r.StatusCode != 202 || !r.Close {
 		t.Errorf("%v %v, want 202 and Connection: close", r, err)
--- a/internal/hookfront/request.go
+++ b/internal/hookfront/request.go
@@ -12,7 +12,7 @@
 )
 
 // parseHandIn builds a message from a hand-in. The error names the invalid field.
-func (c *conn) message() (*core.Message, error) {
+func (c *conn) parseHandIn() (*core.Message, error) {
 	f, r := c.front, &c.req
 	value := map[string]string{}
 	for _, name := range [...]string{"X-Txn", "X-Lane", "X-Remaining-Ms", "X-Addressing"} {
@@ -34,19 +34,20 @@
 	if err != nil || left == 0 {
 		return nil, fmt.Errorf("X-Remaining-Ms: %.40q is no time in milliseconds", value["X-Remaining-Ms"])
 	}
-	dest, err := destination(value["X-Addressing"])
+	dest, err := parseDestination(value["X-Addressing"])
 	if err != nil {
 		return nil, err
 	}
 	m := &core.Message{Source: c.name, Identity: id, Class: class, Partner: dest, Once: true,
-		Left: max(time.Duration(left)*time.Millisecond-c.late(), time.Millisecond), Respond: c.respondWithin(),
+		Left: max(time.Duration(left)*time.Millisecond-c.readDelay(), time.Millisecond), Respond: c.respondWithin(),
 		Front: Name, Body: r.Body}
-	key, n := r.Only(fieldIdempotency)
+	key, n := r.Only(idempotencyField)
 	if n > 1 || len(key) > 256 || strings.ContainsFunc(key, func(c rune) bool { return c < ' ' || c >= 0x7f }) {
-		return nil, fmt.Errorf("%s: %d fields, %.40q; one of at most 256 visible characters may be there", fieldIdempotency, n, key)
+		return nil, fmt.Errorf("%s: %d fields, %.40q; one of at most 256 visible characters may be there",
+			idempotencyField, n, key)
 	}
 	if n == 1 { // the host recognizes a repeat by it
-		m.Head = []byte(fieldIdempotency + ": " + key + "\r\n")
+		m.Head = []byte(idempotencyField + ": " + key + "\r\n")
 	}
 	if f.opt.Ordered[class] {
 		m.Key = cookie(strings.Join(r.All("Cookie"), "; "), "about")
@@ -59,20 +60,20 @@
 
 // readDelay returns an upper bound on how long the request that is being read waited: reading it
 // failed for a while, or, for the first request of a connection, accepting the connection did.
-func (c *conn) late() time.Duration {
-	late := c.nb.HeldUp()
-	if !c.asked.Load() {
-		late += c.waited
+func (c *conn) readDelay() time.Duration {
+	delay := c.nb.HeldUp()
+	if !c.answeredOnce.Load() {
+		delay += c.queueTime
 	}
-	return min(late, c.front.opt.Request/2) // a client doesn't wait longer
+	return min(delay, c.front.opt.Request/2) // a client doesn't wait longer
 }
 
 // clientDeadline returns when the client of a request read now stops waiting; 0 if that is unknown.
-func (c *conn) waitsUntil(now time.Duration) time.Duration {
+func (c *conn) clientDeadline(now time.Duration) time.Duration {
 	if c.front.opt.Wait == 0 {
 		return 0
 	}
-	return now + c.front.opt.Wait - c.late()
+	return now + c.front.opt.Wait - c.readDelay()
 }
 
 // respondWithin returns how soon the core must answer a hand-in; 0 for no limit.
@@ -80,15 +81,15 @@
 	if c.front.opt.Respond == 0 {
 		return 0
 	}
-	return max(c.front.opt.Respond-c.late(), time.Millisecond)
+	return max(c.front.opt.Respond-c.readDelay(), time.Millisecond)
 }
 
 // idempotencyField is the field by which the hosts of some classes recognize a repeat. It is passed
 // on unchanged with every attempt.
-const fieldIdempotency = "Idempotency-Key"
+const idempotencyField = "Idempotency-Key"
 
 // parseDestination finds dest=N among parameters.
-func destination(v string) (int, error) {
+func parseDestination(v string) (int, error) {
 	for part := range strings.FieldsFuncSeq(v, func(r rune) bool { return r == ';' || r == ',' }) {
 		name, n, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if name == "dest" {
