--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -135,7 +135,7 @@
 	}
 	<-r.closed
 	if n, _ := io.Copy(io.Discard, peer); n >= large {
-		t.Error("all bytes were written after the deadline")
+		t.Error("all bytes were written despite the deadline")
 	}
 	if _, err := c.WriteBy([]byte("x"), time.Now().Add(-time.Second)); err == nil {
 		t.Error("a write after its deadline succeeded")
--- a/internal/front/listen.go
+++ b/internal/front/listen.go
@@ -26,7 +26,7 @@
 	// Open makes the front's handler for a connection; nil closes the connection at once. waited
 	// bounds the time for which the connection waited in the listener's queue because accepting
 	// failed.
-	Open func(nb *engine.Conn, waited time.Duration) Conn
+	Open func(conn *engine.Conn, waited time.Duration) Conn
 	// Failed is called when accepting a connection fails, in most cases for lack of descriptors.
 	Failed func(err error)
 }
@@ -165,8 +165,8 @@
 // serve passes one connection to the engine and to the front.
 func (l *Listeners) serve(raw net.Conn, waited time.Duration) {
 	refused := false
-	nb, err := l.engine.Adopt(raw, func(nb *engine.Conn) engine.Handler {
-		c := l.sockets.Open(nb, waited)
+	conn, err := l.engine.Adopt(raw, func(conn *engine.Conn) engine.Handler {
+		c := l.sockets.Open(conn, waited)
 		if refused = c == nil; refused {
 			return rejected{}
 		}
@@ -176,7 +176,7 @@
 	case err != nil:
 		l.sockets.Failed(err)
 	case refused:
-		_ = nb.Close()
+		_ = conn.Close()
 	}
 }
 
--- a/internal/hookfront/close_test.go
+++ b/internal/hookfront/close_test.go
@@ -298,7 +298,7 @@
 		t.Fatal(got)
 	}
 	<-d.events
-	v, err := syscall.GetsockoptInt(onlyConn(t, f).nb.Descriptor(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+	v, err := syscall.GetsockoptInt(onlyConn(t, f).socket.Descriptor(), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 	if err != nil || v == 0 {
 		t.Errorf("TCP_NODELAY is %d (%v)", v, errors.Unwrap(err))
 	}
--- a/internal/hookfront/conn.go
+++ b/internal/hookfront/conn.go
@@ -48,7 +48,7 @@
 	c.sendingEnded = true
 	c.lastActive.Store(front.Now())
 	c.recordClose(why)
-	c.nb.CloseWrite()
+	c.socket.CloseWrite()
 }
 
 // close closes the connection whatever the client does. The caller holds mu.
@@ -56,7 +56,7 @@
 	c.sendingEnded = true
 	c.recordClose(why)
 	c.front.remove(c)
-	_ = c.nb.Close()
+	_ = c.socket.Close()
 }
 
 // recordClose counts and traces the reason for the end of the connection.
@@ -72,7 +72,7 @@
 // conn is the connection of one client.
 type conn struct {
 	front        *Front
-	nb           *engine.Conn
+	socket       *engine.Conn
 	name         string
 	lastActive   atomic.Int64 // by front.Now: last change of phase, or last byte while a request is read
 	requestBegun atomic.Int64 // by front.Now: start of the request, or of the connection before its first request
@@ -154,7 +154,7 @@
 		c.halfClosed.Store(true)
 		return true
 	}
-	if c.nb.Unsent() == 0 {
+	if c.socket.Unsent() == 0 {
 		return false
 	}
 	if c.state.Phase() == lifecycle.Idle { // between a response and a next request that won't come
@@ -219,7 +219,7 @@
 	case !c.req.Done():
 		if c.req.Expect && c.req.InContent() {
 			c.req.Expect = false
-			_, _ = c.nb.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+			_, _ = c.socket.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 	case len(rest) > 0:
 		c.reject(http.StatusBadRequest, "a request before the answer to the last one")
@@ -301,7 +301,7 @@
 		b = append(b, "\r\nConnection: close"...)
 	}
 	b = append(append(b, "\r\n\r\n"...), body...)
-	_, err := c.nb.Write(b)
+	_, err := c.socket.Write(b)
 	c.front.opt.Trace.Step(c.state.ID(), "response", strconv.Itoa(status))
 	switch {
 	case err != nil: // the engine has closed the connection
--- a/internal/hookfront/front.go
+++ b/internal/hookfront/front.go
@@ -141,7 +141,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if c.state.Phase() == lifecycle.Answering || c.nb.Unsent() > 0 {
+		if c.state.Phase() == lifecycle.Answering || c.socket.Unsent() > 0 {
 			return false
 		}
 	}
@@ -209,8 +209,8 @@
 // without a pending request is closed; with too many connections between two requests, the one of
 // them that has been idle longest. Clients have a limit on their connections as well, and keep
 // those they have used open until the relay closes them.
-func (f *Front) open(nb *engine.Conn, waited time.Duration) front.Conn {
-	c := &conn{front: f, nb: nb, queueTime: waited, name: strconv.FormatUint(f.lastNumber.Add(1), 36)}
+func (f *Front) open(socket *engine.Conn, waited time.Duration) front.Conn {
+	c := &conn{front: f, socket: socket, queueTime: waited, name: strconv.FormatUint(f.lastNumber.Add(1), 36)}
 	c.lastActive.Store(front.Now())
 	c.requestBegun.Store(c.lastActive.Load())
 	c.req.Reset(http1.Limits{Header: f.opt.Header, Body: f.opt.Body})
@@ -223,7 +223,7 @@
 			closing++
 			switch {
 			case phase != lifecycle.Closing:
-			case o.nb.Unsent() > 0: // its response is not completely written yet
+			case o.socket.Unsent() > 0: // its response is not completely written yet
 				unsent++
 			case longestLingering == nil || o.lastActive.Load() < longestLingering.lastActive.Load():
 				longestLingering = o
--- a/internal/hookfront/front_test.go
+++ b/internal/hookfront/front_test.go
@@ -305,7 +305,7 @@
 		t.Fatal(got)
 	}
 	const large = 16 << 20 // more than a socket takes at once
-	if _, err := onlyConn(t, f).nb.Write(make([]byte, large)); err != nil {
+	if _, err := onlyConn(t, f).socket.Write(make([]byte, large)); err != nil {
 		t.Fatal(err)
 	}
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
--- a/internal/hookfront/request.go
+++ b/internal/hookfront/request.go
@@ -61,7 +61,7 @@
 // readDelay returns an upper bound on how long the request that is being read waited: reading it
 // failed for a while, or, for the first request of a connection, accepting the connection did.
 func (c *conn) readDelay() time.Duration {
-	delay := c.nb.HeldUp()
+	delay := c.socket.HeldUp()
 	if !c.answeredOnce.Load() {
 		delay += c.queueTime
 	}
--- a/internal/lifecycle/peer_test.go
+++ b/internal/lifecycle/peer_test.go
@@ -175,7 +175,7 @@
 	} {
 		m := Message{Repeat: c.repeat}
 		if m.Unconfirmed(2*s, true) || !m.Unconfirmed(2*s, false) {
-			t.Error("the next message of a key does not wait exactly when the answer is not a served one")
+			t.Error("the next message of a key must wait only behind an answer that was not served")
 		}
 		if c.mayRun {
 			m.Doubt(0)
