--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -130,7 +130,8 @@
 // wait for a slow socket must not be sent after their deadline.
 func TestNothingIsWrittenAfterItsDeadline(t *testing.T) {
 	c, r, peer := pair(t, Options{})
-	if _, err := c.WriteBy(make([]byte, large), time.Now().Add(20*time.Millisecond)); err != nil && !errors.Is(err, ErrLate) {
+	if _, err := c.WriteBy(make([]byte, large), time.Now().Add(20*time.Millisecond)); err != nil &&
+		!errors.Is(err, ErrLate) {
 		t.Fatal(err)
 	}
 	<-r.closed
@@ -272,7 +273,8 @@
 		return adopt(raw, h), peer
 	}
 	newGate := func() *gate {
-		return &gate{recorder: recorder{closed: make(chan struct{})}, entered: make(chan struct{}), release: make(chan struct{})}
+		return &gate{recorder: recorder{closed: make(chan struct{})},
+			entered: make(chan struct{}), release: make(chan struct{})}
 	}
 	say := func(c net.Conn) {
 		t.Helper()
--- a/internal/hookfront/close_test.go
+++ b/internal/hookfront/close_test.go
@@ -88,7 +88,8 @@
 		t.Run(name, func(t *testing.T) {
 			f, d := startWithoutTimeouts(t)
 			c := dial(t, f)
-			text, want := strings.Replace(handInText("x", "notice", "7", "480", "", ""), "Content-Length: 0", "Content-Length: 900000", 1), 413
+			text, want := strings.Replace(handInText("x", "notice", "7", "480", "", ""),
+				"Content-Length: 0", "Content-Length: 900000", 1), 413
 			if draining {
 				f.Drain()
 				text, want = handInText("x", "notice", "7", "480", "", ""), 202
@@ -120,7 +121,8 @@
 func TestLingeringIsBounded(t *testing.T) {
 	f, _ := start(t, 10)
 	c := dial(t, f)
-	_, _ = io.WriteString(c, strings.Replace(handInText("x", "notice", "7", "480", "", ""), "Content-Length: 0", "Content-Length: 60000000", 1))
+	_, _ = io.WriteString(c, strings.Replace(handInText("x", "notice", "7", "480", "", ""),
+		"Content-Length: 0", "Content-Length: 60000000", 1))
 	var err error
 	for n := 0; err == nil; n += 1 << 16 {
 		if _, err = c.Write(make([]byte, 1<<16)); n > 60<<20 {
@@ -257,12 +259,15 @@
 	for name, text := range map[string]string{
 		"an empty line before it": "\r\n" + good,
 		"the absolute form":       strings.Replace(good, "POST /api", "POST http://origin.svc/api", 1),
-		"names in lower case":     strings.NewReplacer("X-Txn", "x-txn", "X-Lane", "x-lane", "X-Addressing", "x-addressing", "Cookie", "cookie").Replace(good),
-		"no spaces, tabs behind":  strings.NewReplacer(": ID", ":ID\t ", ": charge", ":charge\t").Replace(good),
-		"two cookie fields":       strings.Replace(good, "Cookie: a=b; about=key1", "Cookie: a=b\r\nCookie: about=key1", 1),
-		"chunked":                 strings.Replace(strings.Replace(good, "Content-Length: 4", "Transfer-Encoding: chunked", 1), "\r\n\r\nbody", "\r\n\r\n3;x=y\r\nbod\r\n1\r\ny\r\n0\r\nT: u\r\n\r\n", 1),
-		"expecting 100":           strings.Replace(good, "X-Lane", "Expect: 100-continue\r\nX-Lane", 1),
-		"more parameters":         strings.Replace(good, "dest=7", `zone="a"; dest=7`, 1),
+		"names in lower case": strings.NewReplacer("X-Txn", "x-txn", "X-Lane", "x-lane",
+			"X-Addressing", "x-addressing", "Cookie", "cookie").Replace(good),
+		"no spaces, tabs behind": strings.NewReplacer(": ID", ":ID\t ", ": charge", ":charge\t").Replace(good),
+		"two cookie fields": strings.Replace(good, "Cookie: a=b; about=key1",
+			"Cookie: a=b\r\nCookie: about=key1", 1),
+		"chunked": strings.Replace(strings.Replace(good, "Content-Length: 4", "Transfer-Encoding: chunked", 1),
+			"\r\n\r\nbody", "\r\n\r\n3;x=y\r\nbod\r\n1\r\ny\r\n0\r\nT: u\r\n\r\n", 1),
+		"expecting 100":   strings.Replace(good, "X-Lane", "Expect: 100-continue\r\nX-Lane", 1),
+		"more parameters": strings.Replace(good, "dest=7", `zone="a"; dest=7`, 1),
 	} {
 		for pieces, size := range map[string]int{"whole": len(text), "in pieces": 7} {
 			t.Run(name+" "+pieces, func(t *testing.T) {
@@ -282,7 +287,8 @@
 					t.Fatalf("%v %v", a, err)
 				}
 				<-d.events
-				if m := d.taken[0]; m.Identity != "id1" || m.Key != "key1" || m.Partner != 7 || string(m.Body) != "body" {
+				if m := d.taken[0]; m.Identity != "id1" || m.Key != "key1" ||
+					m.Partner != 7 || string(m.Body) != "body" {
 					t.Errorf("%+v", m)
 				}
 			})
--- a/internal/hookfront/front_test.go
+++ b/internal/hookfront/front_test.go
@@ -74,7 +74,8 @@
 	d := &fakeCore{events: make(chan struct{}, 1000)}
 	o := Options{Listen: "127.0.0.1:0", Lanes: map[string]int{"notice": 0, "charge": 1}, Ordered: []bool{false, true},
 		Dest: func(n int) bool { return n < 10 }, Ready: func() bool { return true }, Header: 16 << 10, Body: 64 << 10,
-		Request: 500 * time.Millisecond, Whole: time.Second, Idle: 500 * time.Millisecond, Linger: 200 * time.Millisecond,
+		Request: 500 * time.Millisecond, Whole: time.Second,
+		Idle: 500 * time.Millisecond, Linger: 200 * time.Millisecond,
 		Lingering: maxLingering, WriteBuffer: 64 << 10, Door: d, Keeper: d, Notices: d, Logf: t.Logf}
 	change(&o)
 	f, err := New(o)
@@ -98,7 +99,8 @@
 
 func handInText(id, lane, dest, left, more, body string) string {
 	return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nCookie: a=b; about=key1\r\n"+
-		"X-Remaining-Ms: %s\r\nX-Addressing: dest=%s\r\n%sContent-Length: %d\r\n\r\n%s", id, lane, left, dest, more, len(body), body)
+		"X-Remaining-Ms: %s\r\nX-Addressing: dest=%s\r\n%sContent-Length: %d\r\n\r\n%s",
+		id, lane, left, dest, more, len(body), body)
 }
 
 // ask sends text and returns the status of the answer, 0 for a close without one.
@@ -119,7 +121,8 @@
 // Guards against decisions that reach the client in the wrong way: a decision within the step is
 // the response, a later one is a notice.
 func TestAnswers(t *testing.T) {
-	for verdict, want := range map[ledger.Verdict]int{0: 202, ledger.Delivered: 202, ledger.Refused: 429, ledger.Failed: 500} {
+	for verdict, want := range map[ledger.Verdict]int{
+		0: 202, ledger.Delivered: 202, ledger.Refused: 429, ledger.Failed: 500} {
 		f, d := start(t, 10)
 		d.verdict = ledger.Answer{Verdict: verdict}
 		c := dial(t, f)
@@ -129,7 +132,8 @@
 			}
 		}
 		m := d.taken[0]
-		if m.Identity != "m0" || m.Class != 1 || m.Partner != 7 || m.Key != "key1" || m.Left != 480*time.Millisecond || string(m.Body) != "body" {
+		if m.Identity != "m0" || m.Class != 1 || m.Partner != 7 || m.Key != "key1" ||
+			m.Left != 480*time.Millisecond || string(m.Body) != "body" {
 			t.Errorf("%+v", m)
 		}
 		<-d.events
@@ -151,15 +155,16 @@
 	good := handInText("x1", "notice", "7", "480", "", "body")
 	long := strings.Repeat("x", 4<<20)
 	for name, text := range map[string]string{
-		"noise":              "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
-		"endless head":       "POST /api HTTP/1.1\r\nHost: h\r\nX: " + long,
-		"endless fields":     "POST /api HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 100000),
-		"wrong length":       strings.Replace(good, "Content-Length: 4", "Content-Length: 4x", 1),
-		"negative length":    strings.Replace(good, "Content-Length: 4", "Content-Length: -4", 1),
-		"huge length":        strings.Replace(good, "Content-Length: 4", "Content-Length: 99999999999999999999", 1),
-		"long body":          strings.Replace(good, "Content-Length: 4", "Content-Length: 60000000", 1) + long,
-		"two lengths":        strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5", 1),
-		"length and chunked": strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked", 1),
+		"noise":           "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
+		"endless head":    "POST /api HTTP/1.1\r\nHost: h\r\nX: " + long,
+		"endless fields":  "POST /api HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 100000),
+		"wrong length":    strings.Replace(good, "Content-Length: 4", "Content-Length: 4x", 1),
+		"negative length": strings.Replace(good, "Content-Length: 4", "Content-Length: -4", 1),
+		"huge length":     strings.Replace(good, "Content-Length: 4", "Content-Length: 99999999999999999999", 1),
+		"long body":       strings.Replace(good, "Content-Length: 4", "Content-Length: 60000000", 1) + long,
+		"two lengths":     strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5", 1),
+		"length and chunked": strings.Replace(good, "Content-Length: 4",
+			"Content-Length: 4\r\nTransfer-Encoding: chunked", 1),
 		"odd chunked":        strings.Replace(good, "Content-Length: 4", "Transfer-Encoding: xchunked", 1),
 		"no such class":      handInText("x1", "none", "7", "480", "", "body"),
 		"no such dest":       handInText("x1", "notice", "70", "480", "", "body"),
@@ -232,7 +237,8 @@
 // and waits for the answer, and against holding the message of a client that has gone for good.
 func TestHalfClosedClientIsAnsweredWhileItWaits(t *testing.T) {
 	f, d := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Wait = 10, 10, 300*time.Millisecond })
-	for _, text := range []string{handInText("ends", "notice", "7", "480", "", ""), "GET /up HTTP/1.1\r\nHost: r\r\n\r\n"} {
+	for _, text := range []string{handInText("ends", "notice", "7", "480", "", ""),
+		"GET /up HTTP/1.1\r\nHost: r\r\n\r\n"} {
 		c := dial(t, f)
 		if _, err := io.WriteString(c, text); err != nil {
 			t.Fatal(err)
@@ -268,7 +274,9 @@
 // listener's queue for longer than its client waits: that time is only an upper bound, and the
 // client has just sent.
 func TestHalfClosedClientOfQueuedConnectionIsAnswered(t *testing.T) {
-	f, d := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Wait, o.Request = 10, 10, time.Minute, 2*time.Minute })
+	f, d := startWith(t, func(o *Options) {
+		o.Connections, o.Kept, o.Wait, o.Request = 10, 10, time.Minute, 2*time.Minute
+	})
 	d.hold = true
 	c := dial(t, f)
 	for f.Connections() == 0 {
@@ -362,7 +370,8 @@
 		if i >= 20 { // two that connect together; the second sends its request first
 			first, second := dial(t, f), dial(t, f)
 			for _, c := range []net.Conn{second, first} {
-				if got := ask(t, c, handInText(fmt.Sprintf("p%d%v", i, c == first), "notice", "7", "480", "", "")); got != 202 {
+				if got := ask(t, c, handInText(fmt.Sprintf("p%d%v", i, c == first),
+					"notice", "7", "480", "", "")); got != 202 {
 					t.Fatalf("a client that connected along with another got %d", got)
 				}
 				<-d.events
@@ -420,7 +429,8 @@
 	d.mu.Unlock()
 	last.Reply.Taken(nil)
 	last.Reply.(core.Decider).Decided()
-	if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != 202 || len(d.abandoned) != 0 {
+	if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != 202 ||
+		len(d.abandoned) != 0 {
 		t.Errorf("%v %v, withdrawn %v", r, err, d.abandoned)
 	}
 	if !picked.tryEnd(lifecycle.CloseIdle) {
--- a/internal/lifecycle/peer_test.go
+++ b/internal/lifecycle/peer_test.go
@@ -93,7 +93,8 @@
 	}
 	p = PeerConn{calls: 1}
 	p.Begin(0)
-	if wait, unsettled := p.Answered(s, 2*s, Likely, true, doubted("slow")); wait != 0 || unsettled != s || p.Unsettled(s) != maxConfirmation {
+	if wait, unsettled := p.Answered(s, 2*s, Likely, true, doubted("slow")); wait != 0 ||
+		unsettled != s || p.Unsettled(s) != maxConfirmation {
 		t.Errorf("a slow answer: waits %s, unsettled for %s, kept for %s", wait, unsettled, p.Unsettled(s))
 	}
 	for range 2 * maxUnconfirmed {
