--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -31,7 +31,7 @@
 // Owed is a message from before a restart whose client still waits for it, or its answer.
 type Owed struct {
 	Identity string
-	Way      []byte
+	Way      []byte        // what the front stored with the message to find its client again
 	Answer   ledger.Answer // without a verdict if the answer is still to come
 	Handed   bool          // the client has the answer; it may only ask to complete the protocol exchange
 }
--- a/internal/lifecycle/message.go
+++ b/internal/lifecycle/message.go
@@ -28,7 +28,7 @@
 	ID     string
 	Repeat Repeat
 	Window time.Duration // with InWindow: how long after the first call the host recognizes a repeat
-	Due    time.Duration // deadline; no call starts later
+	Due    time.Duration // deadline; nothing is sent after it
 	// Kept marks a message that is in the journal and survives a restart: actions on it wait for
 	// its records.
 	Kept bool
