--- a/internal/front/listen.go
+++ b/internal/front/listen.go
@@ -14,53 +14,56 @@
 	"basaltcross.example/basaltcross/internal/engine"
 )
 
-// Conn is what a front keeps of one connection.
+// Conn is a front's handler for one connection.
 type Conn = engine.Handler
 
-// Sockets are the listeners of one sort, and how their connections are served.
+// Sockets configures the listeners of one front and how their connections are served.
 type Sockets struct {
 	Name        string
 	Addrs       []string
 	ReadBuffer  int
-	WriteBuffer int // bytes that wait for one connection; over it, it is closed
-	// Open makes the front's side of a connection, nil to close it at once. waited is how long
-	// it may have stood in the listener's queue because accepting failed.
-	Open func(nb *engine.Conn, waited time.Duration) Conn
-	// Failed is told that an accept failed, out of descriptors mostly.
+	WriteBuffer int // bytes that may wait to be written to a connection, which is closed beyond that
+	// Open makes the front's handler for a connection; nil closes the connection at once. waited
+	// bounds the time for which the connection waited in the listener's queue because accepting
+	// failed.
+	Open func(conn *engine.Conn, waited time.Duration) Conn
+	// Failed is called when accepting a connection fails, in most cases for lack of descriptors.
 	Failed func(err error)
 }
 
-// Listeners are open sockets.
+// Listeners are the open listening sockets of one front.
 type Listeners struct {
 	Addrs     []string
 	sockets   Sockets
 	engine    *engine.Engine
-	all       []*net.TCPListener
-	accepting sync.WaitGroup
-	leaving   atomic.Bool
+	listeners []*net.TCPListener
+	acceptors sync.WaitGroup
+	closing   atomic.Bool
 }
 
-// Farewell is how long a client may take to read what was written to it before a close.
+// Farewell is how long a client may take to read what was written to it before its connection is
+// closed.
 const Farewell = time.Second
 
 const (
-	// acceptPause keeps failing accepts from a hot loop.
-	acceptPause = 20 * time.Millisecond
-	// emptyWithin is how long a listener that is to close goes on accepting what stands in its
-	// queue, where accepting fails or clients come without end.
-	emptyWithin = time.Second
+	// acceptRetryPause keeps failing accepts from spinning.
+	acceptRetryPause = 20 * time.Millisecond
+	// queueDrainTime bounds how long a closing listener goes on accepting the connections in its
+	// queue if accepting fails or further clients keep coming.
+	queueDrainTime = time.Second
 )
 
-// Listen opens the sockets and begins to serve them.
+// Listen opens the sockets and starts to serve them.
 func Listen(s Sockets) (*Listeners, error) {
 	l := &Listeners{sockets: s}
 	for _, addr := range s.Addrs {
-		one, err := net.Listen("tcp", addr)
+		listener, err := net.Listen("tcp", addr)
 		if err != nil {
 			l.Refuse()
 			return nil, fmt.Errorf("%s: %w", s.Name, err)
 		}
-		l.Addrs, l.all = append(l.Addrs, one.Addr().String()), append(l.all, one.(*net.TCPListener))
+		l.Addrs, l.listeners = append(l.Addrs, listener.Addr().String()),
+			append(l.listeners, listener.(*net.TCPListener))
 	}
 	var err error
 	l.engine, err = engine.Start(engine.Options{Name: s.Name, ReadBuffer: s.ReadBuffer, WriteBuffer: s.WriteBuffer})
@@ -68,52 +71,52 @@
 		l.Refuse()
 		return nil, err
 	}
-	for _, one := range l.all {
-		l.accepting.Go(func() { l.accept(one) })
+	for _, listener := range l.listeners {
+		l.acceptors.Go(func() { l.accept(listener) })
 	}
 	return l, nil
 }
 
-// accept serves one listener until it is to close and nothing stands in its queue: the system
-// resets what does when a listener closes.
-func (l *Listeners) accept(from *net.TCPListener) {
-	defer from.Close()
-	var q queue
-	var until time.Time // of the queue's emptying, once the listener is to close
+// accept serves one listener until it is closing and its queue is empty. The kernel resets the
+// connections that are still in the queue when a listener is closed.
+func (l *Listeners) accept(listener *net.TCPListener) {
+	defer listener.Close()
+	var delay queueDelay
+	var drainUntil time.Time // limit for emptying the queue, set once the listener is closing
 	for {
 		asked := time.Now()
-		if l.leaving.Load() {
-			if until.IsZero() {
-				until = asked.Add(emptyWithin)
+		if l.closing.Load() {
+			if drainUntil.IsZero() {
+				drainUntil = asked.Add(queueDrainTime)
 			}
-			if !pending(from) || asked.After(until) {
+			if !pending(listener) || asked.After(drainUntil) {
 				return
 			}
-			_ = from.SetDeadline(until) // what stands there is accepted at once
+			_ = listener.SetDeadline(drainUntil) // connections in the queue are accepted at once
 		}
-		raw, err := from.Accept()
+		raw, err := listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded): // it is to close
+		case errors.Is(err, os.ErrDeadlineExceeded): // the listener is closing
 		case err != nil:
-			q.held(asked)
+			delay.delayed(asked)
 			l.sockets.Failed(err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryPause)
 		default:
-			q.got(asked, time.Now())
+			delay.accepted(asked, time.Now())
 			asked = time.Now()
-			l.serve(raw, q.waited(asked))
-			if time.Since(asked) > prompt {
-				q.held(asked)
+			l.serve(raw, delay.longest(asked))
+			if time.Since(asked) > promptAccept {
+				delay.delayed(asked)
 			}
 		}
 	}
 }
 
-// pending tells whether a connection stands in a listener's queue.
-func pending(from *net.TCPListener) (waits bool) {
-	raw, err := from.SyscallConn()
+// pending reports whether a connection waits in a listener's queue.
+func pending(listener *net.TCPListener) (waits bool) {
+	raw, err := listener.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -128,42 +131,44 @@
 	return waits
 }
 
-// prompt is what accepting takes that holds nothing up.
-const prompt = 5 * time.Millisecond
+// promptAccept is the longest time that accepting and serving one connection takes without delaying
+// the queue.
+const promptAccept = 5 * time.Millisecond
 
-// queue tells how long connections may have stood in a listener's queue: since accepting
-// failed or was held up, until one had to be waited for.
-type queue struct{ since time.Time }
+// queueDelay bounds how long connections may have waited in a listener's queue: from the moment at
+// which accepting failed or was delayed until the next connection that was not there yet when it
+// was accepted.
+type queueDelay struct{ since time.Time }
 
-// held says that nothing was accepted from a moment on.
-func (q *queue) held(from time.Time) {
+// delayed records that no connection was accepted from the given time on.
+func (q *queueDelay) delayed(from time.Time) {
 	if q.since.IsZero() {
 		q.since = from
 	}
 }
 
-// got takes in that a connection was asked for and came.
-func (q *queue) got(asked, came time.Time) {
-	if came.Sub(asked) > prompt {
+// accepted records that a connection was asked for and when it arrived.
+func (q *queueDelay) accepted(asked, came time.Time) {
+	if came.Sub(asked) > promptAccept {
 		q.since = time.Time{}
 	}
 }
 
-// waited is the longest that a connection which has just come may have stood there.
-func (q *queue) waited(now time.Time) time.Duration {
+// longest returns the longest time for which a connection accepted now may have waited.
+func (q *queueDelay) longest(now time.Time) time.Duration {
 	if q.since.IsZero() {
 		return 0
 	}
 	return now.Sub(q.since)
 }
 
-// serve hands one connection to the engine, and to the front.
+// serve passes one connection to the engine and to the front.
 func (l *Listeners) serve(raw net.Conn, waited time.Duration) {
 	refused := false
-	nb, err := l.engine.Adopt(raw, func(nb *engine.Conn) engine.Handler {
-		c := l.sockets.Open(nb, waited)
+	conn, err := l.engine.Adopt(raw, func(conn *engine.Conn) engine.Handler {
+		c := l.sockets.Open(conn, waited)
 		if refused = c == nil; refused {
-			return refusal{}
+			return rejected{}
 		}
 		return c
 	})
@@ -171,30 +176,29 @@
 	case err != nil:
 		l.sockets.Failed(err)
 	case refused:
-		_ = nb.Close()
+		_ = conn.Close()
 	}
 }
 
-// refusal handles a connection that the front did not want.
-type refusal struct{}
+// rejected handles a connection that the front did not accept.
+type rejected struct{}
 
-func (refusal) Data([]byte) {}
-func (refusal) Closed()     {}
+func (rejected) Data([]byte) {}
+func (rejected) Closed()     {}
 
-// Refuse closes the listeners, once what stands in their queues has been accepted; connections
-// stand.
+// Refuse closes the listeners, after accepting what is in their queues. Open connections are kept.
 func (l *Listeners) Refuse() {
-	l.leaving.Store(true)
-	for _, one := range l.all {
-		_ = one.SetDeadline(time.Now()) // ends the wait for the next connection
+	l.closing.Store(true)
+	for _, listener := range l.listeners {
+		_ = listener.SetDeadline(time.Now()) // ends the wait for the next connection
 	}
-	l.accepting.Wait()
-	for _, one := range l.all {
-		_ = one.Close() // where nobody accepted yet
+	l.acceptors.Wait()
+	for _, listener := range l.listeners {
+		_ = listener.Close() // for a listener that nobody accepted from yet
 	}
 }
 
-// Close ends everything.
+// Close closes the listeners and all connections.
 func (l *Listeners) Close() {
 	l.Refuse()
 	l.engine.Stop()
--- a/internal/hookfront/request.go
+++ b/internal/hookfront/request.go
@@ -11,8 +11,8 @@
 	"basaltcross.example/basaltcross/internal/http1"
 )
 
-// message reads the fields of a hand-in; the error names the one that is wrong.
-func (c *conn) message() (*core.Message, error) {
+// parseHandIn builds a message from a hand-in. The error names the invalid field.
+func (c *conn) parseHandIn() (*core.Message, error) {
 	f, r := c.front, &c.req
 	value := map[string]string{}
 	for _, name := range [...]string{"X-Txn", "X-Lane", "X-Remaining-Ms", "X-Addressing"} {
@@ -34,19 +34,20 @@
 	if err != nil || left == 0 {
 		return nil, fmt.Errorf("X-Remaining-Ms: %.40q is no time in milliseconds", value["X-Remaining-Ms"])
 	}
-	dest, err := destination(value["X-Addressing"])
+	dest, err := parseDestination(value["X-Addressing"])
 	if err != nil {
 		return nil, err
 	}
 	m := &core.Message{Source: c.name, Identity: id, Class: class, Partner: dest, Once: true,
-		Left: max(time.Duration(left)*time.Millisecond-c.late(), time.Millisecond), Respond: c.respondWithin(),
+		Left: max(time.Duration(left)*time.Millisecond-c.readDelay(), time.Millisecond), Respond: c.respondWithin(),
 		Front: Name, Body: r.Body}
-	key, n := r.Only(fieldIdempotency)
+	key, n := r.Only(idempotencyField)
 	if n > 1 || len(key) > 256 || strings.ContainsFunc(key, func(c rune) bool { return c < ' ' || c >= 0x7f }) {
-		return nil, fmt.Errorf("%s: %d fields, %.40q; one of at most 256 visible characters may be there", fieldIdempotency, n, key)
+		return nil, fmt.Errorf("%s: %d fields, %.40q; one of at most 256 visible characters may be there",
+			idempotencyField, n, key)
 	}
-	if n == 1 { // by it a host tells a repeat
-		m.Head = []byte(fieldIdempotency + ": " + key + "\r\n")
+	if n == 1 { // the host recognizes a repeat by it
+		m.Head = []byte(idempotencyField + ": " + key + "\r\n")
 	}
 	if f.opt.Ordered[class] {
 		m.Key = cookie(strings.Join(r.All("Cookie"), "; "), "about")
@@ -57,38 +58,38 @@
 	return m, nil
 }
 
-// late is how long ago a request that is being read may have been sent: reading it failed for a
-// while, or, for the first one of a connection, accepting that did.
-func (c *conn) late() time.Duration {
-	late := c.nb.HeldUp()
-	if !c.asked.Load() {
-		late += c.waited
+// readDelay returns an upper bound on how long the request that is being read waited: reading it
+// failed for a while, or, for the first request of a connection, accepting the connection did.
+func (c *conn) readDelay() time.Duration {
+	delay := c.socket.HeldUp()
+	if !c.answeredOnce.Load() {
+		delay += c.queueTime
 	}
-	return min(late, c.front.opt.Request/2) // a client waits no longer
+	return min(delay, c.front.opt.Request/2) // a client doesn't wait longer
 }
 
-// waitsUntil is when the client of a request that was read now waits no more; 0 if that is not known.
-func (c *conn) waitsUntil(now time.Duration) time.Duration {
+// clientDeadline returns when the client of a request read now stops waiting; 0 if that is unknown.
+func (c *conn) clientDeadline(now time.Duration) time.Duration {
 	if c.front.opt.Wait == 0 {
 		return 0
 	}
-	return now + c.front.opt.Wait - c.late()
+	return now + c.front.opt.Wait - c.readDelay()
 }
 
-// respondWithin is how soon the core must answer a hand-in; 0 for no such time.
+// respondWithin returns how soon the core must answer a hand-in; 0 for no limit.
 func (c *conn) respondWithin() time.Duration {
 	if c.front.opt.Respond == 0 {
 		return 0
 	}
-	return max(c.front.opt.Respond-c.late(), time.Millisecond)
+	return max(c.front.opt.Respond-c.readDelay(), time.Millisecond)
 }
 
-// fieldIdempotency names the field by which hosts of some classes tell a repeat; it goes on
-// to them as it came, with every attempt.
-const fieldIdempotency = "Idempotency-Key"
+// idempotencyField is the field by which the hosts of some classes recognize a repeat. It is passed
+// on unchanged with every attempt.
+const idempotencyField = "Idempotency-Key"
 
-// destination reads dest=N among parameters.
-func destination(v string) (int, error) {
+// parseDestination finds dest=N among parameters.
+func parseDestination(v string) (int, error) {
 	for part := range strings.FieldsFuncSeq(v, func(r rune) bool { return r == ';' || r == ',' }) {
 		name, n, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if name == "dest" {
@@ -100,7 +101,7 @@
 	return 0, fmt.Errorf("X-Addressing: %.40q names no dest", v)
 }
 
-// cookie finds one by its name (RFC 6265, 4.2.1); empty for none.
+// cookie returns the value of the cookie with the given name (RFC 6265, 4.2.1), empty for none.
 func cookie(v, name string) string {
 	for part := range strings.SplitSeq(v, ";") {
 		if n, value, _ := strings.Cut(strings.TrimSpace(part), "="); n == name {
