--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -162,7 +162,7 @@
 	n := NewNotices(c, 150, func(id string) { over <- id }, func(err error) { tried <- err })
 	n.Add("dead", ledger.Answer{Verdict: ledger.Failed})
 	for i := range 149 {
-		n.Add(fmt.Sprint("b", i, long), ledger.Answer{Verdict: ledger.Refused, After: 1500 * time.Microsecond})
+		n.Add(fmt.Sprint("b", i, long), ledger.Answer{Verdict: ledger.Refused, RetryAfter: 1500 * time.Microsecond})
 	}
 	if n.Room() {
 		t.Error("room at the bound")
--- a/internal/agent/notices.go
+++ b/internal/agent/notices.go
@@ -71,7 +71,7 @@
 	one := notice{Ref: identity, Result: "dead"}
 	if a.Verdict == ledger.Refused {
 		one.Result = "bounced"
-		one.WaitMs = int64((a.After + time.Millisecond - 1) / time.Millisecond)
+		one.WaitMs = int64((a.RetryAfter + time.Millisecond - 1) / time.Millisecond)
 	}
 	n.mu.Lock()
 	n.list = append(n.list, one)
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -26,7 +26,7 @@
 	writeBy     time.Duration // latest time of the first write; 0 for none
 	handle      Attempt       // of the call, nil in attempts that have a leader
 	bytesPassed atomic.Int64
-	settleBytes func(now time.Duration, passed int64, whole bool) // see Toll.Sent; nil for none
+	settleBytes func(now time.Duration, passed int64, whole bool) // see ZoneBudget.Sent; nil for none
 	heapIndex   int                                               // index in Core.timeouts, -1 if not in it
 	leader      *attempt                                          // first attempt of the call; nil in that one
 	followers   []*attempt                                        // in the first attempt: the others of the call
@@ -43,7 +43,7 @@
 // recordsAttempts reports whether each attempt of a message is recorded before its first byte: if a
 // repeat would do harm, or if all attempts are recorded.
 func (c *Core) recordsAttempts(m *message) bool {
-	return m.journaled && (c.opt.Every || c.opt.Settings.Classes[m.Class].Effect != choice.Safe)
+	return m.journaled && (c.opt.RecordAllAttempts || c.opt.Settings.Classes[m.Class].Effect != choice.Safe)
 }
 
 // recordAttempt records an attempt; clear marks one that certainly had no effect.
@@ -75,7 +75,7 @@
 		one := e
 		if one.Each = nil; i < len(e.Each) {
 			one = e.Each[i]
-			one.Took, one.Unconfirmed, one.Unsettled = e.Took, e.Unconfirmed, e.Unsettled
+			one.Took, one.ConfirmAfter, one.RetractableFor = e.Took, e.ConfirmAfter, e.RetractableFor
 		}
 		c.endAttempt(b, one)
 	}
@@ -101,11 +101,11 @@
 	}
 	c.opt.Observer.Attempted(m.Class, e.Outcome, e.Took)
 	c.recordHost(a.host, e)
-	served := e.Outcome == choice.Served && (c.opt.Late == 0 || c.now <= m.deadline-c.opt.Late)
-	if e.Unsettled > 0 && !m.answered {
+	served := e.Outcome == choice.Served && (c.opt.LateMargin == 0 || c.now <= m.deadline-c.opt.LateMargin)
+	if e.RetractableFor > 0 && !m.answered {
 		c.handleUnconfirmed(a, e, served)
 	}
-	if e.Over && !m.answered { // the platform has abandoned the message: no answer is due
+	if e.Abandon && !m.answered { // the platform has abandoned the message: no answer is due
 		c.answer(m, ledger.Answer{Verdict: ledger.Abandoned})
 	}
 	noEffect := e.Outcome == choice.Refused || e.Outcome == choice.NoConnection || e.Outcome == choice.NotSent
@@ -115,7 +115,7 @@
 		c.clear(a)
 	}
 	c.batch = append(c.batch, choice.Result{ID: m.id, Host: a.host, Attempt: a.attemptNo, Outcome: e.Outcome,
-		Took: e.Took, Wait: e.Wait, Done: served || m.answered, Spent: e.Spent, Report: e.Report})
+		Took: e.Took, Wait: e.Wait, Done: served || m.answered, Spent: e.AttemptsUsedUp, Report: e.LoadReport})
 	if served {
 		c.answer(m, ledger.Answer{Verdict: ledger.Delivered})
 	}
@@ -238,15 +238,15 @@
 	m.current = a
 	c.opt.Trace.Step(m.Identity, "send", s.Host)
 	c.inFlight[a] = struct{}{}
-	if c.opt.Toll != nil {
-		a.settleBytes = c.opt.Toll.Sent(c.now, m.Class, m.Partner, a.zone)
+	if c.opt.ZoneBudget != nil {
+		a.settleBytes = c.opt.ZoneBudget.Sent(c.now, m.Class, m.Partner, a.zone)
 	}
 	return a
 }
 
 // fitsCall reports whether the message of a fits into a call with those of group.
 func (c *Core) fitsCall(group []*attempt, a *attempt) bool {
-	if c.opt.Together == 0 || len(group) == 0 {
+	if c.opt.MaxCallBytes == 0 || len(group) == 0 {
 		return true
 	}
 	size := 0
@@ -254,7 +254,7 @@
 		size += itemOverhead + len(b.msg.Identity) + max(len(b.msg.Key), len(b.msg.Head)) +
 			base64.StdEncoding.EncodedLen(len(b.msg.Body))
 	}
-	return size <= c.opt.Together
+	return size <= c.opt.MaxCallBytes
 }
 
 // itemOverhead is the overhead of a message in a call with several, in bytes, besides its own fields.
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -93,36 +93,36 @@
 
 // buildCall builds the Call of an attempt and records its attempts where required. seqs are the
 // messages whose records must be on disk before the first byte.
-func (c *Core) buildCall(a *attempt) (buildCall Call, seqs []uint64) {
+func (c *Core) buildCall(a *attempt) (call Call, seqs []uint64) {
 	m := a.msg
-	buildCall = Call{ID: m.id, Name: m.Identity, Zone: a.zone, Passed: &a.bytesPassed, Host: a.host, Class: m.Class,
-		Partner: m.Partner, Key: m.Key,
-		Head: m.Head, Body: m.Body, End: func(e Ending) { c.enqueueOwn(event{ended: a, ending: e}) }}
+	call = Call{ID: m.id, Identity: m.Identity, Zone: a.zone, BytesPassed: &a.bytesPassed, Host: a.host,
+		Class: m.Class, Partner: m.Partner, Key: m.Key, Head: m.Head, Body: m.Body,
+		End: func(e Ending) { c.enqueueOwn(event{ended: a, ending: e}) }}
 	if c.opt.Settings.Classes[m.Class].Effect == choice.Keyed {
-		buildCall.Idem = m.idempotencyKey()
+		call.IdempotencyKey = m.idempotencyKey()
 	}
 	for _, b := range a.members() {
-		buildCall.Once = buildCall.Once || b.msg.state.Repeat == lifecycle.Never || c.ordered(b.msg)
+		call.NoDuplicates = call.NoDuplicates || b.msg.state.Repeat == lifecycle.Never || c.ordered(b.msg)
 		if len(a.followers) > 0 {
-			buildCall.Several = append(buildCall.Several, Item{ID: b.msg.Identity, Key: b.msg.Key, Head: b.msg.Head,
+			call.Items = append(call.Items, Item{Identity: b.msg.Identity, Key: b.msg.Key, Head: b.msg.Head,
 				Body: b.msg.Body})
-			buildCall.Body = nil
+			call.Body = nil
 		}
 		if c.recordsAttempts(b.msg) {
 			c.recordAttempt(b, false)
 			seqs = append(seqs, b.msg.seq)
 		}
 	}
-	return buildCall, seqs
+	return call, seqs
 }
 
 // dispatch passes a call to the Caller.
 func (c *Core) dispatch(a *attempt, call Call, timeout time.Duration) {
-	call.Patient = timeout
+	call.Timeout = timeout
 	if by := a.writeDeadline(); by > 0 {
-		call.Within = max(by-c.Now(), 1)
+		call.WriteWithin = max(by-c.Now(), 1)
 	}
-	call.Doubted = c.retractor(a)
+	call.Retract = c.retractor(a)
 	sock := c.opt.Caller.Send(call)
 	if a.gate == nil {
 		a.handle = sock
@@ -193,7 +193,7 @@
 // pauseSends pauses the sends of the module while records wait for the disk, if all attempts are
 // recorded: no call could be sent, and the module would blame endpoints for delays of the disk.
 func (c *Core) pauseSends() {
-	if c.backlog == nil || !c.opt.Every {
+	if c.backlog == nil || !c.opt.RecordAllAttempts {
 		return
 	}
 	if waits := c.backlog.Backlogged(); waits != c.paused {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -27,20 +27,20 @@
 
 // Message is a message as a front hands it in.
 type Message struct {
-	Source   string        // client, for fair sharing of the inbox
-	Identity string        // client and the client's name for the message, for deduplication; empty for none
-	Class    int           // index in Settings.Classes
-	Partner  int           // index in the relay's partners
-	Key      string        // ordering key, empty for none
-	Left     time.Duration // time left to deliver the message, counted from the hand-in
-	Respond  time.Duration // deadline of the response to the hand-in, counted from the hand-in; 0 for none
-	Now      bool          // sent in the step that takes the message, or not at all; no retry
-	Once     bool          // a hand-in with a known identity is rejected with ErrKnown instead of joining it
-	Front    string        // name of the front that handed the message in
-	Way      []byte        // data with which the front routes the answer to the client after a restart
-	Head     []byte        // additional header lines for the partner, each with its CRLF
-	Body     []byte        // must not be modified after the hand-in
-	Reply    Reply         // receiver of the acceptance and of the final answer
+	Source        string        // client, for fair sharing of the inbox
+	Identity      string        // client and the client's name for the message, for deduplication; empty for none
+	Class         int           // index in Settings.Classes
+	Partner       int           // index in the relay's partners
+	Key           string        // ordering key, empty for none
+	Left          time.Duration // time left to deliver the message, counted from the hand-in
+	RespondWithin time.Duration // deadline of the response to the hand-in, counted from the hand-in; 0 for none
+	Immediate     bool          // sent in the step that takes the message, or not at all; no retry
+	RejectKnown   bool          // a hand-in with a known identity is rejected with ErrDuplicate instead of joining it
+	Front         string        // name of the front that handed the message in
+	ReturnPath    []byte        // data with which the front routes the answer to the client after a restart
+	Head          []byte        // additional header lines for the partner, each with its CRLF
+	Body          []byte        // must not be modified after the hand-in
+	Reply         Reply         // receiver of the acceptance and of the final answer
 }
 
 // Reply receives the results of one hand-in. Its methods run on the core's
@@ -67,59 +67,59 @@
 
 // Reasons for which a hand-in is rejected.
 var (
-	ErrBusy       = errors.New("core: inbox is full, or this client's share of it")
-	ErrJournal    = errors.New("core: the journal takes nothing more now")
-	ErrStopping   = errors.New("core: relay is stopping")
-	ErrKnown      = errors.New("core: this identity was handed in before")
-	ErrNoIdentity = errors.New("core: a class that must never take effect twice needs an identity")
+	ErrBusy        = errors.New("core: inbox is full, or this client's share of it")
+	ErrJournalFull = errors.New("core: the journal takes nothing more now")
+	ErrStopping    = errors.New("core: relay is stopping")
+	ErrDuplicate   = errors.New("core: this identity was handed in before")
+	ErrNoIdentity  = errors.New("core: a class that must never take effect twice needs an identity")
 )
 
 // Item is one message of a call that carries several.
 type Item struct {
-	ID   string // identity of the message
-	Key  string
-	Head []byte // as Message.Head
-	Body []byte
+	Identity string // identity of the message
+	Key      string
+	Head     []byte // as Message.Head
+	Body     []byte
 }
 
 // Call is one request to a host: an attempt of one message, or one attempt each of
 // several messages.
 type Call struct {
-	Name    string // identity of the message
-	Several []Item // all messages of a call that carries several, with Body empty; nil for one message
-	ID      string // relay's id of the message, the same for each attempt
-	Host    string // address of the endpoint
-	Class   int
-	Partner int
-	Key     string
-	Zone    int           // current zone of the endpoint
-	Passed  *atomic.Int64 // counter of the bytes of the attempt on the socket, in both directions
-	Head    []byte
-	Idem    string // idempotency key; empty for classes without one
-	Body    []byte
-	Patient time.Duration // time-out, counted from Send
-	Within  time.Duration // latest time of the first write, counted from Send; 0 for none
-	// Once marks a call of which a duplicate or an outcome taken from the wrong response
+	Identity       string // identity of the message
+	Items          []Item // all messages of a call that carries several, with Body empty; nil for one message
+	ID             string // relay's id of the message, the same for each attempt
+	Host           string // address of the endpoint
+	Class          int
+	Partner        int
+	Key            string
+	Zone           int           // current zone of the endpoint
+	BytesPassed    *atomic.Int64 // counter of the bytes of the attempt on the socket, in both directions
+	Head           []byte
+	IdempotencyKey string // idempotency key; empty for classes without one
+	Body           []byte
+	Timeout        time.Duration // time-out, counted from Send
+	WriteWithin    time.Duration // latest time of the first write, counted from Send; 0 for none
+	// NoDuplicates marks a call of which a duplicate or an outcome taken from the wrong response
 	// does harm: a message must not be repeated, or other messages of its key wait for it.
-	Once bool
+	NoDuplicates bool
 	// End receives the outcome of the attempt, once, from any goroutine.
 	End func(Ending)
-	// Doubted retracts, from any goroutine, an outcome that was passed to End: the response
+	// Retract withdraws, from any goroutine, an outcome that was passed to End: the response
 	// belonged to another call. nil if the caller of Send ignores that.
-	Doubted func()
+	Retract func()
 }
 
 // Ending is the result of an attempt on its socket.
 type Ending struct {
-	Outcome choice.Outcome
-	Took    time.Duration
-	Wait    time.Duration // wait that the host asked for, as by Retry-After; 0 for none
-	Over    bool          // with NotSent: the message is abandoned, no answer is due
-	Spent   bool          // with NotSent: the message has used up its attempts
-	Report  []float64     // load report, nil for none
-	// Unconfirmed is how long steps that rely on the outcome are delayed, since the response may prove to
-	// belong to another call; Unsettled is how long the outcome may still be retracted. 0 for neither.
-	Unconfirmed, Unsettled time.Duration
+	Outcome        choice.Outcome
+	Took           time.Duration
+	Wait           time.Duration // wait that the host asked for, as by Retry-After; 0 for none
+	Abandon        bool          // with NotSent: the message is abandoned, no answer is due
+	AttemptsUsedUp bool          // with NotSent: the message has used up its attempts
+	LoadReport     []float64     // load report, nil for none
+	// ConfirmAfter is how long steps that rely on the outcome are delayed, since the response may prove to
+	// belong to another call; RetractableFor is how long the outcome may still be retracted. 0 for neither.
+	ConfirmAfter, RetractableFor time.Duration
 	// Each holds the results of the messages of a call, in their order; nil if they are all the same.
 	Each []Ending
 }
@@ -150,9 +150,9 @@
 	Gauge(held, calls, identities, inbox int)
 }
 
-// Toll is the budget for traffic between zones: it says which zones are open to a class
+// ZoneBudget is the budget for traffic between zones: it says which zones are open to a class
 // and accounts for the bytes that cross.
-type Toll interface {
+type ZoneBudget interface {
 	// Tolls returns the current costs for the module, and false if they have not changed.
 	Tolls(now time.Duration) (choice.Tolls, bool)
 	// Sent reserves the cost of a call and returns the function that replaces the reservation
@@ -181,44 +181,44 @@
 	Zones   []string
 }
 
-// Sharer is a Toll that the relays of the fleet share.
-type Sharer interface {
+// SharedZoneBudget is a ZoneBudget that the relays of the fleet share.
+type SharedZoneBudget interface {
 	Fleet(now time.Duration, relays int)
 }
 
 // Options configure a Core.
 type Options struct {
-	Toll     Toll // nil if all zones are open
-	Settings choice.Settings
-	Seed     uint64
+	ZoneBudget ZoneBudget // nil if all zones are open
+	Settings   choice.Settings
+	Seed       uint64
 	// Clock returns the monotonic time; nil for the machine's clock. With a simulated clock
 	// the core is driven by Step instead of Run.
 	Clock      func() time.Duration
-	Arrivals   int           // capacity of the inbox in hand-ins, shared fairly among clients; ErrBusy beyond
+	InboxSize  int           // capacity of the inbox in hand-ins, shared fairly among clients; ErrBusy beyond
 	Identities int           // capacity of the ledger in identities
-	Keep       time.Duration // retention of ended identities
+	Retention  time.Duration // retention of ended identities
 	Caller     Caller
 	Observer   Observer
 	Journal    Journal // nil if nothing is stored
 	Names      Names   // required with a Journal
-	// Every records each attempt, not only those of messages whose repeat does harm, so that
+	// RecordAllAttempts records each attempt, not only those of messages whose repeat does harm, so that
 	// the count of attempts survives a restart.
-	Every bool
-	// Late is the margin before a message's deadline in which a successful response does not count as
+	RecordAllAttempts bool
+	// LateMargin is the margin before a message's deadline in which a successful response does not count as
 	// delivery: the deadline of whoever handed it in began with the sending, so by that clock the
 	// response may be too late. 0 if every response counts.
-	Late time.Duration
-	// Together limits the size of a call with several messages, in bytes; 0 for no limit.
+	LateMargin time.Duration
+	// MaxCallBytes limits the size of a call with several messages, in bytes; 0 for no limit.
 	// Messages that do not fit are sent in a further call.
-	Together int
-	Trace    lifecycle.Trace
-	// Undelivered is called for a message that was answered as delivered because of a response that
+	MaxCallBytes int
+	Trace        lifecycle.Trace
+	// DeliveryRetracted is called for a message that was answered as delivered because of a response that
 	// belonged to another call. It must not block. nil if nobody can be notified.
-	Undelivered func(identity string)
+	DeliveryRetracted func(identity string)
 	// Guard counts violations of the lifecycle; nil to count none.
 	Guard *lifecycle.Guard
-	// Forgetful turns off records of the waits and failures of endpoints, which then end with the process.
-	Forgetful bool
+	// SkipHostRecords turns off records of the waits and failures of endpoints, which then end with the process.
+	SkipHostRecords bool
 }
 
 // message is the state of a message from its hand-in to its final answer and last outcome.
@@ -284,7 +284,7 @@
 	recordedHosts   map[string]hostState // by endpoint, as recorded
 	restoredHosts   map[string]hostState // state of endpoints from an earlier run that are not listed yet
 	journalDeadline time.Duration        // at shutdown: end of the wait for the journal
-	immediate       []string             // ids of messages with Now that arrived in this step
+	immediate       []string             // ids of messages with Immediate that arrived in this step
 	newlyTaken      []*message           // messages with a Decider that arrived in this step
 	undecided       map[*message]bool    // messages whose Decider was not notified yet
 	pendingAnswers  map[*message]func()  // final answers that wait for their records
@@ -306,11 +306,11 @@
 		epoch := time.Now()
 		clock = func() time.Duration { return time.Since(epoch) }
 	}
-	led := ledger.New(opt.Identities, opt.Keep)
+	led := ledger.New(opt.Identities, opt.Retention)
 	if opt.Journal != nil {
 		led.Dropped = opt.Journal.Forget
 	}
-	c := &Core{opt: opt, chooser: ch, arrivals: limit.NewShare(opt.Arrivals), identityLedger: led,
+	c := &Core{opt: opt, chooser: ch, arrivals: limit.NewShare(opt.InboxSize), identityLedger: led,
 		clock: clock,
 		wake:  make(chan struct{}, 1), byID: map[string]*message{}, byEntry: map[*ledger.Entry]*message{},
 		undecided: map[*message]bool{}, pendingAnswers: map[*message]func(){},
@@ -553,7 +553,7 @@
 			c.restoreHosts(e.listing)
 		case e.fleet != nil:
 			c.batch = append(c.batch, *e.fleet)
-			if t, ok := c.opt.Toll.(Sharer); ok {
+			if t, ok := c.opt.ZoneBudget.(SharedZoneBudget); ok {
 				t.Fleet(c.now, e.fleet.Size)
 			}
 		case e.withdrawn != "":
@@ -585,8 +585,8 @@
 		c.wakeAt = -1
 		c.batch = append(c.batch, choice.Woken{})
 	}
-	if c.opt.Toll != nil {
-		if news, ok := c.opt.Toll.Tolls(c.now); ok {
+	if c.opt.ZoneBudget != nil {
+		if news, ok := c.opt.ZoneBudget.Tolls(c.now); ok {
 			c.batch = append(c.batch, news)
 		}
 	}
@@ -638,8 +638,8 @@
 	m := &message{Message: *in, takenAt: c.now, deadline: at + min(in.Left, k.Deadline)}
 	if in.Identity != "" {
 		if e := c.identityLedger.Find(c.now, in.Identity); e != nil {
-			if in.Once {
-				in.Reply.Taken(ErrKnown)
+			if in.RejectKnown {
+				in.Reply.Taken(ErrDuplicate)
 				return
 			}
 			if e.Answer.Verdict == 0 && c.byEntry[e] != nil {
@@ -656,7 +656,7 @@
 		}
 	}
 	if c.opt.Journal != nil && in.Identity != "" && !c.opt.Journal.HasRoom(len(in.Head)+len(in.Body)) {
-		in.Reply.Taken(ErrJournal)
+		in.Reply.Taken(ErrJournalFull)
 		return
 	}
 	c.lastSeq++
@@ -672,15 +672,15 @@
 	}
 	m.state = lifecycle.Message{ID: m.Identity, Repeat: repeatPolicies[k.Effect], Window: k.Window, Due: m.deadline,
 		Kept: m.journaled}
-	if in.Respond > 0 {
-		m.state.RespondBy = at + in.Respond
+	if in.RespondWithin > 0 {
+		m.state.RespondBy = at + in.RespondWithin
 	}
 	c.byID[m.id] = m
 	c.unanswered++
 	if m.journaled {
 		c.opt.Journal.RecordMessage(journal.Message{Seq: m.seq, Identity: m.Identity, Source: m.Source, Class: k.Name,
 			Partner: c.opt.Names.Partner(m.Partner), Key: m.Key, At: c.opt.Journal.Stamp(),
-			Remaining: int64(m.deadline - c.now), Head: m.Head, Body: m.Body, Front: m.Front, Way: m.Way})
+			Remaining: int64(m.deadline - c.now), Head: m.Head, Body: m.Body, Front: m.Front, Way: m.ReturnPath})
 	}
 	c.whenDurable(m.journaled, func() { in.Reply.Taken(nil) }, m.seq)
 	c.opt.Trace.Step(m.Identity, "taken", m.id)
@@ -690,7 +690,7 @@
 	if _, ok := in.Reply.(Decider); ok {
 		c.newlyTaken = append(c.newlyTaken, m)
 	}
-	if in.Now {
+	if in.Immediate {
 		c.immediate = append(c.immediate, m.id)
 	}
 }
@@ -711,8 +711,10 @@
 		c.unsettledIDs[m.Identity] = m.id
 	}
 	if m.journaled && !c.takeBack(m) {
-		c.opt.Journal.RecordEnd(journal.End{Seq: m.seq, Identity: m.Identity, Class: c.opt.Settings.Classes[m.Class].Name,
-			Verdict: uint8(a.Verdict), After: int64(a.After), At: c.opt.Journal.Stamp(), Front: m.Front, Way: m.Way})
+		c.opt.Journal.RecordEnd(journal.End{Seq: m.seq, Identity: m.Identity,
+			Class:   c.opt.Settings.Classes[m.Class].Name,
+			Verdict: uint8(a.Verdict), After: int64(a.RetryAfter), At: c.opt.Journal.Stamp(),
+			Front: m.Front, Way: m.ReturnPath})
 	}
 	tell := func() {
 		if m.answerSent {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -77,7 +77,7 @@
 	class := choice.Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 1}
 	unsafe := class
 	unsafe.Effect, unsafe.Ordered = choice.Unsafe, true
-	c, err := New(Options{Seed: 1, Arrivals: 8, Identities: 8, Keep: time.Minute, Caller: r, Observer: r,
+	c, err := New(Options{Seed: 1, InboxSize: 8, Identities: 8, Retention: time.Minute, Caller: r, Observer: r,
 		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 2, Tick: 5 * ms, Cancels: true,
 			Certain: true, ReportLimit: -1, MaxRetryAfter: time.Second, Classes: []choice.Class{class, unsafe},
 			Kinds: []choice.Kind{{PerCall: 1}},
@@ -219,7 +219,7 @@
 		}
 	}
 	a := one.answers[0]
-	if a.Verdict != ledger.Refused || a.After <= 0 {
+	if a.Verdict != ledger.Refused || a.RetryAfter <= 0 {
 		t.Fatalf("answer %v", a)
 	}
 	ended := r.now
@@ -229,9 +229,9 @@
 		t.Errorf("repeat before the time: answers %v", early.answers)
 	}
 	n := len(r.calls)
-	r.now = ended + a.After
+	r.now = ended + a.RetryAfter
 	_ = r.Submit(&Message{Identity: "m", Class: 1, Left: 6 * time.Second, Reply: late})
-	for now := ended + a.After; now < ended+a.After+4*time.Second; now += 5 * ms {
+	for now := ended + a.RetryAfter; now < ended+a.RetryAfter+4*time.Second; now += 5 * ms {
 		r.at(now)
 	}
 	if len(late.answers) != 0 || len(r.calls) != n+1 {
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -135,8 +135,9 @@
 			r = &rig{}
 			boots++
 			seen = 0
-			c, err := New(Options{Seed: 1, Arrivals: 100, Identities: 100, Keep: time.Hour, Caller: r, Observer: r,
-				Clock: d.now, Journal: d, Names: Names{func(int) string { return "p" }, []string{"z"}},
+			c, err := New(Options{Seed: 1, InboxSize: 100, Identities: 100, Retention: time.Hour, Caller: r,
+				Observer: r,
+				Clock:    d.now, Journal: d, Names: Names{func(int) string { return "p" }, []string{"z"}},
 				Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms,
 					Cancels: true, Certain: true, ReportLimit: -1, MaxRetryAfter: time.Second,
 					Classes: crashClasses, Kinds: []choice.Kind{{PerCall: 1}},
@@ -145,9 +146,9 @@
 				t.Fatal(err)
 			}
 			r.Core = c
-			plan := recover.Decide(d.kept(), map[string]recover.Class{"status": {Deadline: 6 * time.Second},
-				"order": {Deadline: 6 * time.Second, Keep: true}, "charge": {Deadline: 6 * time.Second,
-					Keep: true}}, map[string]bool{"p": true}, time.Hour, 2*time.Second)
+			plan := recover.NewPlan(d.kept(), map[string]recover.Class{"status": {Deadline: 6 * time.Second},
+				"order": {Deadline: 6 * time.Second, RecordAttempts: true}, "charge": {Deadline: 6 * time.Second,
+					RecordAttempts: true}}, map[string]bool{"p": true}, time.Hour, 2*time.Second)
 			var messages []Restored
 			var ended []Ended
 			var waits []choice.Waited
@@ -156,10 +157,11 @@
 				items[m.Identity].taken = true // a front tells a client that comes again itself
 				messages = append(messages, Restored{Message: Message{Identity: m.Identity, Class: class, Key: m.Key,
 					Left: m.Left, Body: m.Body,
-					Reply: items[m.Identity]}, Seq: m.Seq, Attempts: m.Attempts, Ran: m.Ran, Since: m.Since})
+					Reply: items[m.Identity]}, Seq: m.Seq, Attempts: m.Attempts,
+					MayHaveRun: m.MayHaveRun, Since: m.SentAgo})
 			}
 			for _, e := range plan.Ends {
-				a := ledger.Answer{Verdict: ledger.Verdict(e.Verdict), After: time.Duration(e.After)}
+				a := ledger.Answer{Verdict: ledger.Verdict(e.Verdict), RetryAfter: time.Duration(e.After)}
 				ended = append(ended, Ended{Identity: e.Identity, Answer: a, Age: e.Age})
 				items[e.Identity].Answer(a) // as a front passes it on after a restart
 			}
@@ -281,7 +283,7 @@
 		attempts: map[uint64]map[int]journal.Attempt{}, ends: map[string]journal.End{},
 		waits: map[string]journal.Wait{}}
 	r := &rig{}
-	c, err := New(Options{Seed: 1, Arrivals: 100, Identities: 100, Keep: time.Hour, Caller: r, Observer: r,
+	c, err := New(Options{Seed: 1, InboxSize: 100, Identities: 100, Retention: time.Hour, Caller: r, Observer: r,
 		Clock: d.now, Journal: d, Names: Names{func(int) string { return "p" }, []string{"z"}},
 		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Certain: true,
 			ReportLimit: -1,
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -59,8 +59,8 @@
 	r := &rig{}
 	class := choice.Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: choice.Keyed,
 		Window: 2 * time.Second}
-	c, err := New(Options{Seed: 1, Arrivals: 20, Identities: 200, Keep: time.Minute, Caller: r, Observer: r,
-		Journal: j, Every: true,
+	c, err := New(Options{Seed: 1, InboxSize: 20, Identities: 200, Retention: time.Minute, Caller: r, Observer: r,
+		Journal: j, RecordAllAttempts: true,
 		Guard: &lifecycle.Guard{Strict: true},
 		Names: Names{Partner: func(int) string { return "p" }},
 		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * ms, Cancels: true,
@@ -132,7 +132,7 @@
 		}
 	}
 	told := false
-	r.Resolve(func() { told = true })
+	r.ResolveUndecided(func() { told = true })
 	r.at(r.now + ms)
 	if !told || !slices.Equal(written.held, []bool{true}) || !slices.Equal(unwritten.held, []bool{false}) {
 		t.Errorf("done %v, written %v, unwritten %v", told, written.held, unwritten.held)
@@ -208,17 +208,17 @@
 	restore := func(id string, seq uint64, since time.Duration) *reply {
 		re := &reply{}
 		r.Restore([]Restored{{Message: Message{Identity: id, Left: 5 * time.Second, Reply: re}, Seq: seq, Attempts: 1,
-			Ran:   true,
-			Since: since, Zone: 0}}, nil, nil, seq)
+			MayHaveRun: true,
+			Since:      since, Zone: 0}}, nil, nil, seq)
 		return re
 	}
 	restore("left", 1, 1200*ms)
 	over := restore("over", 2, 1800*ms)
 	r.at(500 * ms) // duration of the start
-	if len(r.calls) != 1 || r.calls[0].Name != "left" {
+	if len(r.calls) != 1 || r.calls[0].Identity != "left" {
 		t.Fatalf("%d calls, want one: the window of the other message is over", len(r.calls))
 	}
-	if w := r.calls[0].Within; w <= 0 || w > 300*ms+ms {
+	if w := r.calls[0].WriteWithin; w <= 0 || w > 300*ms+ms {
 		t.Errorf("to be sent within %v, want the rest of 2 s: about 300 ms", w)
 	}
 	if len(over.answers) != 1 || over.answers[0].Verdict != ledger.Failed {
@@ -230,7 +230,7 @@
 // not fit are sent in a further call.
 func TestLargeMessagesAreSentInSeparateCalls(t *testing.T) {
 	r, _ := newBatchRig(t)
-	r.opt.Together = 2000
+	r.opt.MaxCallBytes = 2000
 	r.List(choice.Listing{Whole: true}) // no endpoint until all messages are handed in
 	r.at(3 * ms)
 	for _, id := range []string{"a", "b", "c"} {
@@ -242,8 +242,8 @@
 	r.at(4 * ms)
 	r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
 	r.at(5 * ms)
-	if len(r.calls) != 2 || len(r.calls[0].Call.Several) != 2 || r.calls[1].Call.Several != nil ||
-		r.calls[1].Name != "c" {
+	if len(r.calls) != 2 || len(r.calls[0].Call.Items) != 2 || r.calls[1].Call.Items != nil ||
+		r.calls[1].Identity != "c" {
 		t.Fatalf("%d calls, want one with two messages and one with the third", len(r.calls))
 	}
 }
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -227,10 +227,10 @@
 	c.clearUnsettled(m.Identity)
 }
 
-// Resolve notifies all Deciders that wait for records which cannot be written, before the
+// ResolveUndecided notifies all Deciders that wait for records which cannot be written, before the
 // process ends: a message that the next run will hold counts as taken, the others are dropped.
 // done is called after the notifications.
-func (c *Core) Resolve(done func()) {
+func (c *Core) ResolveUndecided(done func()) {
 	_ = c.enqueue(event{call: func() {
 		c.runWritten()
 		for _, m := range c.undecidedInOrder() {
--- a/internal/core/records_test.go
+++ b/internal/core/records_test.go
@@ -75,7 +75,7 @@
 
 func (r *rig) submit(t *testing.T, id string, d *decider) {
 	t.Helper()
-	if err := r.Submit(&Message{Identity: id, Left: 5 * time.Second, Respond: respond, Reply: d}); err != nil {
+	if err := r.Submit(&Message{Identity: id, Left: 5 * time.Second, RespondWithin: respond, Reply: d}); err != nil {
 		t.Fatal(err)
 	}
 	r.at(r.now + ms)
@@ -115,7 +115,7 @@
 	j := newFailingDisk()
 	r := newJournalRig(t, j)
 	d := &decider{}
-	if err := r.Submit(&Message{Identity: "m", Left: 5 * time.Second, Respond: respond, Reply: d}); err != nil {
+	if err := r.Submit(&Message{Identity: "m", Left: 5 * time.Second, RespondWithin: respond, Reply: d}); err != nil {
 		t.Fatal(err)
 	}
 	r.opt.Journal = failsAfterTaken{j}
@@ -157,7 +157,7 @@
 	r.at(r.now + ms)
 	j.failing = true
 	d := &decider{}
-	if err := r.Submit(&Message{Identity: "m", Left: 5 * time.Second, Respond: respond, Now: true,
+	if err := r.Submit(&Message{Identity: "m", Left: 5 * time.Second, RespondWithin: respond, Immediate: true,
 		Reply: d}); err != nil {
 		t.Fatal(err)
 	}
@@ -223,10 +223,10 @@
 	if len(prompt.calls) != 1 || len(late.calls) != 1 {
 		t.Fatalf("%d and %d calls, want one each", len(prompt.calls), len(late.calls))
 	}
-	if got, want := late.calls[0].Patient, prompt.calls[0].Patient; got != want {
+	if got, want := late.calls[0].Timeout, prompt.calls[0].Timeout; got != want {
 		t.Errorf("a time-out of %v, want %v", got, want)
 	}
-	if late.at(late.now + late.calls[0].Patient - 20*ms); late.calls[0].aborted {
+	if late.at(late.now + late.calls[0].Timeout - 20*ms); late.calls[0].aborted {
 		t.Error("aborted before the time-out, counted from the first byte, was over")
 	}
 }
@@ -244,7 +244,7 @@
 	if len(r.log) > 0 {
 		t.Errorf("the module logged %q", r.log)
 	}
-	if left := 5*time.Second - r.now; r.calls[0].Patient > left+20*ms {
-		t.Errorf("a time-out of %v with %v left", r.calls[0].Patient, left)
+	if left := 5*time.Second - r.now; r.calls[0].Timeout > left+20*ms {
+		t.Errorf("a time-out of %v with %v left", r.calls[0].Timeout, left)
 	}
 }
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -20,7 +20,7 @@
 // recordHost records whether an endpoint fails and the wait that it asked for. A wait in force stays
 // in the record whatever the outcome of other calls.
 func (c *Core) recordHost(host string, e Ending) {
-	if c.opt.Journal == nil || c.opt.Forgetful {
+	if c.opt.Journal == nil || c.opt.SkipHostRecords {
 		return
 	}
 	was := c.recordedHosts[host]
@@ -58,25 +58,25 @@
 // Restored is a message of an earlier run that is not answered.
 type Restored struct {
 	Message
-	Seq      uint64
-	Attempts int           // attempts made
-	Ran      bool          // one of them may have run
-	Since    time.Duration // time since the first of those was sent
-	Zone     int           // zone that it was sent to; below 0 if it is not known any more
+	Seq        uint64
+	Attempts   int           // attempts made
+	MayHaveRun bool          // one of them may have run
+	Since      time.Duration // time since the first of those was sent
+	Zone       int           // zone that it was sent to; below 0 if it is not known any more
 }
 
 // Ended is an identity of an earlier run with its final answer.
 type Ended struct {
 	// Owed marks an answer that the client has not received. Until Settled the message keeps
 	// its place in the order of its key.
-	Owed     bool
-	Seq      uint64
-	Class    int
-	Key      string
-	Identity string
-	Answer   ledger.Answer
-	Age      time.Duration // time since the answer
-	Forget   bool          // may be evicted early: a repeat does no harm
+	Owed      bool
+	Seq       uint64
+	Class     int
+	Key       string
+	Identity  string
+	Answer    ledger.Answer
+	Age       time.Duration // time since the answer
+	Evictable bool          // may be evicted early: a repeat does no harm
 }
 
 // Restore loads the state of an earlier run, before Run. Ended identities are known at once;
@@ -94,7 +94,7 @@
 			owed = append(owed, choice.Restored{Arrival: choice.Arrival{ID: id, Class: e.Class, Key: e.Key},
 				Answered: true})
 		}
-		c.identityLedger.Restore(c.now-e.Age, e.Identity, id, e.Answer, e.Forget)
+		c.identityLedger.Restore(c.now-e.Age, e.Identity, id, e.Answer, e.Evictable)
 	}
 	for _, w := range waits {
 		n := hostState{c.now + w.Left, w.Failing}
@@ -109,14 +109,14 @@
 			id: strconv.FormatUint(r.Seq, 36)}
 		m.state = lifecycle.Message{ID: m.Identity, Repeat: repeatPolicies[k.Effect], Window: k.Window,
 			Due: m.deadline, Kept: true}
-		m.state.Restore(r.Ran, c.now-min(r.Since, math.MaxInt64/4))
+		m.state.Restore(r.MayHaveRun, c.now-min(r.Since, math.MaxInt64/4))
 		m.entry = c.identityLedger.Reopen(m.Identity, m.id, k.Effect == choice.Safe)
 		c.byEntry[m.entry] = m
 		c.byID[m.id] = m
 		c.unanswered++
 		restored = append(restored, &choice.Restored{Arrival: choice.Arrival{ID: m.id, Class: r.Class,
 			Dest: r.Partner, Left: r.Message.Left,
-			Key: r.Key}, Attempts: r.Attempts, Ran: r.Ran, Since: r.Since, Zone: r.Zone})
+			Key: r.Key}, Attempts: r.Attempts, Ran: r.MayHaveRun, Since: r.Since, Zone: r.Zone})
 	}
 	restoredAt := c.now
 	_ = c.enqueue(event{call: func() {
--- a/internal/core/retraction.go
+++ b/internal/core/retraction.go
@@ -77,8 +77,8 @@
 // this one was served: keys with frequent messages would otherwise wait after every response.
 func (c *Core) handleUnconfirmed(a *attempt, e Ending, served bool) {
 	m := a.msg
-	until := c.now + e.Unconfirmed
-	c.opt.Trace.Step(m.Identity, "unconfirmed", e.Unconfirmed.String())
+	until := c.now + e.ConfirmAfter
+	c.opt.Trace.Step(m.Identity, "unconfirmed", e.ConfirmAfter.String())
 	if nextWaits := m.state.Unconfirmed(until, served); nextWaits && c.ordered(m) {
 		key := orderKey{m.Partner, m.Key}
 		if c.retractions.heldKeys == nil {
@@ -91,7 +91,7 @@
 			}
 		})
 	}
-	if served || e.Over {
+	if served || e.Abandon {
 		c.rememberDelivered(m, a.attemptNo)
 	}
 }
@@ -113,7 +113,8 @@
 	d.deliveredOrder = append(d.deliveredOrder, m.id)
 	d.delivered[m.id] = delivered{retractableUntil: min(m.deadline, c.now+lifecycle.LongestDoubt), attemptNo: n,
 		journaled: m.journaled, end: journal.End{Seq: m.seq, Identity: m.Identity,
-			Class: c.opt.Settings.Classes[m.Class].Name, Verdict: uint8(ledger.Failed), Front: m.Front, Way: m.Way}}
+			Class: c.opt.Settings.Classes[m.Class].Name, Verdict: uint8(ledger.Failed),
+			Front: m.Front, Way: m.ReturnPath}}
 }
 
 // schedule adds a step that runDue runs at a time.
@@ -184,7 +185,7 @@
 // retractDelivered ends a delivered message as failed, once that is recorded.
 func (c *Core) retractDelivered(b attemptRef) {
 	x, known := c.retractions.delivered[b.id]
-	if !known || x.attemptNo != b.attemptNo || c.now > x.retractableUntil || c.opt.Undelivered == nil {
+	if !known || x.attemptNo != b.attemptNo || c.now > x.retractableUntil || c.opt.DeliveryRetracted == nil {
 		return
 	}
 	delete(c.retractions.delivered, b.id)
@@ -193,7 +194,7 @@
 	report := func() {
 		if !reported {
 			reported = true
-			c.opt.Undelivered(x.end.Identity)
+			c.opt.DeliveryRetracted(x.end.Identity)
 		}
 	}
 	if x.journaled {
@@ -235,7 +236,7 @@
 	case lifecycle.FailInstead:
 		c.answer(m, ledger.Answer{Verdict: ledger.Failed})
 	case lifecycle.RefuseNow:
-		c.answer(m, ledger.Answer{Verdict: ledger.Refused, After: after})
+		c.answer(m, ledger.Answer{Verdict: ledger.Refused, RetryAfter: after})
 	}
 }
 
@@ -277,9 +278,9 @@
 	})
 }
 
-// Waits reports a wait that an endpoint asked for in a response without a request. It may be the response
+// ReportWait reports a wait that an endpoint asked for in a response without a request. It may be the response
 // to a call that ended before, so the wait counts like any other.
-func (c *Core) Waits(host string, partner int, wait time.Duration) {
+func (c *Core) ReportWait(host string, partner int, wait time.Duration) {
 	_ = c.enqueue(event{call: func() {
 		c.batch = append(c.batch, choice.Waited{Host: host, Left: wait})
 		hosts := map[string]bool{host: true}
--- a/internal/core/retraction_test.go
+++ b/internal/core/retraction_test.go
@@ -11,7 +11,7 @@
 // finishUnconfirmed ends a call with a response that is unconfirmed for 100 ms.
 func (f *fakeCall) finishUnconfirmed(o choice.Outcome) {
 	f.ended = true
-	f.End(Ending{Outcome: o, Took: 20 * ms, Unconfirmed: 100 * ms, Unsettled: 100 * ms})
+	f.End(Ending{Outcome: o, Took: 20 * ms, ConfirmAfter: 100 * ms, RetractableFor: 100 * ms})
 }
 
 // sentMessage returns a rig with a message that was handed in and sent.
@@ -65,7 +65,7 @@
 		if at > 2*ms {
 			r.at(2 * ms)
 		}
-		r.calls[0].Doubted()
+		r.calls[0].Retract()
 		for now := at; now < 7*time.Second; now += 5 * ms {
 			r.at(now)
 		}
@@ -81,11 +81,11 @@
 	for _, class := range []int{0, unsafeClass} {
 		r, re := sentMessage(t, class)
 		var told []string
-		r.opt.Undelivered = func(identity string) { told = append(told, identity) }
+		r.opt.DeliveryRetracted = func(identity string) { told = append(told, identity) }
 		r.calls[0].finishUnconfirmed(choice.Served)
 		r.at(2 * ms)
-		r.calls[0].Doubted()
-		r.calls[0].Doubted()
+		r.calls[0].Retract()
+		r.calls[0].Retract()
 		r.at(300 * ms)
 		if verdicts([]*reply{re}) != "delivered " || fmt.Sprint(told) != "[m]" {
 			t.Errorf("answers %v, reported %v, want m once", re.answers, told)
@@ -136,7 +136,7 @@
 // response came before it.
 func TestWaitOfAnUnsolicitedResponseIsKept(t *testing.T) {
 	r, re := newRig(t), &reply{}
-	r.Waits("a", 0, 300*ms)
+	r.ReportWait("a", 0, 300*ms)
 	r.at(ms)
 	if err := r.handIn("m", 0, re, 6*time.Second); err != nil {
 		t.Fatal(err)
@@ -161,7 +161,7 @@
 		j := newFailingDisk()
 		r := newJournalRig(t, j)
 		told := 0
-		r.opt.Undelivered = func(string) { told++ }
+		r.opt.DeliveryRetracted = func(string) { told++ }
 		d := &decider{}
 		r.submit(t, "m", d)
 		if len(r.calls) != 1 {
@@ -170,7 +170,7 @@
 		r.calls[0].finishUnconfirmed(choice.Served)
 		r.at(r.now + ms)
 		j.failing = true
-		r.calls[0].Doubted()
+		r.calls[0].Retract()
 		if r.at(r.now + ms); told != 0 {
 			t.Error("reported before its record is written")
 		}
--- a/internal/core/several_test.go
+++ b/internal/core/several_test.go
@@ -19,7 +19,7 @@
 	class := choice.Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 1}
 	unsafe := class
 	unsafe.Effect = choice.Unsafe
-	c, err := New(Options{Seed: 1, Arrivals: 20, Identities: 20, Keep: time.Minute, Caller: r, Observer: r,
+	c, err := New(Options{Seed: 1, InboxSize: 20, Identities: 20, Retention: time.Minute, Caller: r, Observer: r,
 		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 2, Tick: 5 * ms, Cancels: true,
 			Certain: true, ReportLimit: -1, Classes: []choice.Class{class, unsafe}, Kinds: []choice.Kind{{PerCall: 3}},
 			Rules: choice.Rules{OverloadFactor: 2, Fall: time.Second, ColdFrom: 0.2, Cold: 5 * time.Second}}})
@@ -63,12 +63,12 @@
 // share calls up to the limit of the kind.
 func TestSeveralInOneCall(t *testing.T) {
 	r, all := newBatchRig(t, 1, 1, 1, 1)
-	if len(r.calls) != 2 || len(r.calls[0].Call.Several) != 3 || r.calls[1].Call.Several != nil ||
+	if len(r.calls) != 2 || len(r.calls[0].Call.Items) != 3 || r.calls[1].Call.Items != nil ||
 		len(r.timeouts) != 2 {
 		t.Fatalf("%d calls, %d timers", len(r.calls), len(r.timeouts))
 	}
-	for i, m := range r.calls[0].Call.Several {
-		if m.ID != fmt.Sprint("m", i) || len(m.Body) != 1 || m.Body[0] != byte(i) {
+	for i, m := range r.calls[0].Call.Items {
+		if m.Identity != fmt.Sprint("m", i) || len(m.Body) != 1 || m.Body[0] != byte(i) {
 			t.Errorf("%+v", m)
 		}
 	}
@@ -76,7 +76,7 @@
 	a.ended = true
 	a.Call.End(Ending{Outcome: choice.Served, Took: ms, Each: []Ending{{Outcome: choice.Served},
 		{Outcome: choice.Error},
-		{Outcome: choice.NotSent, Over: true}}})
+		{Outcome: choice.NotSent, Abandon: true}}})
 	r.calls[1].finish(choice.Served, 0)
 	r.at(3 * ms)
 	if got := verdicts(all); got != "delivered failed abandoned delivered " {
@@ -153,7 +153,7 @@
 	set := r.opt.Settings
 	set.Acknowledged, set.Classes = true, slices.Clone(set.Classes)
 	set.Classes[1].Ordered = true
-	c, err := New(Options{Seed: 1, Arrivals: 8, Identities: 8, Keep: time.Minute, Caller: r, Observer: r,
+	c, err := New(Options{Seed: 1, InboxSize: 8, Identities: 8, Retention: time.Minute, Caller: r, Observer: r,
 		Settings: set})
 	if err != nil {
 		t.Fatal(err)
@@ -187,7 +187,7 @@
 func TestResponseWithinTheLateMarginIsNoDelivery(t *testing.T) {
 	for at, want := range map[time.Duration]string{500 * ms: "delivered ", 950 * ms: "failed "} {
 		r := newRig(t)
-		r.opt.Late = 100 * ms
+		r.opt.LateMargin = 100 * ms
 		re := &reply{}
 		_ = r.handIn("m", 1, re, time.Second)
 		r.at(ms)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -185,8 +185,8 @@
 	var purse *budget.Book
 	for i := range s.Relays {
 		r := &relay{w: w, index: i, zone: i % s.Zones}
-		opt := core.Options{Seed: s.Seed + uint64(i), Arrivals: 1 << 20, Identities: 1 << 20,
-			Keep: time.Minute, Caller: r, Observer: r, Clock: func() time.Duration { return w.now },
+		opt := core.Options{Seed: s.Seed + uint64(i), InboxSize: 1 << 20, Identities: 1 << 20,
+			Retention: time.Minute, Caller: r, Observer: r, Clock: func() time.Duration { return w.now },
 			Settings: choice.Settings{Index: i, Fleet: believed, Listed: s.Size != nil && s.Size.Listed, Workers: 64, MaxHeld: 2000, MaxAttempts: 4,
 				Tick: 10 * time.Millisecond, Classes: classes, Kinds: []choice.Kind{{PerCall: 1, Apart: s.Size == nil}}, Cancels: true,
 				Certain: true, ReportLimit: -1, ZoneFee: fees(s.Zones, r.zone), Rules: choice.Rules{OverloadFactor: 2,
@@ -215,7 +215,7 @@
 				own = -1
 			}
 			r.toll = zone.NewToll(book, own)
-			opt.Toll = r.toll
+			opt.ZoneBudget = r.toll
 		}
 		var err error
 		if r.core, err = core.New(opt); err != nil {
@@ -411,7 +411,7 @@
 			}
 			a.ended = true
 			if bytes > 0 {
-				c.Passed.Add(bytes)
+				c.BytesPassed.Add(bytes)
 				w.cross(r, h, float64(bytes))
 			}
 			c.End(core.Ending{Outcome: o, Took: took})
@@ -427,7 +427,7 @@
 		end(choice.NoConnection, time.Millisecond, 0)
 		return a
 	}
-	c.Passed.Add(request)
+	c.BytesPassed.Add(request)
 	w.cross(r, h, request)
 	if h.mute {
 		return a
--- a/internal/hookfront/exchange.go
+++ b/internal/hookfront/exchange.go
@@ -31,7 +31,7 @@
 		return
 	}
 	status := http.StatusServiceUnavailable
-	if errors.Is(err, core.ErrKnown) {
+	if errors.Is(err, core.ErrDuplicate) {
 		status = http.StatusConflict
 	}
 	x.respond(func(c *conn) { c.say(status, "%v", err) })
@@ -62,7 +62,7 @@
 	switch x.answer.Verdict {
 	case ledger.Refused:
 		f.counts.Refused.Add(1)
-		x.respond(func(c *conn) { c.write(http.StatusTooManyRequests, retryAfter(x.answer.After), "") })
+		x.respond(func(c *conn) { c.write(http.StatusTooManyRequests, retryAfter(x.answer.RetryAfter), "") })
 	case ledger.Failed:
 		f.counts.Failed.Add(1)
 		x.respond(func(c *conn) { c.write(http.StatusInternalServerError, "", "") })
--- a/internal/hookfront/request.go
+++ b/internal/hookfront/request.go
@@ -38,8 +38,8 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &core.Message{Source: c.name, Identity: id, Class: class, Partner: dest, Once: true,
-		Left: max(time.Duration(left)*time.Millisecond-c.late(), time.Millisecond), Respond: c.respondWithin(),
+	m := &core.Message{Source: c.name, Identity: id, Class: class, Partner: dest, RejectKnown: true,
+		Left: max(time.Duration(left)*time.Millisecond-c.late(), time.Millisecond), RespondWithin: c.respondWithin(),
 		Front: Name, Body: r.Body}
 	key, n := r.Only(fieldIdempotency)
 	if n > 1 || len(key) > 256 || strings.ContainsFunc(key, func(c rune) bool { return c < ' ' || c >= 0x7f }) {
@@ -50,7 +50,7 @@
 	}
 	if f.opt.Ordered[class] {
 		m.Key = cookie(strings.Join(r.All("Cookie"), "; "), "about")
-		if m.Way = []byte(m.Key); len(m.Key) > 256 {
+		if m.ReturnPath = []byte(m.Key); len(m.Key) > 256 {
 			return nil, errors.New("Cookie: the key is over 256 bytes")
 		}
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -31,18 +31,18 @@
 // Answer is the one final answer of a message.
 type Answer struct {
 	Verdict Verdict
-	// After is the time after which a refused message should be handed in again; 0 for none.
-	After time.Duration
+	// RetryAfter is the time after which a refused message should be handed in again; 0 for none.
+	RetryAfter time.Duration
 }
 
 // Entry is the state of one identity.
 type Entry struct {
-	Identity string
-	ID       string        // relay's id of the message
-	Forget   bool          // may be evicted early: a repeat does no harm
-	Answer   Answer        // Verdict 0 while in progress
-	Ended    time.Duration // time of the answer
-	element  *list.Element // in the list of ended entries
+	Identity  string
+	ID        string        // relay's id of the message
+	Evictable bool          // may be evicted early: a repeat does no harm
+	Answer    Answer        // Verdict 0 while in progress
+	Ended     time.Duration // time of the answer
+	element   *list.Element // in the list of ended entries
 }
 
 // ErrFull is returned if a new identity could only be stored by evicting one that is in
@@ -73,12 +73,12 @@
 func (l *Ledger) Len() int { return len(l.entries) }
 
 // Find returns the entry of an identity, nil if there is none in force. A refusal is in
-// force for the time Answer.After: a later hand-in is the repeat that was asked for, and
+// force for the time Answer.RetryAfter: a later hand-in is the repeat that was asked for, and
 // is a new message. The entry of the refusal remains until Open replaces it.
 func (l *Ledger) Find(now time.Duration, identity string) *Entry {
 	l.expire(now)
 	e := l.entries[identity]
-	if e != nil && e.Answer.Verdict == Refused && now >= e.Ended+e.Answer.After {
+	if e != nil && e.Answer.Verdict == Refused && now >= e.Ended+e.Answer.RetryAfter {
 		return nil
 	}
 	return e
@@ -98,7 +98,7 @@
 		}
 		l.drop(l.evictable, oldest)
 	}
-	e := &Entry{Identity: identity, ID: id, Forget: forget}
+	e := &Entry{Identity: identity, ID: id, Evictable: forget}
 	l.entries[identity] = e
 	return e, nil
 }
@@ -111,7 +111,7 @@
 	}
 	e.Answer, e.Ended = a, now
 	ended := l.retained
-	if e.Forget || a.Verdict == Refused {
+	if e.Evictable || a.Verdict == Refused {
 		ended = l.evictable
 	}
 	e.element = ended.PushBack(e)
@@ -122,7 +122,7 @@
 // the capacity, since these identities have been accepted; Open then fails until
 // enough of them have ended or were removed.
 func (l *Ledger) Reopen(identity, id string, forget bool) *Entry {
-	e := &Entry{Identity: identity, ID: id, Forget: forget}
+	e := &Entry{Identity: identity, ID: id, Evictable: forget}
 	l.entries[identity] = e
 	return e
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.End(1, e, Answer{Verdict: Refused, After: time.Second})
+	l.End(1, e, Answer{Verdict: Refused, RetryAfter: time.Second})
 	if l.Find(time.Second, "a") != e {
 		t.Error("a refusal is not in force before its time is over")
 	}
--- a/internal/mqttfront/again_test.go
+++ b/internal/mqttfront/again_test.go
@@ -35,7 +35,7 @@
 func (d *door) answer(v ledger.Verdict) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.msgs[len(d.msgs)-1].Reply.Answer(ledger.Answer{Verdict: v, After: 10 * time.Millisecond})
+	d.msgs[len(d.msgs)-1].Reply.Answer(ledger.Answer{Verdict: v, RetryAfter: 10 * time.Millisecond})
 }
 
 // note is an answer as the client got it, with the packet id of its PUBLISH.
--- a/internal/mqttfront/answers.go
+++ b/internal/mqttfront/answers.go
@@ -121,7 +121,7 @@
 
 func (s *session) encode(p *pending, qos byte, dup bool) []byte {
 	n := Note{Answer: p.answer.Verdict.String(), PacketID: p.packet,
-		RetryAfterMS: int64(math.Ceil(float64(p.answer.After) / float64(time.Millisecond)))}
+		RetryAfterMS: int64(math.Ceil(float64(p.answer.RetryAfter) / float64(time.Millisecond)))}
 	payload, _ := json.Marshal(n) // of plain fields: cannot fail
 	out := mqtt.Publish{Topic: p.topic, QoS: qos, ID: p.out, Dup: dup, Payload: payload}
 	if s.version == mqtt.V5 {
--- a/internal/mqttfront/handin.go
+++ b/internal/mqttfront/handin.go
@@ -136,7 +136,7 @@
 		m.Identity = fl.identity
 	}
 	if f.opt.Keeper != nil {
-		m.Front, m.Way = Name, opened.way(fl.qos)
+		m.Front, m.ReturnPath = Name, opened.way(fl.qos)
 	}
 	s.expect(opened)
 	if err := f.opt.Door.Submit(m); err != nil {
--- a/internal/partner/attribution.go
+++ b/internal/partner/attribution.go
@@ -80,12 +80,12 @@
 	if belief == lifecycle.Own || belief == lifecycle.Likely {
 		c.conduct.Took(now, cn.host, now-k.writtenAt)
 	}
-	served := len(k.Several) == 0 && cn.resp.firstStatus >= http.StatusOK &&
+	served := len(k.Items) == 0 && cn.resp.firstStatus >= http.StatusOK &&
 		cn.resp.firstStatus < http.StatusMultipleChoices
 	doubted := func() {
 		cn.reportBreach(lifecycle.AnswerRetracted, k)
-		if k.Doubted != nil {
-			k.Doubted()
+		if k.Retract != nil {
+			k.Retract()
 		}
 	}
 	wait, unsettled := cn.state.Answered(now, c.conduct.Usual(cn.host), belief, served, doubted)
@@ -265,19 +265,19 @@
 
 // messageNames returns the names of the messages in the call.
 func (k *call) messageNames() []string {
-	if len(k.Several) == 0 {
-		return []string{k.Name}
+	if len(k.Items) == 0 {
+		return []string{k.Identity}
 	}
-	all := make([]string, len(k.Several))
-	for i, m := range k.Several {
-		all[i] = m.ID
+	all := make([]string, len(k.Items))
+	for i, m := range k.Items {
+		all[i] = m.Identity
 	}
 	return all
 }
 
 // bears returns whether the messages of the call may be repeated.
 func (k *call) bears() lifecycle.Bears {
-	if k.Once {
+	if k.NoDuplicates {
 		return lifecycle.Once
 	}
 	return lifecycle.Repeats
--- a/internal/partner/attribution_test.go
+++ b/internal/partner/attribution_test.go
@@ -68,8 +68,9 @@
 func sendDoubtable(t *testing.T, c *Caller, name string, several ...core.Item) (core.Ending, chan string) {
 	t.Helper()
 	ended, doubted := make(chan core.Ending, 1), make(chan string, 1)
-	c.Send(core.Call{ID: "m", Name: name, Host: "h", Body: []byte("body"), Patient: 10 * time.Second, Several: several,
-		End: func(e core.Ending) { ended <- e }, Doubted: func() { doubted <- name }})
+	c.Send(core.Call{ID: "m", Identity: name, Host: "h", Body: []byte("body"), Timeout: 10 * time.Second,
+		Items: several,
+		End:   func(e core.Ending) { ended <- e }, Retract: func() { doubted <- name }})
 	select {
 	case e := <-ended:
 		return e, doubted
@@ -91,8 +92,8 @@
 	// A usual answer time of a minute: the second answer is still unconfirmed when the bytes come.
 	c.conduct.Took(c.now(), "h", time.Minute)
 	second, doubted := sendDoubtable(t, c, "second")
-	if first.Outcome != choice.Served || first.Unconfirmed != 0 ||
-		second.Outcome != choice.Refused || second.Unconfirmed == 0 {
+	if first.Outcome != choice.Served || first.ConfirmAfter != 0 ||
+		second.Outcome != choice.Refused || second.ConfirmAfter == 0 {
 		t.Fatalf("first call ended with %+v, second with %+v", first, second)
 	}
 	host.unasked <- "HTTP/1.1 429 T\r\nX-RateLimit-Wait-Ms: 250\r\nContent-Length: 0\r\n\r\n"
@@ -104,7 +105,7 @@
 	}
 	waitFor(t, "closed", func() bool { return c.Connections("h") == 0 })
 	for i := range 3 {
-		if e, _ := sendDoubtable(t, c, "later"); e.Outcome != choice.Served || e.Unconfirmed != 0 {
+		if e, _ := sendDoubtable(t, c, "later"); e.Outcome != choice.Served || e.ConfirmAfter != 0 {
 			t.Errorf("call %d after the unsolicited bytes: %+v", i, e)
 		}
 	}
@@ -133,12 +134,13 @@
 func TestAnswerThatNamesOtherMessagesIsSkipped(t *testing.T) {
 	host := startScripted(t, list("delivered", "a", "b"), list("delivered", "a", "b")+list("refused", "c", "d"))
 	c := hookCaller(t, host.addr)
-	if e, _ := sendDoubtable(t, c, "", core.Item{ID: "a"}, core.Item{ID: "b"}); e.Each[0].Outcome != choice.Served {
+	if e, _ := sendDoubtable(t, c, "", core.Item{Identity: "a"},
+		core.Item{Identity: "b"}); e.Each[0].Outcome != choice.Served {
 		t.Fatalf("%+v", e)
 	}
-	e, _ := sendDoubtable(t, c, "", core.Item{ID: "c"}, core.Item{ID: "d"})
+	e, _ := sendDoubtable(t, c, "", core.Item{Identity: "c"}, core.Item{Identity: "d"})
 	if len(e.Each) != 2 || e.Each[0].Outcome != choice.Refused || e.Each[1].Outcome != choice.Refused ||
-		e.Unconfirmed != 0 {
+		e.ConfirmAfter != 0 {
 		t.Errorf("%+v, want both messages refused", e)
 	}
 	if counts := c.Refusals(); counts[lifecycle.AnswerForeign] != 1 {
@@ -190,8 +192,8 @@
 		}
 		sendDoubtable(t, c, "first")
 		ended := make(chan core.Ending, 1)
-		c.Send(core.Call{ID: "m", Name: "large", Host: "h", Body: make([]byte, large),
-			Patient: 10 * time.Second, End: func(e core.Ending) { ended <- e }})
+		c.Send(core.Call{ID: "m", Identity: "large", Host: "h", Body: make([]byte, large),
+			Timeout: 10 * time.Second, End: func(e core.Ending) { ended <- e }})
 		e := <-ended
 		if e.Outcome != want.Outcome || e.Wait != want.Wait {
 			t.Errorf("platform %v: %+v, want %+v", platform, e, want)
--- a/internal/partner/call.go
+++ b/internal/partner/call.go
@@ -42,7 +42,7 @@
 func (k *call) write(cn *conn) bool {
 	request := k.request() // a single write: the engine's Writev loses buffers after a partial write
 	k.mu.Lock()
-	may, late := k.state.MayWrite(time.Since(k.began), k.Within)
+	may, late := k.state.MayWrite(time.Since(k.began), k.WriteWithin)
 	if !may {
 		k.mu.Unlock()
 		if late { // past the window in which the host recognises a repeat: it might take effect again
@@ -63,13 +63,13 @@
 	cn.beginCall(k)
 	cn.resp.reset(k.caller.opt.Limits)
 	cn.resp.hook = k.caller.opt.Hook != nil
-	cn.resp.keepContent = cn.resp.hook && (len(k.Several) > 0 || cn.state.Turn() > 1)
+	cn.resp.keepContent = cn.resp.hook && (len(k.Items) > 0 || cn.state.Turn() > 1)
 	if cn.tls == nil { // with TLS, each TLS record is counted when it is written
 		cn.queued.Add(int64(len(request)))
 	}
 	cn.mu.Unlock()
 	k.conn = cn
-	cn.account.Store(&account{k.Class, k.Partner, k.Zone, k.Passed})
+	cn.account.Store(&account{k.Class, k.Partner, k.Zone, k.BytesPassed})
 	if t := k.caller.opt.Traffic; t != nil {
 		t.Call(k.Class, k.Partner, k.Zone)
 	}
@@ -88,15 +88,15 @@
 
 // send writes a request, but nothing of it past the window in which the host recognises a repeat.
 func (k *call) send(cn *conn, request []byte) (int, error) {
-	if k.Within == 0 || cn.tls != nil {
+	if k.WriteWithin == 0 || cn.tls != nil {
 		return cn.writer.Write(request)
 	}
-	return cn.sock.WriteBy(request, k.began.Add(k.Within))
+	return cn.sock.WriteBy(request, k.began.Add(k.WriteWithin))
 }
 
 func (k *call) request() []byte {
 	if h := k.caller.opt.Hook; h != nil {
-		return h.request(&k.Call, k.Patient-time.Since(k.began))
+		return h.request(&k.Call, k.Timeout-time.Since(k.began))
 	}
 	return append(k.head(), k.Body...)
 }
@@ -109,14 +109,14 @@
 	if host == "" {
 		host = k.Host
 	}
-	b := make([]byte, 0, 256+len(t.Path)+len(host)+len(k.Key)+len(k.Idem))
+	b := make([]byte, 0, 256+len(t.Path)+len(host)+len(k.Key)+len(k.IdempotencyKey))
 	b = append(append(append(b, "POST "...), t.Path...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(k.Body)), 10)
 	b = append(append(b, "\r\nVia: 1.1 "...), k.caller.opt.Name...)
 	b = append(append(b, "\r\nMessage-Class: "...), k.caller.opt.Classes[k.Class]...)
-	if k.Idem != "" {
-		b = appendValue(append(b, "\r\nIdempotency-Key: \""...), k.Idem)
+	if k.IdempotencyKey != "" {
+		b = appendValue(append(b, "\r\nIdempotency-Key: \""...), k.IdempotencyKey)
 		b = append(b, '"')
 	}
 	if k.Key != "" {
@@ -157,7 +157,7 @@
 	now := time.Now()
 	e := k.ending(ev, r, now)
 	e.Took = now.Sub(k.began)
-	e.Unconfirmed, e.Unsettled = attr.wait, attr.unsettled
+	e.ConfirmAfter, e.RetractableFor = attr.wait, attr.unsettled
 	k.discount(&e, attr.belief)
 	k.End(e)
 }
--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -53,7 +53,7 @@
 func (cn *conn) sawOK(k *call) (belief lifecycle.Belief, ok bool) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	if cn.call != k || !cn.resp.hook || len(k.Several) > 0 || cn.resp.firstStatus != http.StatusOK {
+	if cn.call != k || !cn.resp.hook || len(k.Items) > 0 || cn.resp.firstStatus != http.StatusOK {
 		return lifecycle.Nobodys, false
 	}
 	return cn.attributeLast(k), true
@@ -150,7 +150,7 @@
 		return nil, false
 	}
 	if !cn.resp.Done() {
-		if r.hook && r.firstStatus == http.StatusOK && len(k.Several) == 0 && cn.allSent() {
+		if r.hook && r.firstStatus == http.StatusOK && len(k.Items) == 0 && cn.allSent() {
 			cn.endAtStatusLine(k, &r)
 			return nil, false
 		}
@@ -249,7 +249,7 @@
 	case whole: // content delimited by the close is complete now
 		k.endWith(answered, &final, attribution{belief: belief})
 	default:
-		if final.hook && final.firstStatus == http.StatusOK && len(k.Several) == 0 {
+		if final.hook && final.firstStatus == http.StatusOK && len(k.Items) == 0 {
 			k.endWith(malformed, &final, attribution{belief: belief})
 			return
 		}
--- a/internal/partner/connect_test.go
+++ b/internal/partner/connect_test.go
@@ -145,8 +145,8 @@
 	})
 	c := secureCaller(t, client, addr.PoolSettings{MaxIdle: 4, MaxConnecting: 4})
 	end := func(core.Ending) { t.Error("End was called after Abort or Recall") }
-	first := c.Send(core.Call{Host: at, Patient: time.Minute, End: end})
-	second := c.Send(core.Call{Host: at, Patient: time.Minute, End: end})
+	first := c.Send(core.Call{Host: at, Timeout: time.Minute, End: end})
+	second := c.Send(core.Call{Host: at, Timeout: time.Minute, End: end})
 	<-shaking
 	<-shaking
 	if started, was := first.Abort(); started || !was {
@@ -233,7 +233,7 @@
 	}
 	ended := make(chan core.Ending, 2)
 	send := func(within time.Duration) {
-		c.Send(core.Call{Host: "e", Patient: within, End: func(e core.Ending) { ended <- e }})
+		c.Send(core.Call{Host: "e", Timeout: within, End: func(e core.Ending) { ended <- e }})
 	}
 	ending := func() core.Ending {
 		waitFor(t, "the end of the call", func() bool { return len(ended) > 0 })
@@ -273,7 +273,7 @@
 	})
 	c := secureCaller(t, nil, addr.PoolSettings{MaxIdle: 4, MaxConnecting: 4})
 	first, held, release := make(chan core.Ending, 1), make(chan struct{}), make(chan struct{})
-	c.Send(core.Call{Host: at, Patient: time.Minute, End: func(e core.Ending) { first <- e; close(held); <-release }})
+	c.Send(core.Call{Host: at, Timeout: time.Minute, End: func(e core.Ending) { first <- e; close(held); <-release }})
 	<-held
 	if e := <-first; e.Outcome != choice.Served {
 		t.Fatalf("outcome %d", e.Outcome)
@@ -282,7 +282,7 @@
 	<-closed
 	time.Sleep(10 * time.Millisecond) // for the FIN to arrive over loopback
 	ended := make(chan core.Ending, 1)
-	c.Send(core.Call{Host: at, Patient: time.Minute, End: func(e core.Ending) { ended <- e }})
+	c.Send(core.Call{Host: at, Timeout: time.Minute, End: func(e core.Ending) { ended <- e }})
 	if e := <-ended; e.Outcome != choice.Served {
 		t.Errorf("outcome %d", e.Outcome)
 	}
@@ -433,7 +433,7 @@
 	}
 	c.mu.Unlock()
 	ended := make(chan core.Ending, 2)
-	c.Send(core.Call{Host: "e", Patient: time.Minute, End: func(e core.Ending) { ended <- e }})
+	c.Send(core.Call{Host: "e", Timeout: time.Minute, End: func(e core.Ending) { ended <- e }})
 	select {
 	case e := <-ended:
 		t.Fatalf("before any address: outcome %d", e.Outcome)
@@ -443,7 +443,7 @@
 	if e := <-ended; e.Outcome != choice.Served {
 		t.Errorf("outcome %d", e.Outcome)
 	}
-	c.Send(core.Call{Host: "never", Patient: 50 * time.Millisecond, End: func(e core.Ending) { ended <- e }})
+	c.Send(core.Call{Host: "never", Timeout: 50 * time.Millisecond, End: func(e core.Ending) { ended <- e }})
 	if e := <-ended; e.Outcome != choice.NoConnection {
 		t.Errorf("without an address: outcome %d", e.Outcome)
 	}
--- a/internal/partner/hook.go
+++ b/internal/partner/hook.go
@@ -38,10 +38,10 @@
 // request returns a complete request. Names and keys were validated when the message was received.
 func (h *Hook) request(c *core.Call, left time.Duration) []byte {
 	path, body := "/hook", c.Body
-	if len(c.Several) > 0 {
-		items := make([]item, len(c.Several))
-		for i, m := range c.Several {
-			items[i] = item{m.ID, m.Key, m.Body}
+	if len(c.Items) > 0 {
+		items := make([]item, len(c.Items))
+		for i, m := range c.Items {
+			items[i] = item{m.Identity, m.Key, m.Body}
 			if key := idempotencyKey(m.Head); key != "" {
 				items[i].Key = key
 			}
@@ -55,13 +55,13 @@
 	b := make([]byte, 0, 256+len(body))
 	b = append(append(append(b, "POST "...), path...), " HTTP/1.1\r\nHost: "...)
 	b = append(b, h.Host...)
-	if len(c.Several) == 0 {
-		b = append(append(b, "\r\n"+fieldID+": "...), c.Name...)
+	if len(c.Items) == 0 {
+		b = append(append(b, "\r\n"+fieldID+": "...), c.Identity...)
 	}
 	b = strconv.AppendInt(append(b, "\r\n"+fieldRemaining+": "...), max(1, left.Milliseconds()), 10)
 	b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(body)), 10)
 	b = append(b, "\r\n"...)
-	if len(c.Several) == 0 {
+	if len(c.Items) == 0 {
 		b = append(b, c.Head...)
 	}
 	return append(append(b, "\r\n"...), body...)
@@ -104,7 +104,7 @@
 // answeredEarly, a complete response before the call was written, counts as answered. A wait that
 // any of the responses announces is applied.
 func (h *Hook) ending(ev event, r *response, c *core.Call) core.Ending {
-	several := len(c.Several) > 0
+	several := len(c.Items) > 0
 	switch ev {
 	case notTried:
 		return core.Ending{Outcome: choice.NotSent}
@@ -118,7 +118,7 @@
 		}
 		return core.Ending{Outcome: choice.Error}
 	}
-	e := core.Ending{Outcome: choice.Error, Wait: parseWaitMs(r.wait), Report: h.parseReport(r.loadReport)}
+	e := core.Ending{Outcome: choice.Error, Wait: parseWaitMs(r.wait), LoadReport: h.parseReport(r.loadReport)}
 	switch r.status {
 	case http.StatusOK:
 		if e.Outcome = choice.Served; several {
@@ -131,9 +131,9 @@
 			e.Outcome = choice.NotSent
 		}
 	case http.StatusGatewayTimeout:
-		e.Outcome, e.Spent = choice.NotSent, true
+		e.Outcome, e.AttemptsUsedUp = choice.NotSent, true
 	case http.StatusGone:
-		e.Outcome, e.Over = choice.NotSent, true
+		e.Outcome, e.Abandon = choice.NotSent, true
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
 		if several {
 			e.Outcome = choice.NotSent
@@ -155,18 +155,18 @@
 	for _, x := range ends {
 		states[x.ID] = x.State
 	}
-	e.Each = make([]core.Ending, len(c.Several))
-	for i, m := range c.Several {
-		x := core.Ending{Outcome: choice.Error, Wait: e.Wait, Report: e.Report}
-		switch states[m.ID] {
+	e.Each = make([]core.Ending, len(c.Items))
+	for i, m := range c.Items {
+		x := core.Ending{Outcome: choice.Error, Wait: e.Wait, LoadReport: e.LoadReport}
+		switch states[m.Identity] {
 		case "delivered":
 			x.Outcome = choice.Served
 		case "refused":
 			x.Outcome = choice.Refused
 		case "over":
-			x.Outcome, x.Over = choice.NotSent, true
+			x.Outcome, x.Abandon = choice.NotSent, true
 		case "spent":
-			x.Outcome, x.Spent = choice.NotSent, true
+			x.Outcome, x.AttemptsUsedUp = choice.NotSent, true
 		}
 		e.Each[i] = x
 	}
--- a/internal/partner/hook_test.go
+++ b/internal/partner/hook_test.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	ended := make(chan core.Ending, 2)
 	// hook makes one call, with a time-out, and returns its end.
-	call := core.Call{ID: "m", Name: "name-1", Host: "h", Body: []byte("body"), Patient: patient, Several: several,
+	call := core.Call{ID: "m", Identity: "name-1", Host: "h", Body: []byte("body"), Timeout: patient, Items: several,
 		End: func(e core.Ending) { ended <- e }}
 	a := c.Send(call)
 	go func() { // the core aborts calls on time-out like this
@@ -88,10 +88,11 @@
 		{"refused, no wait", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.Refused}},
 		{"slots", "HTTP/1.1 503 U\r\nX-Over-Slots: 1\r\nContent-Length: 0\r\n\r\n",
 			core.Ending{Outcome: choice.NotSent}},
-		{"spent", "HTTP/1.1 504 G\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.NotSent, Spent: true}},
-		{"over", "HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.NotSent, Over: true}},
+		{"spent", "HTTP/1.1 504 G\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.NotSent,
+			AttemptsUsedUp: true}},
+		{"over", "HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n", core.Ending{Outcome: choice.NotSent, Abandon: true}},
 		{"report", "HTTP/1.1 200 OK\r\nX-Pressure: {\"x0\":0.5,\"x1\":25}\r\nContent-Length: 0\r\n\r\n",
-			core.Ending{Outcome: choice.Served, Report: []float64{0.5, 25}}},
+			core.Ending{Outcome: choice.Served, LoadReport: []float64{0.5, 25}}},
 		{"report invalid", "HTTP/1.1 200 OK\r\nX-Pressure: {\"x0\":\r\nContent-Length: 0\r\n\r\n",
 			core.Ending{Outcome: choice.Served}},
 		{"interim responses first",
@@ -185,7 +186,7 @@
 	c.SetAddresses(all)
 	ended := make(chan core.Ending, 20)
 	for i := range 20 {
-		c.Send(core.Call{Name: "m", Host: fmt.Sprint("h", i), Patient: time.Minute,
+		c.Send(core.Call{Identity: "m", Host: fmt.Sprint("h", i), Timeout: time.Minute,
 			End: func(e core.Ending) { ended <- e }})
 		if e := <-ended; e.Outcome != choice.Served {
 			t.Fatalf("%+v", e)
@@ -223,14 +224,14 @@
 	}))
 	var items []core.Item
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g"} {
-		items = append(items, core.Item{ID: id, Key: "k" + id, Body: []byte("body " + id)})
+		items = append(items, core.Item{Identity: id, Key: "k" + id, Body: []byte("body " + id)})
 	}
 	e := callHook(t, c, time.Minute, items...)
 	if path != "/hook/batch" || len(got) != 7 || got[2].Key != "kc" || string(got[2].Body) != "body c" {
 		t.Errorf("path %s, items %+v", path, got)
 	}
 	want := []core.Ending{{Outcome: choice.Served}, {Outcome: choice.Error}, {Outcome: choice.Refused},
-		{Outcome: choice.NotSent, Over: true}, {Outcome: choice.NotSent, Spent: true},
+		{Outcome: choice.NotSent, Abandon: true}, {Outcome: choice.NotSent, AttemptsUsedUp: true},
 		{Outcome: choice.Error}, {Outcome: choice.Error}}
 	for i := range want {
 		want[i].Wait = 40 * time.Millisecond
@@ -277,9 +278,9 @@
 	var calls atomic.Int32
 	c := hookCaller(t, serving(t, func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
 	ended := make(chan core.Ending, 1)
-	c.Send(core.Call{ID: "m", Name: "late", Host: "h", Patient: 10 * time.Second, Within: 1,
+	c.Send(core.Call{ID: "m", Identity: "late", Host: "h", Timeout: 10 * time.Second, WriteWithin: 1,
 		End: func(e core.Ending) { ended <- e }})
-	if e := <-ended; e.Outcome != choice.NotSent || e.Over || e.Spent {
+	if e := <-ended; e.Outcome != choice.NotSent || e.Abandon || e.AttemptsUsedUp {
 		t.Errorf("%+v, want NotSent", e)
 	}
 	if e := callHook(t, c, 10*time.Second); e.Outcome != choice.Served || calls.Load() != 1 {
@@ -299,14 +300,14 @@
 	}))
 	ended := make(chan core.Ending, 1)
 	head := []byte("Idempotency-Key: key-1\r\n")
-	c.Send(core.Call{ID: "m", Name: "one", Host: "h", Head: head, Body: []byte("x"), Patient: 10 * time.Second,
+	c.Send(core.Call{ID: "m", Identity: "one", Host: "h", Head: head, Body: []byte("x"), Timeout: 10 * time.Second,
 		End: func(e core.Ending) { ended <- e }})
 	<-ended
 	if s := <-calls; s.field != "key-1" || s.body != "x" {
 		t.Errorf("one message: %+v", s)
 	}
-	c.Send(core.Call{ID: "m", Host: "h", Patient: 10 * time.Second, End: func(e core.Ending) { ended <- e },
-		Several: []core.Item{{ID: "a", Key: "order", Head: head}, {ID: "b", Key: "order"}, {ID: "c"}}})
+	c.Send(core.Call{ID: "m", Host: "h", Timeout: 10 * time.Second, End: func(e core.Ending) { ended <- e },
+		Items: []core.Item{{Identity: "a", Key: "order", Head: head}, {Identity: "b", Key: "order"}, {Identity: "c"}}})
 	<-ended
 	want := `[{"id":"a","key":"key-1","body":""},{"id":"b","key":"order","body":""},{"id":"c","key":"","body":""}]`
 	if s := <-calls; s.field != "" || s.body != want {
--- a/internal/partner/partner_test.go
+++ b/internal/partner/partner_test.go
@@ -63,7 +63,7 @@
 func do(t *testing.T, c *Caller, host string, body []byte) core.Ending {
 	t.Helper()
 	ended := make(chan core.Ending, 2)
-	c.Send(core.Call{ID: "m", Host: host, Idem: "i d\"\r\n", Key: "k", Body: body, Patient: 5 * time.Second,
+	c.Send(core.Call{ID: "m", Host: host, IdempotencyKey: "i d\"\r\n", Key: "k", Body: body, Timeout: 5 * time.Second,
 		End: func(e core.Ending) { ended <- e }})
 	select {
 	case e := <-ended:
@@ -222,7 +222,7 @@
 	}
 	ended := make(chan core.Ending, 2)
 	send := func() core.Attempt {
-		return c.Send(core.Call{Host: host, Patient: 10 * time.Second, End: func(e core.Ending) { ended <- e }})
+		return c.Send(core.Call{Host: host, Timeout: 10 * time.Second, End: func(e core.Ending) { ended <- e }})
 	}
 	if started, ok := send().Abort(); started || !ok {
 		t.Errorf("abort: started %v, ok %v", started, ok)
@@ -247,7 +247,7 @@
 	both := map[string]int{}
 	for i := range 300 {
 		ended := make(chan core.Ending, 2)
-		a := c.Send(core.Call{Host: host, Patient: time.Second, End: func(e core.Ending) { ended <- e }})
+		a := c.Send(core.Call{Host: host, Timeout: time.Second, End: func(e core.Ending) { ended <- e }})
 		time.Sleep(time.Duration(i) * time.Microsecond)
 		started, ok := a.Abort()
 		switch {
--- a/internal/partner/pool.go
+++ b/internal/partner/pool.go
@@ -88,7 +88,7 @@
 			return
 		}
 		if k.dial == nil || k.dial.finished {
-			p.dial(k, k.Patient-time.Since(k.began))
+			p.dial(k, k.Timeout-time.Since(k.began))
 		}
 	}
 }
--- a/internal/partner/race_test.go
+++ b/internal/partner/race_test.go
@@ -51,7 +51,7 @@
 	}
 	ended := make(chan core.Ending, 4)
 	send := func(within time.Duration) core.Attempt {
-		return c.Send(core.Call{Host: "dead", Patient: within, End: func(e core.Ending) { ended <- e }})
+		return c.Send(core.Call{Host: "dead", Timeout: within, End: func(e core.Ending) { ended <- e }})
 	}
 	if started, ok := send(time.Minute).Abort(); started || !ok {
 		t.Errorf("abort: %v, %v", started, ok)
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -156,7 +156,7 @@
 	n.caller, err = partner.New(partner.Options{Name: cfg.Name, Hook: &partner.Hook{Host: cfg.Name, Columns: s.Columns},
 		Limits: http1.Limits{Header: headerBytes, Body: bodyBytes}, Pool: b.Keep, DialTimeout: s.DialTimeout,
 		MaxOpen: b.Hosts, PeerRefused: n.refusedOf,
-		UnsolicitedWait: func(host string, dest int, wait time.Duration) { n.core.Waits(host, dest, wait) },
+		UnsolicitedWait: func(host string, dest int, wait time.Duration) { n.core.ReportWait(host, dest, wait) },
 		Trace:           trace(log), TrustPeers: os.Getenv(trustVariable) != ""})
 	if err != nil {
 		return nil, err
@@ -171,9 +171,9 @@
 		longest = max(longest, k.Deadline)
 		ordered = append(ordered, k.Ordered)
 	}
-	n.core, err = core.New(core.Options{Settings: set, Seed: cfg.Seed, Arrivals: b.Clients, Identities: b.Identities, Keep: longest,
-		Caller: n.caller, Observer: n.watch, Journal: n.keep, Every: true, Together: bodyBytes, Forgetful: true, Late: clientWaits,
-		Names: core.Names{Partner: strconv.Itoa}, Guard: n.guard, Trace: trace(log), Undelivered: n.undelivered})
+	n.core, err = core.New(core.Options{Settings: set, Seed: cfg.Seed, InboxSize: b.Clients, Identities: b.Identities, Retention: longest,
+		Caller: n.caller, Observer: n.watch, Journal: n.keep, RecordAllAttempts: true, MaxCallBytes: bodyBytes, SkipHostRecords: true, LateMargin: clientWaits,
+		Names: core.Names{Partner: strconv.Itoa}, Guard: n.guard, Trace: trace(log), DeliveryRetracted: n.undelivered})
 	if err != nil {
 		return nil, err
 	}
@@ -243,7 +243,7 @@
 	classes, dests := map[string]recover.Class{}, map[string]bool{}
 	longest := time.Duration(0)
 	for _, c := range cfg.Settings.Classes {
-		classes[c.Name] = recover.Class{Deadline: c.Deadline, Keep: c.Effect != choice.Safe}
+		classes[c.Name] = recover.Class{Deadline: c.Deadline, RecordAttempts: c.Effect != choice.Safe}
 		longest = max(longest, c.Deadline)
 	}
 	for _, m := range k.Messages {
@@ -252,7 +252,7 @@
 		}
 	}
 	k.ThisRun = now
-	return recover.Decide(k, classes, dests, longest, 0), classes
+	return recover.NewPlan(k, classes, dests, longest, 0), classes
 }
 
 // restore goes on with what an earlier run left.
@@ -264,16 +264,16 @@
 	plan, classes := plan(n.cfg, k, n.keep.Now())
 	var ended []core.Ended
 	for _, e := range plan.Ends {
-		a := ledger.Answer{Verdict: ledger.Verdict(e.Verdict), After: time.Duration(e.After)}
+		a := ledger.Answer{Verdict: ledger.Verdict(e.Verdict), RetryAfter: time.Duration(e.After)}
 		wait := !e.Handed && (a.Verdict == ledger.Refused || a.Verdict == ledger.Failed)
 		if wait {
 			owed++
 			n.said.Add(e.Identity, a)
 		}
 		ended = append(ended, core.Ended{Identity: e.Identity, Answer: a, Age: e.Age, Owed: wait, Seq: e.Seq,
-			Class: n.cfg.Settings.Lanes[e.Class], Key: string(e.Way), Forget: !classes[e.Class].Keep})
+			Class: n.cfg.Settings.Lanes[e.Class], Key: string(e.Way), Evictable: !classes[e.Class].RecordAttempts})
 	}
-	for _, identity := range plan.Drop {
+	for _, identity := range plan.ExpiredIdentities {
 		n.keep.Forget(identity)
 	}
 	var messages []core.Restored
@@ -290,8 +290,8 @@
 			zone = z
 		}
 		messages = append(messages, core.Restored{Message: core.Message{Source: m.Source, Identity: m.Identity,
-			Class: n.cfg.Settings.Lanes[m.Class], Partner: number(m.Partner), Key: m.Key, Left: m.Left, Front: m.Front, Way: m.Way,
-			Head: m.Head, Body: m.Body, Once: true, Reply: reply}, Seq: m.Seq, Attempts: m.Attempts, Ran: m.Ran, Since: m.Since, Zone: zone})
+			Class: n.cfg.Settings.Lanes[m.Class], Partner: number(m.Partner), Key: m.Key, Left: m.Left, Front: m.Front, ReturnPath: m.Way,
+			Head: m.Head, Body: m.Body, RejectKnown: true, Reply: reply}, Seq: m.Seq, Attempts: m.Attempts, MayHaveRun: m.MayHaveRun, Since: m.SentAgo, Zone: zone})
 	}
 	n.core.Restore(messages, ended, nil, k.LastSeq)
 	return len(messages), owed
@@ -407,7 +407,7 @@
 	case <-time.After(time.Until(by)):
 	}
 	resolved := make(chan struct{})
-	n.core.Resolve(func() { close(resolved) })
+	n.core.ResolveUndecided(func() { close(resolved) })
 	<-resolved
 	for end := by.Add(lastBytes); !n.front.Quiet() && time.Now().Before(end); {
 		time.Sleep(lastLook)
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -241,8 +241,8 @@
 			t.Fatalf("step %v: %d messages", step, len(p.Messages))
 		}
 		// The time that passes within the test counts as well, but for whole seconds.
-		if m := p.Messages[0]; m.Left.Round(time.Second) != 5*time.Second || m.Since.Round(time.Second) != 2*time.Second {
-			t.Errorf("step %v: left %v, sent %v ago; want 5s and 2s", step, m.Left, m.Since)
+		if m := p.Messages[0]; m.Left.Round(time.Second) != 5*time.Second || m.SentAgo.Round(time.Second) != 2*time.Second {
+			t.Errorf("step %v: left %v, sent %v ago; want 5s and 2s", step, m.Left, m.SentAgo)
 		}
 	}
 }
--- a/internal/recover/recover.go
+++ b/internal/recover/recover.go
@@ -25,42 +25,42 @@
 	Now  journal.Run            // clocks at present
 }
 
-// Unknown is the age of a record whose age cannot be computed. It is longer than any other.
-const Unknown = time.Duration(math.MaxInt64)
+// UnknownAge is the age of a record whose age cannot be computed. It is longer than any other.
+const UnknownAge = time.Duration(math.MaxInt64)
 
 // Age returns the time since a stamp was taken.
 func (c *Clock) Age(s journal.Stamp) time.Duration {
 	run, ok := c.Runs[s.Run]
 	if !ok {
-		return Unknown
+		return UnknownAge
 	}
 	if run.Boot == c.Now.Boot && run.Boot != "" {
 		if age := c.Now.Clock - s.Clock; age >= 0 {
 			return time.Duration(age)
 		}
-		return Unknown
+		return UnknownAge
 	}
 	if age := c.Now.Wall - (run.Wall + s.Clock - run.Clock); age >= 0 {
 		return time.Duration(age)
 	}
-	return Unknown
+	return UnknownAge
 }
 
 // Class holds the settings of a message class that recovery needs.
 type Class struct {
-	Deadline time.Duration // longest time from hand-in to delivery
-	Keep     bool          // attempts are recorded, since a repeat would do harm
+	Deadline       time.Duration // longest time from hand-in to delivery
+	RecordAttempts bool          // attempts are recorded, since a repeat would do harm
 }
 
 // Message is a message without a final answer.
 type Message struct {
 	journal.Message
-	Left     time.Duration // time to its deadline; 0 if that has passed or is unknown
-	Attempts int           // number of attempts made
-	Ran      bool          // an attempt may have run
-	Since    time.Duration // time since the first of those was sent, or Unknown
-	Zone     string        // zone that it was sent to
-	Host     string        // host that it was sent to
+	Left       time.Duration // time to its deadline; 0 if that has passed or is unknown
+	Attempts   int           // number of attempts made
+	MayHaveRun bool          // an attempt may have run
+	SentAgo    time.Duration // time since the first of those was sent, or UnknownAge
+	Zone       string        // zone that it was sent to
+	Host       string        // host that it was sent to
 	// Verdict, if not 0, is the final answer: the message cannot be delivered, since the
 	// configuration does not have its class or partner any more.
 	Verdict ledger.Verdict
@@ -84,33 +84,33 @@
 	Messages []Message // in the order of their hand-in
 	Ends     []End     // the oldest first
 	Waits    []Wait
-	// Levels are the levels of the zone budget, nil for none.
-	Levels []float64
-	Ago    time.Duration // age of Levels; 0 if it is unknown
-	Over   []string      // endpoints with a record of which nothing is in force any more
-	Drop   []string      // identities that are not remembered any more
+	// BudgetLevels are the levels of the zone budget, nil for none.
+	BudgetLevels      []float64
+	LevelsAge         time.Duration // age of BudgetLevels; 0 if it is unknown
+	ExpiredHosts      []string      // endpoints with a record of which nothing is in force any more
+	ExpiredIdentities []string      // identities that are not remembered any more
 }
 
-// Decide computes the plan. keep is the retention of ended identities; cold is how long an
+// NewPlan computes the plan. keep is the retention of ended identities; cold is how long an
 // endpoint counts as failing after its last call.
-func Decide(k *journal.Contents, classes map[string]Class, partners map[string]bool, keep, cold time.Duration) Plan {
+func NewPlan(k *journal.Contents, classes map[string]Class, partners map[string]bool, keep, cold time.Duration) Plan {
 	clock := Clock{k.Runs, k.ThisRun}
 	var p Plan
 	if k.Budget != nil {
-		p.Levels = k.Budget.Levels
-		if p.Ago = clock.Age(k.Budget.At); p.Ago == Unknown {
-			p.Ago = 0
+		p.BudgetLevels = k.Budget.Levels
+		if p.LevelsAge = clock.Age(k.Budget.At); p.LevelsAge == UnknownAge {
+			p.LevelsAge = 0
 		}
 	}
 	ended := map[uint64]bool{}
 	for _, e := range k.Ends {
 		ended[e.Seq] = true
 		age := clock.Age(e.At)
-		if age >= keep && e.Handed || age == Unknown && e.Handed && !classes[e.Class].Keep {
-			p.Drop = append(p.Drop, e.Identity)
+		if age >= keep && e.Handed || age == UnknownAge && e.Handed && !classes[e.Class].RecordAttempts {
+			p.ExpiredIdentities = append(p.ExpiredIdentities, e.Identity)
 			continue
 		}
-		if age == Unknown { // written in the future by the present clock: treated as new
+		if age == UnknownAge { // written in the future by the present clock: treated as new
 			age = 0
 		}
 		p.Ends = append(p.Ends, End{e, age})
@@ -125,19 +125,19 @@
 		}
 		c, known := classes[m.Class]
 		restored := Message{Message: m}
-		if age := clock.Age(m.At); age < Unknown {
+		if age := clock.Age(m.At); age < UnknownAge {
 			restored.Left = max(0, min(time.Duration(m.Remaining), c.Deadline)-age)
 		}
 		for _, a := range k.Attempts[m.Seq] {
 			restored.Attempts = max(restored.Attempts, a.N+1)
-			if a.NeverRan || restored.Ran {
+			if a.NeverRan || restored.MayHaveRun {
 				continue
 			}
-			restored.Ran, restored.Since, restored.Zone, restored.Host = true, clock.Age(a.At), a.Zone, a.Host
+			restored.MayHaveRun, restored.SentAgo, restored.Zone, restored.Host = true, clock.Age(a.At), a.Zone, a.Host
 		}
 		switch {
 		case known && partners[m.Partner]:
-		case restored.Ran:
+		case restored.MayHaveRun:
 			restored.Verdict = ledger.Failed
 		default:
 			restored.Verdict = ledger.Refused
@@ -149,7 +149,7 @@
 		age := clock.Age(w.At)
 		wait := Wait{Host: w.Host, Failing: w.Failing && age < cold}
 		switch {
-		case age == Unknown:
+		case age == UnknownAge:
 			wait.Left = time.Duration(w.Remaining)
 		default:
 			wait.Left = max(0, time.Duration(w.Remaining)-age)
@@ -157,7 +157,7 @@
 		if wait.Left > 0 || wait.Failing {
 			p.Waits = append(p.Waits, wait)
 		} else {
-			p.Over = append(p.Over, w.Host)
+			p.ExpiredHosts = append(p.ExpiredHosts, w.Host)
 		}
 	}
 	return p
--- a/internal/recover/recover_test.go
+++ b/internal/recover/recover_test.go
@@ -14,7 +14,7 @@
 
 var partners = map[string]bool{"": true}
 
-var classes = map[string]Class{"charge": {Deadline: 6 * s, Keep: true}, "status": {Deadline: 6 * s}}
+var classes = map[string]Class{"charge": {Deadline: 6 * s, RecordAttempts: true}, "status": {Deadline: 6 * s}}
 
 // recordsOf returns the records of a message that was taken 2 s and sent 1 s before the crash, and the
 // clocks after it: outage is the time until the restart, jump the change of the wall clock.
@@ -51,14 +51,15 @@
 		{"wall clock an hour ahead", true, s / 2, time.Hour, 2500 * time.Millisecond, 1500 * time.Millisecond,
 			2500 * time.Millisecond},
 		{"new boot", false, s, 0, 2 * s, 2 * s, 2 * s},
-		{"new boot, wall clock back", false, s, -time.Hour, 0, Unknown, 4 * s},
+		{"new boot, wall clock back", false, s, -time.Hour, 0, UnknownAge, 4 * s},
 		{"new boot, wall clock ahead", false, s, time.Hour, 0, time.Hour + 2*s, 0},
 		{"restart after a day", true, 24 * time.Hour, 0, 0, 24*time.Hour + s, 0},
 	} {
-		p := Decide(recordsOf(c.same, c.away, c.jump), classes, partners, time.Hour, 10*s)
+		p := NewPlan(recordsOf(c.same, c.away, c.jump), classes, partners, time.Hour, 10*s)
 		m := p.Messages[0]
-		if m.Left != c.left || !m.Ran || m.Since != c.since || m.Zone != "z" || m.Attempts != 2 {
-			t.Errorf("%s: left %v, may have run %v since %v in zone %q, %d attempts", c.name, m.Left, m.Ran, m.Since,
+		if m.Left != c.left || !m.MayHaveRun || m.SentAgo != c.since || m.Zone != "z" || m.Attempts != 2 {
+			t.Errorf("%s: left %v, may have run %v since %v in zone %q, %d attempts", c.name, m.Left, m.MayHaveRun,
+				m.SentAgo,
 				m.Zone, m.Attempts)
 		}
 		wait := time.Duration(0)
@@ -68,8 +69,8 @@
 		if wait != c.wait {
 			t.Errorf("%s: %v left of the wait", c.name, wait)
 		}
-		if len(p.Ends)+len(p.Drop) != 1 {
-			t.Errorf("%s: ends %v, dropped %v, want one in all", c.name, p.Ends, p.Drop)
+		if len(p.Ends)+len(p.ExpiredIdentities) != 1 {
+			t.Errorf("%s: ends %v, dropped %v, want one in all", c.name, p.Ends, p.ExpiredIdentities)
 		}
 	}
 }
@@ -81,7 +82,7 @@
 		k := recordsOf(true, s/2, 0)
 		k.Messages[0].Partner = "gone"
 		k.Attempts[1][1].NeverRan = !ran
-		if m := Decide(k, classes, partners, time.Hour, 10*s).Messages[0]; m.Verdict != want {
+		if m := NewPlan(k, classes, partners, time.Hour, 10*s).Messages[0]; m.Verdict != want {
 			t.Errorf("may have run %v: verdict %v", ran, m.Verdict)
 		}
 	}
@@ -122,22 +123,24 @@
 			}
 			k.Messages = append([]journal.Message{m}, k.Messages...)
 		}
-		p := Decide(k, classes, partners, time.Minute, 10*s)
+		p := NewPlan(k, classes, partners, time.Minute, 10*s)
 		last := int64(-1)
 		for _, m := range p.Messages {
-			if int64(m.Seq) <= last || ended[m.Seq] || m.Ran != ran[m.Seq] || m.Attempts != len(k.Attempts[m.Seq]) {
+			if int64(m.Seq) <= last || ended[m.Seq] || m.MayHaveRun != ran[m.Seq] ||
+				m.Attempts != len(k.Attempts[m.Seq]) {
 				t.Fatalf("%+v", m)
 			}
-			if last = int64(m.Seq); m.Left < 0 || m.Left > min(time.Duration(m.Message.Remaining), 6*s) || m.Since < 0 {
-				t.Fatalf("time left %v, since %v: %+v", m.Left, m.Since, m)
+			if last = int64(m.Seq); m.Left < 0 || m.Left > min(time.Duration(m.Message.Remaining), 6*s) ||
+				m.SentAgo < 0 {
+				t.Fatalf("time left %v, since %v: %+v", m.Left, m.SentAgo, m)
 			}
 		}
-		for _, id := range p.Drop {
+		for _, id := range p.ExpiredIdentities {
 			if owed[id] {
 				t.Fatalf("the answer of %s is dropped, but the client has not received it", id)
 			}
 		}
-		if len(p.Messages)+len(ended) != len(k.Messages) || len(p.Ends)+len(p.Drop) != len(k.Ends) {
+		if len(p.Messages)+len(ended) != len(k.Messages) || len(p.Ends)+len(p.ExpiredIdentities) != len(k.Ends) {
 			t.Fatal("a message or an ended identity is missing from the plan")
 		}
 	})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -162,7 +162,7 @@
 			MaxIdle: cfg.PartnerCalls.IdlePerHost, MaxSpare: cfg.PartnerCalls.Spares, MaxConnecting: cfg.PartnerCalls.Connecting},
 		TLSSessions: cfg.PartnerCalls.Sessions,
 		Traffic:     counted, PeerRefused: r.refusedOf,
-		UnsolicitedWait: func(host string, at int, wait time.Duration) { r.core.Waits(host, at, wait) },
+		UnsolicitedWait: func(host string, at int, wait time.Duration) { r.core.ReportWait(host, at, wait) },
 		HandshakeFailed: r.obs.HandshakeOut,
 		Dialed:          r.obs.Dialed})
 	if err != nil {
@@ -177,10 +177,10 @@
 		seed = uint64(time.Now().UnixNano())
 	}
 	opt := core.Options{Settings: cfg.Settings(), Seed: seed,
-		Arrivals: cfg.Limits.Arrivals, Identities: cfg.Limits.Identities.Count,
-		Keep: cfg.Limits.Identities.Keep.D(), Caller: caller, Observer: r.obs}
+		InboxSize: cfg.Limits.Arrivals, Identities: cfg.Limits.Identities.Count,
+		Retention: cfg.Limits.Identities.Keep.D(), Caller: caller, Observer: r.obs}
 	if toll != nil {
-		opt.Toll = toll
+		opt.ZoneBudget = toll
 	}
 	var kept *journal.Contents
 	if cfg.Journal != nil {
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -41,13 +41,13 @@
 	began := time.Now()
 	classes := map[string]recover.Class{}
 	for _, c := range r.cfg.Classes {
-		classes[c.Name] = recover.Class{Deadline: c.Deadline.D(), Keep: c.Effect != "safe"}
+		classes[c.Name] = recover.Class{Deadline: c.Deadline.D(), RecordAttempts: c.Effect != "safe"}
 	}
 	partners := map[string]bool{}
 	for _, p := range r.cfg.Partners {
 		partners[p.Name] = true
 	}
-	plan := recover.Decide(k, classes, partners, r.cfg.Limits.Identities.Keep.D(), r.cfg.Rules.Cold.D())
+	plan := recover.NewPlan(k, classes, partners, r.cfg.Limits.Identities.Keep.D(), r.cfg.Rules.Cold.D())
 	sessions := map[string]map[string][]byte{mqttfront.Name: {}, webpush.Name: {}}
 	for _, s := range k.Sessions {
 		if of := sessions[s.Front]; of != nil {
@@ -69,14 +69,14 @@
 	}
 	var ended []core.Ended
 	for _, e := range plan.Ends {
-		a := ledger.Answer{Verdict: ledger.Verdict(e.Verdict), After: time.Duration(e.After)}
+		a := ledger.Answer{Verdict: ledger.Verdict(e.Verdict), RetryAfter: time.Duration(e.After)}
 		owe(e.Front, front.Owed{Identity: e.Identity, Way: e.Way, Answer: a, Handed: e.Handed})
-		ended = append(ended, core.Ended{Identity: e.Identity, Answer: a, Age: e.Age, Forget: !classes[e.Class].Keep})
+		ended = append(ended, core.Ended{Identity: e.Identity, Answer: a, Age: e.Age, Evictable: !classes[e.Class].RecordAttempts})
 	}
-	for _, identity := range plan.Drop {
+	for _, identity := range plan.ExpiredIdentities {
 		r.log.Forget(identity)
 	}
-	for _, host := range plan.Over {
+	for _, host := range plan.ExpiredHosts {
 		r.log.RecordWait(journal.Wait{Host: host})
 	}
 	var messages []core.Restored
@@ -92,15 +92,15 @@
 		}
 		zone := slices.IndexFunc(r.cfg.Zones, func(z config.Zone) bool { return z.Name == m.Zone })
 		messages = append(messages, core.Restored{Message: core.Message{Source: m.Source, Identity: m.Identity, Class: names.Classes[m.Class],
-			Partner: names.Partners[m.Partner], Key: m.Key, Left: m.Left, Head: m.Head, Body: m.Body, Front: m.Front, Way: m.Way, Reply: reply},
-			Seq: m.Seq, Attempts: m.Attempts, Ran: m.Ran, Since: m.Since, Zone: zone})
+			Partner: names.Partners[m.Partner], Key: m.Key, Left: m.Left, Head: m.Head, Body: m.Body, Front: m.Front, ReturnPath: m.Way, Reply: reply},
+			Seq: m.Seq, Attempts: m.Attempts, MayHaveRun: m.MayHaveRun, Since: m.SentAgo, Zone: zone})
 	}
 	var waits []choice.Waited
 	for _, w := range plan.Waits {
 		waits = append(waits, choice.Waited{Host: w.Host, Left: w.Left, Failing: w.Failing})
 	}
-	if r.toll != nil && plan.Levels != nil {
-		r.toll.Resume(plan.Levels, plan.Ago)
+	if r.toll != nil && plan.BudgetLevels != nil {
+		r.toll.Resume(plan.BudgetLevels, plan.LevelsAge)
 	}
 	r.core.Restore(messages, ended, waits, k.LastSeq)
 	r.obs.Info(fmt.Sprintf("journal: %d messages, %d ended identities, %d sessions, %d waits restored in %v", len(messages),
--- a/internal/webpush/again_test.go
+++ b/internal/webpush/again_test.go
@@ -85,7 +85,7 @@
 }
 
 func (b *bed) answer(v ledger.Verdict, after time.Duration) {
-	b.say(front.Said[*push]{Answer: ledger.Answer{Verdict: v, After: after}})
+	b.say(front.Said[*push]{Answer: ledger.Answer{Verdict: v, RetryAfter: after}})
 }
 
 // receipts fetches those after one, which it acknowledges.
--- a/internal/webpush/push.go
+++ b/internal/webpush/push.go
@@ -132,7 +132,7 @@
 	}
 	m.Left = min(time.Duration(seconds)*time.Second, f.opt.Names.Lives[class])
 	if seconds == 0 { // now or never (RFC 8030, 5.2)
-		m.Now, m.Left = true, f.opt.Names.Lives[class]
+		m.Immediate, m.Left = true, f.opt.Names.Lives[class]
 	}
 	switch u := q.header("Urgency"); u {
 	case "", "very-low", "low", "normal", "high":
@@ -192,13 +192,13 @@
 	// What has no identity of its own gets one that nobody repeats, so that it
 	// can be withdrawn; its class is told apart by own.
 	p := &push{id: rand.Text(), owner: who.Key, life: m.Left}
-	if m.Now {
+	if m.Immediate {
 		p.life = 0
 	}
 	if own != "" {
 		p.identity = front.Identity('w', who.Key, who.Subject, own)
 		if old := f.byIdentity[p.identity]; old != nil && (old.answer.Verdict != ledger.Refused ||
-			now.Before(old.ended.Add(old.answer.After))) {
+			now.Before(old.ended.Add(old.answer.RetryAfter))) {
 			f.repeat(old, async, respond)
 			return
 		}
@@ -228,7 +228,7 @@
 	}
 	m.Identity, m.Reply = p.identity, front.Reply[*push]{Box: f.out, To: p}
 	if f.opt.Keeper != nil {
-		m.Front, m.Way = Name, p.way()
+		m.Front, m.ReturnPath = Name, p.way()
 	}
 	p.posts = append(p.posts, func(err error) { respond(f.created(p, async, err)) })
 	if err := f.opt.Door.Submit(&m); err != nil {
@@ -407,7 +407,7 @@
 			respond(asJSON(http.StatusAccepted, receipt{Message: "/message/" + p.id, Status: http.StatusAccepted, Answer: "none"}))
 			return
 		}
-		respond(withAfter(asJSON(http.StatusOK, receiptOf(p)), p.answer.After))
+		respond(withAfter(asJSON(http.StatusOK, receiptOf(p)), p.answer.RetryAfter))
 	}
 	if wait := f.patience(q); wait > 0 && p.answer.Verdict == 0 {
 		f.hold(&p.waiting, wait, answer)
--- a/internal/webpush/receipts.go
+++ b/internal/webpush/receipts.go
@@ -37,7 +37,7 @@
 
 func receiptOf(p *push) receipt {
 	r := receipt{push: p, Message: "/message/" + p.id, Status: http.StatusGone, Answer: p.answer.Verdict.String(),
-		RetryAfterMS: int64(math.Ceil(float64(p.answer.After) / float64(time.Millisecond)))}
+		RetryAfterMS: int64(math.Ceil(float64(p.answer.RetryAfter) / float64(time.Millisecond)))}
 	if p.answer.Verdict == ledger.Delivered {
 		r.Status = http.StatusNoContent
 	}
