--- a/internal/hookfront/handin.go
+++ b/internal/hookfront/handin.go
@@ -31,7 +31,7 @@
 		return
 	}
 	status := http.StatusServiceUnavailable
-	if errors.Is(err, core.ErrKnown) {
+	if errors.Is(err, core.ErrDuplicate) {
 		status = http.StatusConflict
 	}
 	x.ifWaiting(func(c *conn) { c.writeError(status, "%v", err) })
@@ -63,7 +63,7 @@
 	switch x.answer.Verdict {
 	case ledger.Refused:
 		f.counts.Refused.Add(1)
-		x.ifWaiting(func(c *conn) { c.writeResponse(http.StatusTooManyRequests, retryAfter(x.answer.After), "") })
+		x.ifWaiting(func(c *conn) { c.writeResponse(http.StatusTooManyRequests, retryAfter(x.answer.RetryAfter), "") })
 	case ledger.Failed:
 		f.counts.Failed.Add(1)
 		x.ifWaiting(func(c *conn) { c.writeResponse(http.StatusInternalServerError, "", "") })
