--- a/internal/catalog/pacer.go
+++ b/internal/catalog/pacer.go
@@ -35,7 +35,7 @@
 	indexResetTime = time.Minute
 )
 
-// NewPacer returns a pacer for queries with a wait, of which answers staler than mostStale
+// NewPacer returns a pacer for queries with a wait, of which answers staler than maxStale
 // don't count as up to date.
 func NewPacer(wait, maxStale time.Duration, seed uint64) *Pacer {
 	return &Pacer{rand: rand.New(rand.NewPCG(seed, 13)), wait: wait, maxStale: maxStale, tokens: burst}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -368,7 +368,7 @@
 func (c *Core) Abandon(identity string, by Reply) { _ = c.enqueue(event{withdrawn: identity, by: by}) }
 
 // Settled reports that the client has received a refusal or failure, see
-// choice.Settings.Acknowledged.
+// choice.Settings.HoldUntilAcknowledged.
 func (c *Core) Settled(identity string) {
 	_ = c.enqueue(event{call: func() { c.clearUnsettled(identity) }})
 }
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -18,7 +18,7 @@
 	slow bool
 }
 
-// nullJournal implements the methods of a Journal that stores nothing, without Then.
+// nullJournal implements the methods of a Journal that stores nothing, without WhenWritten.
 type nullJournal struct{}
 
 func (nullJournal) Stamp() journal.Stamp          { return journal.Stamp{} }
