--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -11,9 +11,10 @@
 
 const ms = time.Millisecond
 
-func settings() Settings {
+// testSettings returns settings with a class for each effect and an ordered one, and with listed rates.
+func testSettings() Settings {
 	return Settings{
-		Fleet: 2, Workers: 4, MaxHeld: 50, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, Listed: true,
+		Fleet: 2, Workers: 4, MaxHeld: 50, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, ListedRates: true,
 		Classes: []Class{
 			{Name: "safe", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Safe},
 			{Name: "keyed", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Keyed,
@@ -22,44 +23,46 @@
 			{Name: "ordered", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Unsafe,
 				Ordered: true},
 		},
-		Kinds:   []Kind{{PerCall: 1}, {PerCall: 3}, {PerCall: 1, Apart: true}},
+		Kinds:   []Kind{{PerCall: 1}, {PerCall: 3}, {PerCall: 1, PerHostLimits: true}},
 		ZoneFee: []float64{0, 0.05},
 		Rules: Rules{AnswerGrace: 20 * ms, DrainGrace: time.Second, OverloadFactor: 2, Fall: 2 * time.Second,
 			ColdFrom: 0.2, Cold: 10 * time.Second, OrderSettle: 100 * ms},
 	}
 }
 
-// rig drives one Chooser and keeps what it did.
-type rig struct {
-	t   *testing.T
-	c   *Chooser
-	now time.Duration
-	try map[string]int
+// harness drives one Chooser with a clock of its own, and counts the attempts of each message.
+type harness struct {
+	t        *testing.T
+	c        *Chooser
+	now      time.Duration
+	attempts map[string]int
 }
 
-func newRig(t *testing.T, s Settings, hosts ...Host) *rig {
+// newHarness returns a harness whose Chooser knows the given hosts.
+func newHarness(t *testing.T, s Settings, hosts ...Host) *harness {
 	t.Helper()
 	c, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, c: c, now: time.Hour, try: map[string]int{}}
-	r.step(Listing{Whole: true, Hosts: hosts})
+	r := &harness{t: t, c: c, now: time.Hour, attempts: map[string]int{}}
+	r.step(HostUpdate{Full: true, Hosts: hosts})
 	return r
 }
 
-func (r *rig) step(events ...Event) []Action {
+// step passes events to the Chooser and returns its actions.
+func (r *harness) step(events ...Event) []Action {
 	acts := r.c.Step(r.now, events)
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
-			r.try[s.ID]++
+			r.attempts[s.ID]++
 		}
 	}
 	return acts
 }
 
-// after lets time pass in ticks, waking the Chooser, and returns all actions.
-func (r *rig) after(d time.Duration) []Action {
+// advance advances the clock in steps of 5 ms with a Woken event each, and returns all actions.
+func (r *harness) advance(d time.Duration) []Action {
 	var acts []Action
 	for end := r.now + d; r.now < end; {
 		r.now += 5 * ms
@@ -68,14 +71,16 @@
 	return acts
 }
 
-func (r *rig) end(id, host string, o Outcome, more ...func(*Result)) Result {
-	e := Result{ID: id, Host: host, Attempt: r.try[id] - 1, Outcome: o, Took: 50 * ms, Done: o == Served}
+// result returns the result of the last attempt of a message; more may change it.
+func (r *harness) result(id, host string, o Outcome, more ...func(*Result)) Result {
+	e := Result{ID: id, Host: host, Attempt: r.attempts[id] - 1, Outcome: o, Took: 50 * ms, Done: o == Served}
 	for _, m := range more {
 		m(&e)
 	}
 	return e
 }
 
+// sends returns the Send actions.
 func sends(acts []Action) (out []Send) {
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
@@ -85,7 +90,8 @@
 	return out
 }
 
-func answers(acts []Action) string {
+// finalAnswers returns the Refuse and Fail actions as text.
+func finalAnswers(acts []Action) string {
 	out := ""
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -98,74 +104,80 @@
 	return out
 }
 
-func ready(addr string, dest, kind, zone int) Host {
+// readyHost returns a host that is Ready, with a listed rate of 100 calls per second.
+func readyHost(addr string, dest, kind, zone int) Host {
 	return Host{Addr: addr, Dest: dest, Kind: kind, Zone: zone, Rate: 100, State: Ready}
 }
 
+// arrival returns a message for destination 1, with 10 s left.
 func arrival(id string, class int) Arrival {
-	return Arrival{ID: id, Class: class, Dest: 1, Left: 10 * time.Second}
+	return Arrival{ID: id, Class: class, Dest: 1, TimeLeft: 10 * time.Second}
 }
 
-func TestOracleByHand(t *testing.T) {
-	tab := table{width: 10 * ms, weight: 1}
+// TestLatencyTableBestTimeout checks the timeout that follows from known latencies: a rare slow answer is cut off,
+// equal latencies are not, and few samples give no timeout.
+func TestLatencyTableBestTimeout(t *testing.T) {
+	histogram := latencyTable{width: 10 * ms, weight: 1}
 	for range 90 {
-		tab.add(15 * ms)
+		histogram.add(15 * ms)
 	}
 	for range 10 {
-		tab.add(905 * ms)
+		histogram.add(905 * ms)
 	}
-	tab.look()
-	if tab.edge != 20*ms {
-		t.Errorf("edge %v with a tenth of the answers 60 times slower, want the bucket of the fast ones, 20ms", tab.edge)
+	histogram.refresh()
+	if histogram.bestTimeout != 20*ms {
+		t.Errorf("edge %v with one in ten answers 60 times slower, want 20ms, the bucket of the others", histogram.bestTimeout)
 	}
-	same := table{width: 10 * ms, weight: 1}
+	same := latencyTable{width: 10 * ms, weight: 1}
 	for i := range 100 {
 		same.add(time.Duration(100+i%10) * ms)
 	}
-	same.look()
-	if same.edge != 110*ms {
-		t.Errorf("edge %v for like answers, want 110ms, the end of their bucket", same.edge)
+	same.refresh()
+	if same.bestTimeout != 110*ms {
+		t.Errorf("edge %v for answers of equal latency, want 110ms, the end of their bucket", same.bestTimeout)
 	}
-	few := table{width: 10 * ms, weight: 1}
+	few := latencyTable{width: 10 * ms, weight: 1}
 	for range minSamples - 1 {
 		few.add(15 * ms)
 	}
-	few.look()
-	if few.edge != 0 {
-		t.Errorf("edge %v from %d samples, want none", few.edge, minSamples-1)
+	few.refresh()
+	if few.bestTimeout != 0 {
+		t.Errorf("edge %v from %d samples, want none", few.bestTimeout, minSamples-1)
 	}
-	few.add(5 * time.Second) // beyond the bound
-	if few.beyond < 1 || few.total != minSamples {
-		t.Errorf("beyond %v, total %v after a sample over the bound", few.beyond, few.total)
+	few.add(5 * time.Second) // above the last bucket
+	if few.overflow < 1 || few.total != minSamples {
+		t.Errorf("beyond %v, total %v after a sample above the last bucket", few.overflow, few.total)
 	}
 }
 
-func TestTableFades(t *testing.T) {
-	tab := table{width: 10 * ms, weight: 1}
+// TestLatencyTableDecays guards against a timeout that stays at old latencies after the destination has slowed down,
+// and against weights that grow without bound.
+func TestLatencyTableDecays(t *testing.T) {
+	histogram := latencyTable{width: 10 * ms, weight: 1}
 	for range 1000 {
-		tab.add(15 * ms)
+		histogram.add(15 * ms)
 	}
-	for range 2 * memory {
-		tab.add(505 * ms)
+	for range 2 * decaySamples {
+		histogram.add(505 * ms)
 	}
-	tab.look()
-	if tab.edge < 510*ms {
-		t.Errorf("edge %v after the destination slowed, want it relearned to 510ms", tab.edge)
+	histogram.refresh()
+	if histogram.bestTimeout < 510*ms {
+		t.Errorf("edge %v after the destination slowed down, want 510ms", histogram.bestTimeout)
 	}
 	for range 10000 {
-		tab.add(505 * ms)
+		histogram.add(505 * ms)
 	}
-	if math.IsInf(tab.weight, 0) || tab.weight > 1e7 {
-		t.Errorf("weight %v grows without bound", tab.weight)
+	if math.IsInf(histogram.weight, 0) || histogram.weight > 1e7 {
+		t.Errorf("weight %v grows without bound", histogram.weight)
 	}
 }
 
-// TestAnswers has one row for each outcome and effect: what becomes of the message.
-func TestAnswers(t *testing.T) {
+// TestAnswerByOutcomeAndEffect checks for each outcome and effect whether the message fails or is sent again.
+func TestAnswerByOutcomeAndEffect(t *testing.T) {
 	for _, tc := range []struct {
 		class   int
 		outcome Outcome
-		want    string // immediate answer; "again" for one more send
+		want    string // final answers in the step of the result; "again" for one more send instead
 	}{
 		{0, Error, "again"}, {0, Timeout, "again"}, {0, Reset, "again"}, {0, NoConnection, "again"},
 		{1, Error, "again"}, {1, Timeout, "again"}, {1, NotSent, "again"},
@@ -173,45 +185,49 @@
 		{2, NoConnection, "again"}, {2, Refused, "again"}, {2, NotSent, "again"},
 	} {
 		t.Run(fmt.Sprintf("class%d-outcome%d", tc.class, tc.outcome), func(t *testing.T) {
-			r := newRig(t, settings(), ready("a", 1, 0, 0))
+			r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 			if n := len(sends(r.step(arrival("m", tc.class)))); n != 1 {
 				t.Fatalf("%d sends for an arrival, want 1", n)
 			}
 			r.now += 50 * ms
-			acts := r.step(r.end("m", "a", tc.outcome))
-			got := answers(acts)
+			acts := r.step(r.result("m", "a", tc.outcome))
+			got := finalAnswers(acts)
 			if tc.want == "again" {
-				acts = append(acts, r.after(3*time.Second)...)
-				if got = answers(acts); got != "" || len(sends(acts)) != 1 {
-					t.Errorf("answers %q, %d sends, want one more send", got, len(sends(acts)))
+				acts = append(acts, r.advance(3*time.Second)...)
+				if got = finalAnswers(acts); got != "" || len(sends(acts)) != 1 {
+					t.Errorf("final answers %q, %d sends, want one more send", got, len(sends(acts)))
 				}
 			} else if got != tc.want || len(sends(acts)) != 0 {
-				t.Errorf("answers %q, want %q", got, tc.want)
+				t.Errorf("final answers %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-func TestHeldIsAnsweredInTime(t *testing.T) {
-	r := newRig(t, settings()) // no host at all
+// TestHeldMessageIsRefusedAtDeadline guards against messages that never get a final answer because their destination
+// has no host.
+func TestHeldMessageIsRefusedAtDeadline(t *testing.T) {
+	r := newHarness(t, testSettings()) // without any host
 	r.step(arrival("m", 2))
-	if got := answers(r.after(9900 * ms)); got != "" {
-		t.Fatalf("answered early: %q", got)
+	if got := finalAnswers(r.advance(9900 * ms)); got != "" {
+		t.Fatalf("answered before the deadline: %q", got)
 	}
-	if got := answers(r.after(100 * ms)); got != "refuse m;" {
-		t.Errorf("at the deadline %q, want a refusal", got)
+	if got := finalAnswers(r.advance(100 * ms)); got != "refuse m;" {
+		t.Errorf("final answers %q at the deadline, want a refusal", got)
 	}
-	if len(r.c.msgs) != 0 || r.c.held != 0 {
-		t.Errorf("%d messages kept, %d held after the answer", len(r.c.msgs), r.c.held)
+	if len(r.c.messages) != 0 || r.c.held != 0 {
+		t.Errorf("%d messages in the table, %d held after the answer, want none", len(r.c.messages), r.c.held)
 	}
 }
 
-func TestKeyedStaysInZoneAndWindow(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 2, 0), ready("b", 1, 2, 1))
+// TestKeyedRepeatsStayInZoneAndWindow guards against repeats of a keyed message that no host deduplicates: in another
+// zone, or after its window.
+func TestKeyedRepeatsStayInZoneAndWindow(t *testing.T) {
+	r := newHarness(t, testSettings(), readyHost("a", 1, 2, 0), readyHost("b", 1, 2, 1))
 	first := sends(r.step(arrival("m", 1)))[0].Host
 	r.now += 50 * ms
-	acts := r.step(r.end("m", first, Error))
-	acts = append(acts, r.after(2800*ms)...)
+	acts := r.step(r.result("m", first, Error))
+	acts = append(acts, r.advance(2800*ms)...)
 	for _, s := range sends(acts) {
 		if s.Host != first {
 			t.Errorf("resent to %s, outside the zone of %s", s.Host, first)
@@ -221,130 +237,137 @@
 		t.Fatalf("%d sends within the window, want 1", len(sends(acts)))
 	}
 	r.now += 100 * ms
-	acts = r.step(r.end("m", first, Error))
-	if got := answers(append(acts, r.after(time.Second)...)); got != "fail m;" {
-		t.Errorf("after its window %q, want it failed", got)
+	acts = r.step(r.result("m", first, Error))
+	if got := finalAnswers(append(acts, r.advance(time.Second)...)); got != "fail m;" {
+		t.Errorf("final answers %q after the window, want a failure", got)
 	}
 }
 
-func TestDrainingGetsNothingNew(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
-	h := ready("a", 1, 0, 0)
+// TestNoSendToDrainingOrGoneHost guards against new calls to hosts that are draining or no longer on the list.
+func TestNoSendToDrainingOrGoneHost(t *testing.T) {
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
+	h := readyHost("a", 1, 0, 0)
 	h.State = Draining
-	if n := len(sends(r.step(Listing{Hosts: []Host{h}}, arrival("m", 0)))); n != 0 {
-		t.Errorf("%d sends to a draining host", n)
+	if n := len(sends(r.step(HostUpdate{Hosts: []Host{h}}, arrival("m", 0)))); n != 0 {
+		t.Errorf("%d sends to a draining host, want none", n)
 	}
-	if n := len(sends(r.step(Listing{Whole: true}))); n != 0 {
-		t.Errorf("%d sends to a host that is gone", n)
+	if n := len(sends(r.step(HostUpdate{Full: true}))); n != 0 {
+		t.Errorf("%d sends to a host that is gone, want none", n)
 	}
 }
 
-func TestToldWaitIsKept(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+// TestRetryAfterIsKept guards against calls within the wait that a refusal asked for.
+func TestRetryAfterIsKept(t *testing.T) {
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	r.step(arrival("m", 0))
 	r.now += 50 * ms
-	acts := r.step(r.end("m", "a", Refused, func(e *Result) { e.Wait = 700 * ms }), arrival("n", 2))
-	if acts = append(acts, r.after(695*ms)...); len(sends(acts)) != 0 {
-		t.Errorf("%d sends within the wait", len(sends(acts)))
+	acts := r.step(r.result("m", "a", Refused, func(e *Result) { e.RetryAfter = 700 * ms }), arrival("n", 2))
+	if acts = append(acts, r.advance(695*ms)...); len(sends(acts)) != 0 {
+		t.Errorf("%d sends within the wait the host asked for, want none", len(sends(acts)))
 	}
-	if len(sends(r.after(2*time.Second))) == 0 {
-		t.Errorf("nothing sent after the wait")
+	if len(sends(r.advance(2*time.Second))) == 0 {
+		t.Errorf("no send after the wait")
 	}
 }
 
-func TestOrderOfAKey(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+// TestKeyOrder guards against overtaking within a key: one message at a time, and a pause after an unknown outcome.
+func TestKeyOrder(t *testing.T) {
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	m, n := arrival("m", 3), arrival("n", 3)
 	m.Key, n.Key = "k", "k"
 	if got := sends(r.step(m, n)); len(got) != 1 || got[0].ID != "m" {
 		t.Fatalf("sent %v, want m alone", got)
 	}
 	r.now += 50 * ms
-	acts := r.step(r.end("m", "a", Reset))
-	if acts = append(acts, r.after(95*ms)...); len(sends(acts)) != 0 {
-		t.Errorf("sent %v while the key rests", sends(acts))
+	acts := r.step(r.result("m", "a", Reset))
+	if acts = append(acts, r.advance(95*ms)...); len(sends(acts)) != 0 {
+		t.Errorf("sent %v while the key is blocked after an unknown outcome, want none", sends(acts))
 	}
-	if got := sends(r.after(3 * time.Second)); len(got) != 1 || got[0].ID != "n" {
-		t.Errorf("sent %v after the rest, want n", got)
+	if got := sends(r.advance(3 * time.Second)); len(got) != 1 || got[0].ID != "n" {
+		t.Errorf("sent %v once the key is free, want n", got)
 	}
-	r.step(r.end("n", "a", Served))
-	r.after(200 * ms)
-	if len(r.c.lines) != 0 {
-		t.Errorf("%d keys kept", len(r.c.lines))
+	r.step(r.result("n", "a", Served))
+	r.advance(200 * ms)
+	if len(r.c.keyQueues) != 0 {
+		t.Errorf("%d key queues left after all messages ended, want none", len(r.c.keyQueues))
 	}
 }
 
-func TestEachFurtherTryWaitsLonger(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+// TestTimeoutGrowsWithEachAttempt guards against a message whose attempts are all abandoned because they get the same
+// timeout.
+func TestTimeoutGrowsWithEachAttempt(t *testing.T) {
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	for i := range 2 * minSamples {
 		id := fmt.Sprint("w", i)
 		r.step(arrival(id, 0))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Served))
+		r.step(r.result(id, "a", Served))
 	}
 	got := sends(r.step(arrival("m", 0)))
 	last := got[0].Timeout
 	if last >= 2*time.Second {
-		t.Fatalf("first time-out %v, want the oracle's edge", last)
+		t.Fatalf("first timeout %v, want the edge of the latency table", last)
 	}
 	for range 2 {
 		r.now += last
-		acts := r.step(r.end("m", "a", Timeout))
-		if got = append(sends(acts), sends(r.after(3*time.Second))...); len(got) != 1 {
-			t.Fatalf("%d sends after a time-out", len(got))
+		acts := r.step(r.result("m", "a", Timeout))
+		if got = append(sends(acts), sends(r.advance(3*time.Second))...); len(got) != 1 {
+			t.Fatalf("%d sends after a timeout, want 1", len(got))
 		}
-		if got[0].Timeout < last+r.c.bound/buckets {
-			t.Errorf("time-out %v after %v, want a bucket more", got[0].Timeout, last)
+		if got[0].Timeout < last+r.c.tableBound/buckets {
+			t.Errorf("timeout %v after %v, want at least a bucket more", got[0].Timeout, last)
 		}
 		last = got[0].Timeout
 	}
 }
 
-func TestOneDestinationStaysUnderThreeQuarters(t *testing.T) {
+// TestOneDestinationLeavesCallSlotsFree guards against one destination that takes all call slots.
+func TestOneDestinationLeavesCallSlotsFree(t *testing.T) {
 	for _, tc := range []struct{ workers, want int }{{1, 1}, {3, 2}, {4, 2}, {8, 5}} {
-		s := settings()
+		s := testSettings()
 		s.Workers = tc.workers
-		r := newRig(t, s, ready("a", 1, 0, 0))
+		r := newHarness(t, s, readyHost("a", 1, 0, 0))
 		var events []Event
 		for i := range 20 {
 			events = append(events, arrival(fmt.Sprint(i), 0))
 		}
 		if n := len(sends(r.step(events...))); n != tc.want {
-			t.Errorf("%d calls out to one destination with %d slots, want %d", n, tc.workers, tc.want)
+			t.Errorf("%d calls in flight to one destination with %d slots, want %d", n, tc.workers, tc.want)
 		}
 	}
 }
 
-func TestCallsAreShared(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 1, 0))
-	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.c.busy != 1 {
-		t.Errorf("%d sends in %d calls, want 3 in one", n, r.c.busy)
+// TestMessagesShareACall checks that messages to a host whose kind allows it are sent in one call.
+func TestMessagesShareACall(t *testing.T) {
+	r := newHarness(t, testSettings(), readyHost("a", 1, 1, 0))
+	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.c.inFlight != 1 {
+		t.Errorf("%d sends in %d calls, want 3 in one", n, r.c.inFlight)
 	}
 }
 
-// TestColdReturn: two failures make a unit suspect; after it answers again, the relay stays within
-// its share of the rule's budget.
-func TestColdReturn(t *testing.T) {
-	s := settings()
+// TestRecoveringUnitStaysWithinBudget guards against overloading a destination that returns from an outage: two
+// failures make its unit suspect, and once it answers again the relay stays within its share of the rules' budget.
+func TestRecoveringUnitStaysWithinBudget(t *testing.T) {
+	s := testSettings()
 	s.Workers = 100
-	h := ready("a", 1, 0, 0)
+	h := readyHost("a", 1, 0, 0)
 	h.Rate = 10
-	r := newRig(t, s, h)
+	r := newHarness(t, s, h)
 	for _, id := range []string{"x", "y"} {
 		r.step(arrival(id, 2))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Error))
+		r.step(r.result(id, "a", Error))
 	}
 	var events []Event
 	for i := range 60 {
 		events = append(events, arrival(fmt.Sprint(i), 0))
 	}
-	trial := append(sends(r.step(events...)), sends(r.after(time.Second))...)
+	trial := append(sends(r.step(events...)), sends(r.advance(time.Second))...)
 	if len(trial) != 1 {
-		t.Fatalf("%d calls to a suspect unit, want a single trial", len(trial))
+		t.Fatalf("%d calls to a suspect unit, want a single probe", len(trial))
 	}
-	acts := r.step(r.end(trial[0].ID, "a", Served))
-	acts = append(acts, r.after(s.Rules.Fall)...)
+	acts := r.step(r.result(trial[0].ID, "a", Served))
+	acts = append(acts, r.advance(s.Rules.Fall)...)
 	share := s.Rules.ColdFrom + (1-s.Rules.ColdFrom)*s.Rules.Fall.Seconds()/s.Rules.Cold.Seconds()
 	most := s.Rules.OverloadFactor * share * 10 * s.Rules.Fall.Seconds() / 2
 	if n := float64(len(sends(acts))); n < 1 || n > most {
@@ -352,73 +375,74 @@
 	}
 }
 
-// TestStuckCallsAreCalledOff guards the slots: calls nobody answers may not hold them all.
-func TestStuckCallsAreCalledOff(t *testing.T) {
-	s := settings()
+// TestStuckCallIsCancelled guards against unanswered calls that hold all call slots.
+func TestStuckCallIsCancelled(t *testing.T) {
+	s := testSettings()
 	s.Workers = 2
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
 	for i := 1; i <= 3; i++ {
 		m := arrival(fmt.Sprint(i), 2)
 		m.Dest = i
 		r.step(m)
 	}
-	for _, a := range r.after(4 * time.Second) {
+	for _, a := range r.advance(4 * time.Second) {
 		if _, ok := a.(Cancel); ok {
 			return
 		}
 	}
-	t.Errorf("no call was called off while another destination waited for a slot")
+	t.Errorf("no call was cancelled while another destination waited for a slot")
 }
 
-// TestOneHostDownLeavesItsDestinationWell: the loss of one machine is not that of the destination.
-func TestOneHostDownLeavesItsDestinationWell(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0), ready("b", 1, 0, 0))
+// TestOneFailedHostLeavesUnitHealthy guards against suspecting a whole destination when one of its hosts fails.
+func TestOneFailedHostLeavesUnitHealthy(t *testing.T) {
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0))
 	for i := range 6 {
 		id := fmt.Sprint(i)
 		for _, s := range sends(r.step(arrival(id, 0))) {
 			r.now += 50 * ms
 			for s.Host == "a" {
-				again := sends(r.step(r.end(id, "a", NoConnection)))
+				again := sends(r.step(r.result(id, "a", NoConnection)))
 				if len(again) != 1 {
-					t.Fatalf("%d sends after a failed connection, want one to the other host", len(again))
+					t.Fatalf("%d sends after a failed connection, want 1 to the other host", len(again))
 				}
 				s = again[0]
 			}
-			r.step(r.end(id, s.Host, Served))
+			r.step(r.result(id, s.Host, Served))
 		}
 	}
-	if u := r.c.dests[1].units[0]; u.state != healthy {
-		t.Errorf("unit is in state %d", u.state)
+	if u := r.c.destByID[1].units[0]; u.state != healthy {
+		t.Errorf("unit in health state %d, want healthy", u.state)
 	}
 }
 
-func TestSettingsAreChecked(t *testing.T) {
+// TestInvalidSettingsAreRejected checks that New returns an error for settings out of range.
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"workers": func(s *Settings) { s.Workers = 0 }, "fleet": func(s *Settings) { s.Fleet = 0 },
 		"classes": func(s *Settings) { s.Classes = nil }, "aim": func(s *Settings) { s.Classes[0].Aim = 0 },
 		"tick": func(s *Settings) { s.Tick = 0 }, "fall": func(s *Settings) { s.Rules.Fall = 0 },
 	} {
-		s := settings()
+		s := testSettings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("invalid %s: no error", name)
 		}
 	}
 }
 
-// TestLargeFleetSpacesItsCalls: where this relay's share of the budget is under one call in the
-// rule's window, it sends less than one call in it.
-func TestLargeFleetSpacesItsCalls(t *testing.T) {
-	s := settings()
+// TestLargeFleetSpacesProbes guards against too many probes from a large fleet: a relay whose share of the budget is
+// under one call in Rules.Fall sends less than one call in that time.
+func TestLargeFleetSpacesProbes(t *testing.T) {
+	s := testSettings()
 	s.Fleet, s.Workers = 12, 100
-	h := ready("a", 1, 0, 0)
+	h := readyHost("a", 1, 0, 0)
 	h.Rate = 4
-	r := newRig(t, s, h)
+	r := newHarness(t, s, h)
 	for _, id := range []string{"x", "y"} {
-		r.after(time.Second)
+		r.advance(time.Second)
 		r.step(arrival(id, 2))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Error))
+		r.step(r.result(id, "a", Error))
 	}
 	var events []Event
 	for i := range 20 {
@@ -430,29 +454,29 @@
 		var ends []Event
 		for _, o := range out {
 			trials++
-			ends = append(ends, r.end(o.ID, "a", NoConnection))
+			ends = append(ends, r.result(o.ID, "a", NoConnection))
 		}
 		r.now += 5 * ms
 		out = sends(r.step(append(ends, Woken{})...))
 	}
-	// Within twice this relay's share of the budget: 2 x 2 x 0.2 x 4 x 2 s / 12 relays, for
-	// four windows, once the first gaps have grown.
+	// Twice this relay's share of the budget is 2 x 2 x 0.2 x 4/s x 2 s / 12 relays, in each of four windows
+	// of Rules.Fall; a few probes more come before the intervals have grown.
 	if trials < 1 || trials > 7 {
-		t.Errorf("%d trials in eight seconds, want one to seven", trials)
+		t.Errorf("%d probes in 8 s, want 1 to 7", trials)
 	}
 }
 
-// TestBacklogHoldsRestartsBack: while a message waits for the destination,
-// a call is given up only when it is very likely lost.
-func TestBacklogHoldsRestartsBack(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+// TestBacklogRaisesTimeout guards against restarts that feed an overload: while other messages wait for the
+// destination, a call is abandoned only if it is very likely lost.
+func TestBacklogRaisesTimeout(t *testing.T) {
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0))
 	for i := range 4 * minSamples {
 		id := fmt.Sprint("w", i)
 		r.step(arrival(id, 0))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Served, func(e *Result) {
+		r.step(r.result(id, "a", Served, func(e *Result) {
 			if e.Took = 100 * ms; i%8 == 0 {
-				e.Took = 1900 * ms // a tail that restarts would cut
+				e.Took = 1900 * ms // the tail of the latencies, which restarts would cut off
 			}
 		}))
 	}
@@ -463,22 +487,22 @@
 	}
 	busy := sends(r.step(events...))[0].Timeout
 	if quiet >= 1900*ms || busy < 1900*ms {
-		t.Errorf("time-out %v without and %v with a backlog, want it below and above the tail of 1.9s", quiet, busy)
+		t.Errorf("timeout %v without and %v with a backlog, want below and above the tail of 1.9s", quiet, busy)
 	}
 }
 
-// TestLostCallsAreCalledOff: a call that nobody answers is given up for want of a slot even where
-// its destination goes on serving others.
-func TestLostCallsAreCalledOff(t *testing.T) {
-	s := settings()
+// TestLostCallIsCancelled guards against a lost call that keeps its slot because its destination still serves
+// others.
+func TestLostCallIsCancelled(t *testing.T) {
+	s := testSettings()
 	s.Workers = 3
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+	r := newHarness(t, s, readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
 	r.step(arrival("lost", 2))
 	var out []Send
 	for i := range 200 {
 		var events []Event
 		for _, x := range out {
-			events = append(events, r.end(x.ID, x.Host, Served))
+			events = append(events, r.result(x.ID, x.Host, Served))
 		}
 		for dest := 1; dest <= 3; dest++ {
 			for k := range 2 {
@@ -496,43 +520,43 @@
 		out = sends(acts)
 		r.now += 50 * ms
 	}
-	t.Errorf("the lost call was never called off")
+	t.Errorf("the lost call was never cancelled")
 }
 
-// TestRefusalsInALargeFleet: relays that meet a destination seldom come back after growing pauses, and
-// not in step, so that together they get under its limit.
-func TestRefusalsInALargeFleet(t *testing.T) {
-	s := settings()
+// TestBackoffAfterRefusalInLargeFleet guards against a fleet whose retries keep a destination at its limit: relays
+// that seldom call it return after growing back-offs with jitter.
+func TestBackoffAfterRefusalInLargeFleet(t *testing.T) {
+	s := testSettings()
 	s.Fleet = 40
-	h := ready("a", 1, 0, 0)
+	h := readyHost("a", 1, 0, 0)
 	h.Rate = 4
 	var first []time.Duration
 	for seed := range uint64(5) {
-		r := newRig(t, s, h)
+		r := newHarness(t, s, h)
 		r.c.rand = rand.New(rand.NewPCG(seed, 0))
 		r.step(arrival("m", 0))
 		start, tries := r.now, 0
 		for r.now < start+9*time.Second {
-			if r.c.msgs["m"] != nil && r.c.msgs["m"].call != nil {
-				r.step(r.end("m", "a", Refused))
+			if r.c.messages["m"] != nil && r.c.messages["m"].call != nil {
+				r.step(r.result("m", "a", Refused))
 				tries++
 			}
-			if r.after(5 * ms); tries == 1 && r.c.msgs["m"].call != nil {
+			if r.advance(5 * ms); tries == 1 && r.c.messages["m"].call != nil {
 				first = append(first, r.now-start)
 			}
 		}
 		if tries > 5 {
-			t.Errorf("%d tries in nine seconds of refusals, want at most five", tries)
+			t.Errorf("%d attempts in 9 s of refusals, want at most 5", tries)
 		}
 	}
 	if slices.Sort(first); len(first) < 5 || first[4]-first[0] < 50*ms {
-		t.Errorf("second tries after %v, want them spread", first)
+		t.Errorf("second attempts after %v, want them spread by jitter", first)
 	}
 }
 
-// TestRelaysDoNotAllLikeOneHost: relays of a large fleet spread over the hosts of a destination.
-func TestRelaysDoNotAllLikeOneHost(t *testing.T) {
-	s := settings()
+// TestRelaysSpreadOverHosts guards against a large fleet whose relays all prefer the same host of a destination.
+func TestRelaysSpreadOverHosts(t *testing.T) {
+	s := testSettings()
 	s.Fleet = 40
 	used := map[string]int{}
 	for seed := range uint64(20) {
@@ -540,41 +564,43 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a, b := ready("a", 1, 0, 0), ready("b", 1, 0, 0)
+		a, b := readyHost("a", 1, 0, 0), readyHost("b", 1, 0, 0)
 		a.Rate, b.Rate = 4, 4
-		acts := c.Step(time.Hour, []Event{Listing{Whole: true, Hosts: []Host{a, b}}, arrival("m", 0)})
+		acts := c.Step(time.Hour, []Event{HostUpdate{Full: true, Hosts: []Host{a, b}}, arrival("m", 0)})
 		used[sends(acts)[0].Host]++
 	}
 	if used["a"] < 4 || used["b"] < 4 {
-		t.Errorf("first calls of 20 relays went to %v, want both hosts well used", used)
+		t.Errorf("first calls of 20 relays by host: %v, want at least 4 to each", used)
 	}
 }
 
-// TestPausesLengthenWhereRetriesFail: where calls after a refusal are hardly ever served, as where refused
-// calls use up the limit, the pause goes to the even share of a call at once.
-func TestPausesLengthenWhereRetriesFail(t *testing.T) {
-	s := settings()
+// TestBackoffGrowsWhereRetriesFail guards against retries that keep a destination closed: if calls after a refusal
+// are hardly ever served, as where refused calls use up the limit, the back-off goes at once to the interval of the
+// relay's even share.
+func TestBackoffGrowsWhereRetriesFail(t *testing.T) {
+	s := testSettings()
 	s.Fleet = 40
-	h := ready("a", 1, 0, 0)
+	h := readyHost("a", 1, 0, 0)
 	h.Rate = 4
 	pause := func(luck float64) time.Duration {
-		r := newRig(t, s, h)
-		r.c.habits[0].luck = luck
+		r := newHarness(t, s, h)
+		r.c.statsByKind[0].retrySuccess = luck
 		r.step(arrival("m", 0))
 		r.now += 50 * ms
-		r.step(r.end("m", "a", Refused))
-		return r.c.dests[1].units[0].pauseUntil - r.now
+		r.step(r.result("m", "a", Refused))
+		return r.c.destByID[1].units[0].backoffUntil - r.now
 	}
 	if often, never := pause(0.5), pause(0.05); often > 2*time.Second || never < 5*time.Second {
-		t.Errorf("pauses %v where retries are served and %v where not, want under 2s and over 5s", often, never)
+		t.Errorf("back-off %v if retries are served and %v if not, want under 2s and over 5s", often, never)
 	}
 }
 
-// TestSlowCallsAreServedInTheEnd: each further try of a message is called off later than the one before.
-func TestSlowCallsAreServedInTheEnd(t *testing.T) {
-	s := settings()
+// TestLaterAttemptsAreCancelledLater guards against cancelling a slow call over and over: each further attempt of a
+// message is cancelled later than the one before.
+func TestLaterAttemptsAreCancelledLater(t *testing.T) {
+	s := testSettings()
 	s.Workers, s.MaxHeld = 2, 1000
-	r := newRig(t, s, ready("slow", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+	r := newHarness(t, s, readyHost("slow", 1, 0, 0), readyHost("b", 2, 0, 0), readyHost("c", 3, 0, 0))
 	var took []time.Duration
 	var events []Event
 	events = append(events, arrival("m", 0))
@@ -593,195 +619,205 @@
 				if a.ID == "m" {
 					sent = r.now
 				} else {
-					events = append(events, r.end(a.ID, a.Host, Served))
+					events = append(events, r.result(a.ID, a.Host, Served))
 				}
 			case Cancel:
 				took = append(took, r.now-sent)
-				events = append(events, r.end(a.ID, "slow", Cancelled))
+				events = append(events, r.result(a.ID, "slow", Cancelled))
 			}
 		}
 		r.now += 50 * ms
 	}
 	if len(took) < 2 || took[1] < took[0]*3/2 {
-		t.Errorf("tries were called off after %v, want the second after longer", took)
+		t.Errorf("attempts were cancelled after %v, want the second at least half as late again", took)
 	}
 }
 
-// TestFirstFailureWhereSeldomMet: a relay of a large fleet that has nothing served lately to speak against
-// an outage takes the first failure for one and makes one trial, and long none if it fails; a small fleet's relay goes on.
-func TestFirstFailureWhereSeldomMet(t *testing.T) {
+// TestFirstFailureOfSeldomCalledUnit checks that a relay of a large fleet, without a recent served call that speaks
+// against an outage, suspects a unit at the first failure, sends one probe and after its failure waits long. A relay
+// of a small fleet goes on.
+func TestFirstFailureOfSeldomCalledUnit(t *testing.T) {
 	for fleet, want := range map[int]health{2: healthy, 40: suspect} {
-		s := settings()
+		s := testSettings()
 		s.Fleet = fleet
-		h := ready("a", 1, 0, 0)
+		h := readyHost("a", 1, 0, 0)
 		h.Rate = 4
-		r := newRig(t, s, h)
-		r.after(5 * time.Second)
+		r := newHarness(t, s, h)
+		r.advance(5 * time.Second)
 		r.step(arrival("m", 0))
-		r.step(r.end("m", "a", NoConnection))
-		if got := r.c.dests[1].units[0].state; got != want {
+		r.step(r.result("m", "a", NoConnection))
+		if got := r.c.destByID[1].units[0].state; got != want {
 			t.Errorf("fleet of %d: health %v after the first failure, want %v", fleet, got, want)
 		}
 		if want == healthy {
 			continue
 		}
-		if n := len(sends(r.after(time.Second))); n != 1 {
-			t.Errorf("fleet of %d: %d calls within a second of the first failure, want one trial", fleet, n)
+		if n := len(sends(r.advance(time.Second))); n != 1 {
+			t.Errorf("fleet of %d: %d calls within 1s of the first failure, want 1 probe", fleet, n)
 		}
-		r.step(r.end("m", "a", NoConnection))
-		if n := len(sends(r.after(3 * time.Second))); n > 0 {
+		r.step(r.result("m", "a", NoConnection))
+		if n := len(sends(r.advance(3 * time.Second))); n > 0 {
 			t.Errorf("fleet of %d: %d calls within 3s of the second failure, want none", fleet, n)
 		}
 	}
 }
 
-// TestARelayThatStoodStill: outcomes that come all at once after a gap are taken in before anything is
-// judged, so that the relay's own stall is no silence of a destination.
-func TestARelayThatStoodStill(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0), ready("b", 2, 0, 0))
+// TestRelayStallIsNotSilence guards against taking the relay's own stall for silence of a destination: results that
+// come all at once after a gap are processed before silence is judged.
+func TestRelayStallIsNotSilence(t *testing.T) {
+	r := newHarness(t, testSettings(), readyHost("a", 1, 0, 0), readyHost("b", 2, 0, 0))
 	other := arrival("n", 0)
 	other.Dest = 2
 	r.step(arrival("m", 0), other)
 	r.now += 5 * time.Second
-	r.step(Woken{}, r.end("m", "a", Served), r.end("n", "b", Served))
-	for id, d := range r.c.dests {
+	r.step(Woken{}, r.result("m", "a", Served), r.result("n", "b", Served))
+	for id, d := range r.c.destByID {
 		if got := d.units[0].state; got != healthy {
-			t.Errorf("destination %d: health %v after the relay's own stall, want healthy", id, got)
+			t.Errorf("destination %d: health %v after a stall of the relay, want healthy", id, got)
 		}
 	}
 }
 
-// TestALongList: thousands of hosts at once, listed twice, cost no table
-// each and leave the relay able to send; hosts that leave are forgotten.
-func TestALongList(t *testing.T) {
+// TestLongHostList guards against the cost of a long host list: thousands of hosts, listed twice, get no latency table
+// before their first answer, the relay can still send, and hosts that leave the list are forgotten.
+func TestLongHostList(t *testing.T) {
 	var hosts, gone []Host
 	for i := range 5000 {
-		h := ready(fmt.Sprint("h", i), i, 0, 0)
+		h := readyHost(fmt.Sprint("h", i), i, 0, 0)
 		hosts = append(hosts, h)
 		h.State = Gone
 		gone = append(gone, h)
 	}
-	r := newRig(t, settings(), hosts...)
-	r.step(Listing{Whole: true, Hosts: hosts})
+	r := newHarness(t, testSettings(), hosts...)
+	r.step(HostUpdate{Full: true, Hosts: hosts})
 	m := arrival("m", 0)
 	m.Dest = 4999
 	if got := sends(r.step(m)); len(got) != 1 || got[0].Host != "h4999" {
 		t.Fatalf("sends %v, want one to h4999", got)
 	}
-	for id, d := range r.c.dests {
-		if d.table.count != nil {
-			t.Fatalf("destination %d has a table before its first answer", id)
+	for id, d := range r.c.destByID {
+		if d.latencies.count != nil {
+			t.Fatalf("destination %d has a latency table before its first answer", id)
 		}
 	}
-	r.step(r.end("m", "h4999", Served))
-	r.step(Listing{Hosts: gone})
-	if len(r.c.dests) != 0 || len(r.c.hosts) != 0 {
-		t.Errorf("%d destinations and %d hosts remembered after all left", len(r.c.dests), len(r.c.hosts))
+	r.step(r.result("m", "h4999", Served))
+	r.step(HostUpdate{Hosts: gone})
+	if len(r.c.destByID) != 0 || len(r.c.hosts) != 0 {
+		t.Errorf("%d destinations and %d hosts left after all left the list", len(r.c.destByID), len(r.c.hosts))
 	}
 }
 
-func TestStopAnswersWhatWaits(t *testing.T) {
-	r := newRig(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
-	r.step(Arrival{ID: "out", Class: 2, Dest: 1, Left: 10 * time.Second})
-	r.step(Arrival{ID: "ran", Class: 2, Dest: 1, Left: 10 * time.Second})
-	r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Draining}}})
-	r.step(Arrival{ID: "waits", Class: 0, Dest: 1, Left: 10 * time.Second})
-	acts := r.step(Stop{}, r.end("ran", "a", Cancelled))
+// TestStopAnswersWaitingMessages checks that a Stop gives waiting messages their final answer at once, and those in
+// flight with their result.
+func TestStopAnswersWaitingMessages(t *testing.T) {
+	r := newHarness(t, testSettings(), Host{Addr: "a", Dest: 1, State: Ready})
+	r.step(Arrival{ID: "out", Class: 2, Dest: 1, TimeLeft: 10 * time.Second})
+	r.step(Arrival{ID: "ran", Class: 2, Dest: 1, TimeLeft: 10 * time.Second})
+	r.step(HostUpdate{Full: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Draining}}})
+	r.step(Arrival{ID: "waits", Class: 0, Dest: 1, TimeLeft: 10 * time.Second})
+	acts := r.step(Stop{}, r.result("ran", "a", Cancelled))
 	if !slices.Contains(acts, Action(Refuse{ID: "waits"})) || !slices.Contains(acts, Action(Fail{ID: "ran"})) {
-		t.Fatalf("at the stop: %v", acts)
+		t.Fatalf("actions %v at the stop, want waits refused and ran failed", acts)
 	}
-	acts = r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}}, r.end("out", "a", NotSent))
+	acts = r.step(HostUpdate{Full: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}}, r.result("out", "a", NotSent))
 	if len(sends(acts)) > 0 || !slices.Contains(acts, Action(Refuse{ID: "out"})) {
-		t.Fatalf("after the stop, with its result: %v", acts)
+		t.Fatalf("actions %v at a result after the stop, want out refused and no send", acts)
 	}
 }
 
-func TestWaitToldWithAnErrorIsKept(t *testing.T) {
-	r := newRig(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
-	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 10 * time.Second})
-	r.step(r.end("m1", "a", Error, func(e *Result) { e.Wait = 3 * time.Second }))
-	r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 10 * time.Second})
-	if s := sends(r.after(2900 * ms)); len(s) > 0 {
-		t.Fatalf("sent within the wait: %v", s)
+// TestRetryAfterWithErrorIsKept guards against ignoring the wait that a host asks for if it comes with an error.
+func TestRetryAfterWithErrorIsKept(t *testing.T) {
+	r := newHarness(t, testSettings(), Host{Addr: "a", Dest: 1, State: Ready})
+	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, TimeLeft: 10 * time.Second})
+	r.step(r.result("m1", "a", Error, func(e *Result) { e.RetryAfter = 3 * time.Second }))
+	r.step(Arrival{ID: "m2", Class: 0, Dest: 1, TimeLeft: 10 * time.Second})
+	if s := sends(r.advance(2900 * ms)); len(s) > 0 {
+		t.Fatalf("sent %v within the wait", s)
 	}
-	if s := sends(r.after(3 * time.Second)); len(s) == 0 {
-		t.Fatal("nothing sent after the wait")
+	if s := sends(r.advance(3 * time.Second)); len(s) == 0 {
+		t.Fatal("no send after the wait")
 	}
 }
 
-func TestRefusedNeverRan(t *testing.T) {
+// TestMessageThatMayHaveRunIsNotRefused guards against refusing a safe or keyed message that may have run where a
+// refusal promises that it did not.
+func TestMessageThatMayHaveRunIsNotRefused(t *testing.T) {
 	for class := range 2 { // safe, keyed
-		s := settings()
-		s.Certain, s.MaxAttempts = true, 1
-		r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+		s := testSettings()
+		s.RefuseOnlyNeverRan, s.MaxAttempts = true, 1
+		r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 		r.step(arrival("m", class))
-		acts := r.step(r.end("m", "a", Reset))
+		acts := r.step(r.result("m", "a", Reset))
 		if !slices.Contains(acts, Action(Fail{ID: "m"})) {
-			t.Errorf("class %d may have run: %v", class, acts)
+			t.Errorf("class %d: actions %v for a message that may have run, want a failure", class, acts)
 		}
 	}
 }
 
-func TestWithdrawnAndOwed(t *testing.T) {
-	s := settings()
-	s.Certain = true
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+// TestWithdrawnMessageStillGetsAnswer checks that a withdrawn message that still needs a final answer gets it, at
+// once or with its result, and is not sent again.
+func TestWithdrawnMessageStillGetsAnswer(t *testing.T) {
+	s := testSettings()
+	s.RefuseOnlyNeverRan = true
+	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(arrival("out", 0))
-	r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Draining}}})
+	r.step(HostUpdate{Full: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Draining}}})
 	r.step(arrival("waits", 0))
-	acts := r.step(Withdrawn{ID: "out", Owed: true}, Withdrawn{ID: "waits", Owed: true})
+	acts := r.step(Withdrawn{ID: "out", AnswerOwed: true}, Withdrawn{ID: "waits", AnswerOwed: true})
 	if len(acts) == 0 || acts[0] != Action(Refuse{ID: "waits"}) || slices.Contains(acts, Action(Fail{ID: "out"})) {
-		t.Fatalf("at the withdrawal: %v", acts)
+		t.Fatalf("actions %v at the withdrawal, want only waits refused", acts)
 	}
-	r.step(Listing{Whole: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}})
-	acts = r.step(r.end("out", "a", Reset))
-	if !slices.Contains(acts, Action(Fail{ID: "out"})) || len(sends(append(acts, r.after(time.Second)...))) > 0 {
-		t.Fatalf("with its result: %v", acts)
+	r.step(HostUpdate{Full: true, Hosts: []Host{{Addr: "a", Dest: 1, State: Ready}}})
+	acts = r.step(r.result("out", "a", Reset))
+	if !slices.Contains(acts, Action(Fail{ID: "out"})) || len(sends(append(acts, r.advance(time.Second)...))) > 0 {
+		t.Fatalf("actions %v at the result, want out failed and no send", acts)
 	}
 }
 
-func TestTollsBetweenZones(t *testing.T) {
-	tolls := func(left, urgent float64, again time.Duration) Tolls {
-		return Tolls{Left: left, Class: slices.Repeat([]Toll{{Cost: 10, Floor: 5, Urgent: urgent, Own: 1000, Again: again}}, 4)}
+// TestZoneBudget checks which messages the budget for sends to other zones allows.
+func TestZoneBudget(t *testing.T) {
+	tolls := func(left, urgent float64, again time.Duration) ZoneBudget {
+		return ZoneBudget{Remaining: left, Classes: slices.Repeat([]ClassBudget{{Cost: 10, Floor: 5, Urgent: urgent, Own: 1000, Again: again}}, 4)}
 	}
-	r := newRig(t, settings(), ready("far", 1, 0, 1))
+	r := newHarness(t, testSettings(), readyHost("far", 1, 0, 1))
 	r.step(tolls(18, 5, r.now+500*ms))
-	if n := len(sends(r.step(arrival("a", 0), arrival("b", 2)))); n != 1 { // of any class
-		t.Errorf("%d sends with room for one", n)
+	if n := len(sends(r.step(arrival("a", 0), arrival("b", 2)))); n != 1 { // the budget is shared by the classes
+		t.Errorf("%d sends with a budget for one", n)
 	}
-	if n := len(sends(r.after(time.Second))); n != 0 {
-		t.Errorf("%d sends with nothing left", n)
+	if n := len(sends(r.advance(time.Second))); n != 0 {
+		t.Errorf("%d sends with the budget used up", n)
 	}
 	if n := len(sends(r.step(tolls(1000, 5, 0)))); n != 1 {
-		t.Errorf("%d sends once it is open", n)
+		t.Errorf("%d sends with a new budget, want 1", n)
 	}
-	// Every endpoint lies across a zone that stays closed: refused at once, with advice.
-	s := settings()
+	// The budget excludes all hosts past the deadline: refused at once, with a Retry-After.
+	s := testSettings()
 	s.MaxRetryAfter = 30 * time.Second
-	r = newRig(t, s, ready("far", 1, 0, 1))
+	r = newHarness(t, s, readyHost("far", 1, 0, 1))
 	acts := r.step(tolls(0, 5, r.now+20*time.Second), arrival("c", 0))
-	if !slices.Contains(acts, Action(Refuse{ID: "c", After: 20 * time.Second})) {
-		t.Errorf("barred past its time: %v", acts)
+	if !slices.Contains(acts, Action(Refuse{ID: "c", RetryAfter: 20 * time.Second})) {
+		t.Errorf("actions %v without a budget until past the deadline, want a refusal with the time until then", acts)
 	}
-	// An urgent message crosses.
-	r = newRig(t, settings(), ready("far", 1, 0, 1))
+	// An urgent message has a lower floor.
+	r = newHarness(t, testSettings(), readyHost("far", 1, 0, 1))
 	r.step(tolls(10, 0, r.now+time.Hour), arrival("d", 2))
-	if n := len(sends(r.after(7 * time.Second))); n != 0 {
-		t.Errorf("%d sends before it is urgent", n)
+	if n := len(sends(r.advance(7 * time.Second))); n != 0 {
+		t.Errorf("%d sends before the message is urgent", n)
 	}
-	if n := len(sends(r.after(time.Second))); n != 1 {
-		t.Errorf("%d sends of an urgent message", n)
+	if n := len(sends(r.advance(time.Second))); n != 1 {
+		t.Errorf("%d sends of an urgent message, want 1", n)
 	}
-	// At home nothing is paid.
-	r = newRig(t, settings(), ready("near", 1, 0, 0))
+	// Sends within the relay's own zone cost nothing.
+	r = newHarness(t, testSettings(), readyHost("near", 1, 0, 0))
 	if n := len(sends(r.step(tolls(0, 5, r.now+time.Hour), arrival("e", 0)))); n != 1 {
-		t.Errorf("%d sends at home", n)
+		t.Errorf("%d sends within the own zone, want 1", n)
 	}
 }
 
-// What an earlier run may have sent stays as careful as this run's own: an unsafe
-// message is not sent again, a keyed one within its window only, attempts count.
-func TestRestored(t *testing.T) {
+// TestRestoredMessage guards against repeats that the effect of a message forbids after a restart: an unsafe message
+// that an earlier run may have sent is not sent again, a keyed one only within its zone and window, and attempts are
+// counted on.
+func TestRestoredMessage(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
@@ -789,48 +825,48 @@
 		sent  bool
 	}{
 		{"unsafe, never ran", 2, Restored{Attempts: 1}, true},
-		{"unsafe, may have run", 2, Restored{Attempts: 1, Ran: true, Since: time.Second}, false},
-		{"keyed, in its window", 1, Restored{Attempts: 1, Ran: true, Since: time.Second}, true},
-		{"keyed, in another zone", 1, Restored{Attempts: 1, Ran: true, Since: time.Second, Zone: 1}, false},
-		{"keyed, past its window", 1, Restored{Attempts: 1, Ran: true, Since: 4 * time.Second}, false},
-		{"keyed, for ever ago", 1, Restored{Attempts: 1, Ran: true, Since: math.MaxInt64}, false},
-		{"safe, may have run", 0, Restored{Attempts: 1, Ran: true, Since: time.Hour}, true},
-		{"no attempts left", 0, Restored{Attempts: 4, Ran: true}, false},
+		{"unsafe, may have run", 2, Restored{Attempts: 1, MayHaveRun: true, Since: time.Second}, false},
+		{"keyed, in its window", 1, Restored{Attempts: 1, MayHaveRun: true, Since: time.Second}, true},
+		{"keyed, in another zone", 1, Restored{Attempts: 1, MayHaveRun: true, Since: time.Second, Zone: 1}, false},
+		{"keyed, past its window", 1, Restored{Attempts: 1, MayHaveRun: true, Since: 4 * time.Second}, false},
+		{"keyed, at the largest time ago", 1, Restored{Attempts: 1, MayHaveRun: true, Since: math.MaxInt64}, false},
+		{"safe, may have run", 0, Restored{Attempts: 1, MayHaveRun: true, Since: time.Hour}, true},
+		{"no attempts left", 0, Restored{Attempts: 4, MayHaveRun: true}, false},
 	} {
-		r := newRig(t, settings(), Host{Addr: "a", State: Ready})
-		c.m.Arrival = Arrival{ID: "m", Class: c.class, Left: 9 * time.Second}
-		if got := sends(append(r.step(c.m), r.after(time.Second)...)); (len(got) > 0) != c.sent {
-			t.Errorf("%s: %v", c.name, got)
+		r := newHarness(t, testSettings(), Host{Addr: "a", State: Ready})
+		c.m.Arrival = Arrival{ID: "m", Class: c.class, TimeLeft: 9 * time.Second}
+		if got := sends(append(r.step(c.m), r.advance(time.Second)...)); (len(got) > 0) != c.sent {
+			t.Errorf("%s: sent %v", c.name, got)
 		}
 	}
 }
 
-// A wait that an earlier run was told is heeded, an endpoint that failed then gets a
-// trial and not a crowd, and a larger fleet leaves each relay less of a limit.
-func TestEarlierRun(t *testing.T) {
-	r := newRig(t, settings(), Host{Addr: "a", State: Ready})
-	r.step(Waited{Host: "a", Left: time.Second}, Waited{Host: "gone", Left: time.Hour})
-	if got := sends(append(r.step(Arrival{ID: "m", Left: 9 * time.Second}), r.after(950*ms)...)); len(got) > 0 {
-		t.Errorf("within the wait: %v", got)
+// TestRestoredHost checks that a wait which a host asked for before a restart is kept, that a host that failed then
+// gets a single probe, and that a relay's share of a limit shrinks in a larger fleet.
+func TestRestoredHost(t *testing.T) {
+	r := newHarness(t, testSettings(), Host{Addr: "a", State: Ready})
+	r.step(RestoredHost{Host: "a", RetryAfter: time.Second}, RestoredHost{Host: "gone", RetryAfter: time.Hour})
+	if got := sends(append(r.step(Arrival{ID: "m", TimeLeft: 9 * time.Second}), r.advance(950*ms)...)); len(got) > 0 {
+		t.Errorf("sent %v within the wait", got)
 	}
-	if got := sends(r.after(200 * ms)); len(got) != 1 {
-		t.Errorf("after the wait: %v", got)
+	if got := sends(r.advance(200 * ms)); len(got) != 1 {
+		t.Errorf("sent %v after the wait, want one", got)
 	}
-	r = newRig(t, settings(), Host{Addr: "a", State: Ready})
-	r.step(Waited{Host: "a", Failing: true})
+	r = newHarness(t, testSettings(), Host{Addr: "a", State: Ready})
+	r.step(RestoredHost{Host: "a", Failing: true})
 	var all []Event
 	for i := range 4 {
-		all = append(all, Arrival{ID: fmt.Sprint(i), Left: 9 * time.Second})
+		all = append(all, Arrival{ID: fmt.Sprint(i), TimeLeft: 9 * time.Second})
 	}
-	if got := sends(append(r.step(all...), r.after(time.Second)...)); len(got) != 1 {
-		t.Errorf("to one that failed: %v", got)
+	if got := sends(append(r.step(all...), r.advance(time.Second)...)); len(got) != 1 {
+		t.Errorf("sent %v to a host that failed before the restart, want a single probe", got)
 	}
-	r = newRig(t, settings(), Host{Addr: "a", Rate: 40, State: Ready})
+	r = newHarness(t, testSettings(), Host{Addr: "a", Rate: 40, State: Ready})
 	u := r.c.hosts["a"].unit
-	if r.step(Fleet{Index: 3, Size: 8}); u.limit != 10 || r.c.set.Fleet != 8 {
-		t.Errorf("limit %v in a fleet of %d", u.limit, r.c.set.Fleet)
+	if r.step(FleetChange{Index: 3, Size: 8}); u.limit != 10 || r.c.cfg.Fleet != 8 {
+		t.Errorf("limit %v for a fleet of %d", u.limit, r.c.cfg.Fleet)
 	}
-	if r.step(Fleet{Index: 0, Size: 1}, Fleet{}); u.limit > 11 || r.c.set.Fleet != 1 {
-		t.Errorf("limit %v in a fleet of %d", u.limit, r.c.set.Fleet)
+	if r.step(FleetChange{Index: 0, Size: 1}, FleetChange{}); u.limit > 11 || r.c.cfg.Fleet != 1 {
+		t.Errorf("limit %v for a fleet of %d", u.limit, r.c.cfg.Fleet)
 	}
 }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -13,136 +13,141 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
+// attempt is one attempt of a message. The attempts of a call with several messages are linked
+// by leader and followers.
 type attempt struct {
-	m       *message
-	n       int
-	host    string
-	zone    int // of the host as it was sent to
-	partner int
-	sent    time.Duration
-	end     time.Duration // time-out
-	by      time.Duration // nothing is written after it; 0 for no such time
-	sock    Attempt
-	passed  atomic.Int64
-	settle  func(now time.Duration, passed int64, whole bool)
-	place   int        // in the heap, -1 if not there
-	lead    *attempt   // with which it travels; nil for one that goes alone or leads
-	with    []*attempt // those that travel with it
-	off     bool       // called off by the module
-	gate    *gated     // it waits for its record, or did; nil for one that had not to
-	doubted bool       // its outcome was another's
+	msg         *message
+	attemptNo   int // from 0
+	host        string
+	zone        int // zone of the host at the time of the send
+	partner     int
+	sentAt      time.Duration
+	timeoutAt   time.Duration // time of the time-out
+	writeBy     time.Duration // latest time of the first write; 0 for none
+	handle      Attempt       // of the call, nil in attempts that have a leader
+	bytesPassed atomic.Int64
+	settleBytes func(now time.Duration, passed int64, whole bool) // see ZoneBudget.Sent; nil for none
+	heapIndex   int                                               // index in Core.timeouts, -1 if not in it
+	leader      *attempt                                          // first attempt of the call; nil in that one
+	followers   []*attempt                                        // in the first attempt: the others of the call
+	cancelled   bool                                              // cancelled by the module
+	// set while the call is delayed, and afterwards if it waited for its records
+	gate *delayedCall
+	// the outcome was retracted: the response belonged to another call
+	retracted bool
 }
 
-// all are the attempts of one call.
-func (a *attempt) all() []*attempt { return append([]*attempt{a}, a.with...) }
+// members returns the attempts of a's call, of which a is the first.
+func (a *attempt) members() []*attempt { return append([]*attempt{a}, a.followers...) }
 
-// harmful tells whether a second effect of a message would do harm: then each
-// attempt is recorded before its first byte.
-func (c *Core) harmful(m *message) bool {
-	return m.kept && (c.opt.Every || c.opt.Settings.Classes[m.Class].Effect != choice.Safe)
+// recordsAttempts reports whether each attempt of a message is recorded before its first byte: if a
+// repeat would do harm, or if all attempts are recorded.
+func (c *Core) recordsAttempts(m *message) bool {
+	return m.journaled && (c.opt.RecordAllAttempts || c.opt.Settings.Classes[m.Class].Effect != choice.Safe)
 }
 
-// tried records an attempt of a message.
-func (c *Core) tried(a *attempt, clear bool) {
+// recordAttempt records an attempt; clear marks one that certainly had no effect.
+func (c *Core) recordAttempt(a *attempt, clear bool) {
 	zone := ""
 	if a.zone < len(c.opt.Names.Zones) {
 		zone = c.opt.Names.Zones[a.zone]
 	}
-	c.opt.Journal.RecordAttempt(journal.Attempt{Seq: a.m.seq, N: a.n, Host: a.host, Zone: zone,
+	c.opt.Journal.RecordAttempt(journal.Attempt{Seq: a.msg.seq, N: a.attemptNo, Host: a.host, Zone: zone,
 		At: c.opt.Journal.Stamp(), NeverRan: clear})
 }
 
-// clear records that an attempt had no effect, once that is confirmed.
+// clear records that an attempt had no effect, once its outcome is confirmed.
 func (c *Core) clear(a *attempt) {
-	if a.m.life.ConfirmedBy() <= c.now || a.m.life.Repeat != lifecycle.Never {
-		c.tried(a, true)
+	if a.msg.state.ConfirmedBy() <= c.now || a.msg.state.Repeat != lifecycle.Never {
+		c.recordAttempt(a, true)
 		return
 	}
-	c.confirm(a.m.life.ConfirmedBy(), func() {
-		if !a.m.answered && !a.m.life.MayHaveRun() {
-			c.tried(a, true)
+	c.schedule(a.msg.state.ConfirmedBy(), func() {
+		if !a.msg.answered && !a.msg.state.MayHaveRun() {
+			c.recordAttempt(a, true)
 		}
 	})
 }
 
-// over takes in how a call ended: each of its messages has its own end.
-func (c *Core) over(a *attempt, e Ending) {
-	for i, b := range a.all() {
+// endCall processes the end of a call: it ends the attempt of each of its messages.
+func (c *Core) endCall(a *attempt, e Ending) {
+	for i, b := range a.members() {
 		one := e
 		if one.Each = nil; i < len(e.Each) {
 			one = e.Each[i]
-			one.Took, one.Unconfirmed, one.Unsettled = e.Took, e.Unconfirmed, e.Unsettled
+			one.Took, one.ConfirmAfter, one.RetractableFor = e.Took, e.ConfirmAfter, e.RetractableFor
 		}
-		c.end(b, one)
+		c.endAttempt(b, one)
 	}
 }
 
-// end takes in an attempt's outcome from its socket.
-func (c *Core) end(a *attempt, e Ending) {
-	m := a.m
-	if m.out != a {
+// endAttempt processes the outcome of an attempt.
+func (c *Core) endAttempt(a *attempt, e Ending) {
+	m := a.msg
+	if m.current != a {
 		return
 	}
-	m.out = nil
-	delete(c.outs, a)
-	if a.doubted {
+	m.current = nil
+	delete(c.inFlight, a)
+	if a.retracted {
 		e = Ending{Outcome: choice.Doubted, Took: e.Took, Wait: e.Wait}
 	}
-	if a.settle != nil {
+	if a.settleBytes != nil {
 		whole := e.Outcome == choice.Served || e.Outcome == choice.Error || e.Outcome == choice.Refused
-		a.settle(c.now, a.passed.Load(), whole)
+		a.settleBytes(c.now, a.bytesPassed.Load(), whole)
 	}
-	if a.place >= 0 {
-		heap.Remove(&c.waits, a.place)
+	if a.heapIndex >= 0 {
+		heap.Remove(&c.timeouts, a.heapIndex)
 	}
 	c.opt.Observer.Attempted(m.Class, e.Outcome, e.Took)
-	c.note(a.host, e)
-	served := e.Outcome == choice.Served && (c.opt.Late == 0 || c.now <= m.due-c.opt.Late)
-	if e.Unsettled > 0 && !m.answered {
-		c.unconfirmed(a, e, served)
+	c.recordHost(a.host, e)
+	served := e.Outcome == choice.Served && (c.opt.LateMargin == 0 || c.now <= m.deadline-c.opt.LateMargin)
+	if e.RetractableFor > 0 && !m.answered {
+		c.handleUnconfirmed(a, e, served)
 	}
-	if e.Over && !m.answered { // the platform says so: nobody is owed anything
+	if e.Abandon && !m.answered { // the platform has abandoned the message: no answer is due
 		c.answer(m, ledger.Answer{Verdict: ledger.Abandoned})
 	}
-	sure := e.Outcome == choice.Refused || e.Outcome == choice.NoConnection || e.Outcome == choice.NotSent
-	m.life.Back(sure)
+	noEffect := e.Outcome == choice.Refused || e.Outcome == choice.NoConnection || e.Outcome == choice.NotSent
+	m.state.Back(noEffect)
 	c.opt.Trace.Step(m.Identity, "result", e.Outcome.String())
-	if sure && c.harmful(m) && !m.answered {
+	if noEffect && c.recordsAttempts(m) && !m.answered {
 		c.clear(a)
 	}
-	c.batch = append(c.batch, choice.Result{ID: m.id, Host: a.host, Attempt: a.n, Outcome: e.Outcome,
-		Took: e.Took, Wait: e.Wait, Done: served || m.answered, Spent: e.Spent, Report: e.Report})
+	c.batch = append(c.batch, choice.Result{ID: m.id, Host: a.host, Attempt: a.attemptNo, Outcome: e.Outcome,
+		Took: e.Took, RetryAfter: e.Wait, Done: served || m.answered, NoMoreAttempts: e.AttemptsUsedUp, Report: e.LoadReport})
 	if served {
 		c.answer(m, ledger.Answer{Verdict: ledger.Delivered})
 	}
-	c.forget(m)
+	c.removeFinished(m)
 }
 
-// abort ends an attempt for a time-out or a cancel. If its outcome was first,
-// that stands and comes by the inbox.
-func (c *Core) abort(a *attempt, why choice.Outcome) {
-	started, ok := a.sock.Abort()
+// abortCall ends a call because of a time-out or at shutdown. If it has ended already, its
+// outcome counts and arrives through the inbox.
+func (c *Core) abortCall(a *attempt, why choice.Outcome) {
+	started, ok := a.handle.Abort()
 	if !ok {
-		if a.place >= 0 {
-			heap.Remove(&c.waits, a.place)
+		if a.heapIndex >= 0 {
+			heap.Remove(&c.timeouts, a.heapIndex)
 		}
 		return
 	}
-	if !started { // not one byte was handed over: it cannot have run
-		if why = choice.NotSent; c.now >= a.end && a.begun() {
+	if !started { // no byte was sent: it cannot have run
+		if why = choice.NotSent; c.now >= a.timeoutAt && a.dispatched() {
 			why = choice.NoConnection
 		}
 	}
-	c.over(a, Ending{Outcome: why, Took: c.now - a.sent})
+	c.endCall(a, Ending{Outcome: why, Took: c.now - a.sentAt})
 }
 
-// listed notes endpoints that no longer take new work.
-func (c *Core) listed(l *choice.Listing, recall map[string]bool) {
+// applyListing updates the tables of endpoints, and adds to recall the endpoints that no longer
+// accept new calls.
+func (c *Core) applyListing(l *choice.HostUpdate, recall map[string]bool) {
 	if l.Failed {
 		return
 	}
 	ready := map[string]bool{}
-	if l.Whole {
+	if l.Full {
 		clear(c.zones)
 		clear(c.kinds)
 	}
@@ -159,8 +164,8 @@
 			recall[h.Addr] = true
 		}
 	}
-	if l.Whole {
-		for a := range c.outs {
+	if l.Full {
+		for a := range c.inFlight {
 			if !ready[a.host] {
 				recall[a.host] = true
 			}
@@ -168,20 +173,21 @@
 	}
 }
 
-// hold notes endpoints that a told wait covers.
-func (c *Core) hold(a *attempt, recall map[string]bool) {
+// addWaitingHosts adds to recall the endpoints to which the wait that ended a applies: all of the
+// partner, unless its endpoints have limits of their own.
+func (c *Core) addWaitingHosts(a *attempt, recall map[string]bool) {
 	recall[a.host] = true
-	if c.kind(a.host).Apart {
+	if c.kind(a.host).PerHostLimits {
 		return
 	}
-	for b := range c.outs {
+	for b := range c.inFlight {
 		if b.partner == a.partner {
 			recall[b.host] = true
 		}
 	}
 }
 
-// kind of an endpoint; that of one which has none carries one message a call.
+// kind returns the kind of an endpoint; one message a call if its kind is unknown.
 func (c *Core) kind(host string) choice.Kind {
 	if k := c.kinds[host]; k >= 0 && k < len(c.opt.Settings.Kinds) {
 		return c.opt.Settings.Kinds[k]
@@ -189,76 +195,79 @@
 	return choice.Kind{PerCall: 1}
 }
 
-// recall takes back attempts whose connection is not up yet, where the news
-// of this batch may have changed what the module would say: bytes must not go
-// out long after the decision that sent them.
+// recall ends calls to hosts whose connection is not established yet. The events of this
+// batch may have changed the module's decision, and no byte should be sent long after
+// the decision to send it. The module then decides again.
 func (c *Core) recall(hosts map[string]bool) {
-	for a := range c.outs {
-		if hosts[a.host] && a.lead == nil && a.sock.Recall() {
-			c.over(a, Ending{Outcome: choice.NotSent, Took: c.now - a.sent})
+	for a := range c.inFlight {
+		if hosts[a.host] && a.leader == nil && a.handle.Recall() {
+			c.endCall(a, Ending{Outcome: choice.NotSent, Took: c.now - a.sentAt})
 		}
 	}
 }
 
-// sentLater tells whether an action sends to a host.
-func sentLater(actions []choice.Action, host string) bool {
+// anySendTo reports whether any of actions sends to a host.
+func anySendTo(actions []choice.Action, host string) bool {
 	return slices.ContainsFunc(actions, func(a choice.Action) bool {
 		s, ok := a.(choice.Send)
 		return ok && s.Host == host
 	})
 }
 
-// attempt makes that of a send, nil for a message that is no more.
-func (c *Core) attempt(s choice.Send) *attempt {
-	m := c.msgs[s.ID]
+// newAttempt creates the attempt for a send. It returns nil if the message is gone or must not be
+// sent; the module then gets NotSent in the next batch.
+func (c *Core) newAttempt(s choice.Send) *attempt {
+	m := c.byID[s.ID]
 	if m == nil {
 		return nil
 	}
-	if !m.life.MaySend(c.opt.Guard, c.now, c.parked) {
-		c.later(event{call: func() {
-			c.batch = append(c.batch, choice.Result{ID: m.id, Host: s.Host, Attempt: m.tries, Outcome: choice.NotSent})
-			m.tries++
+	if !m.state.MaySend(c.opt.Guard, c.now, c.parked) {
+		c.enqueueOwn(event{call: func() {
+			c.batch = append(c.batch, choice.Result{ID: m.id, Host: s.Host, Attempt: m.attempts,
+				Outcome: choice.NotSent})
+			m.attempts++
 		}})
 		return nil
 	}
-	a := &attempt{m: m, n: m.tries, host: s.Host, partner: m.Partner, sent: c.now,
-		end: c.now + s.Timeout, zone: c.zones[s.Host], place: -1}
-	if s.Within > 0 {
-		a.by = c.now + s.Within
+	a := &attempt{msg: m, attemptNo: m.attempts, host: s.Host, partner: m.Partner, sentAt: c.now,
+		timeoutAt: c.now + s.Timeout, zone: c.zones[s.Host], heapIndex: -1}
+	if s.StartWithin > 0 {
+		a.writeBy = c.now + s.StartWithin
 	}
-	m.tries++
-	m.out = a
+	m.attempts++
+	m.current = a
 	c.opt.Trace.Step(m.Identity, "send", s.Host)
-	c.outs[a] = struct{}{}
-	if c.opt.Toll != nil {
-		a.settle = c.opt.Toll.Sent(c.now, m.Class, m.Partner, a.zone)
+	c.inFlight[a] = struct{}{}
+	if c.opt.ZoneBudget != nil {
+		a.settleBytes = c.opt.ZoneBudget.Sent(c.now, m.Class, m.Partner, a.zone)
 	}
 	return a
 }
 
-// fits tells whether one more attempt may travel with others in one call.
-func (c *Core) fits(group []*attempt, a *attempt) bool {
-	if c.opt.Together == 0 || len(group) == 0 {
+// fitsCall reports whether the message of a fits into a call with those of group.
+func (c *Core) fitsCall(group []*attempt, a *attempt) bool {
+	if c.opt.MaxCallBytes == 0 || len(group) == 0 {
 		return true
 	}
 	size := 0
 	for _, b := range append([]*attempt{a}, group...) {
-		size += perItem + len(b.m.Identity) + max(len(b.m.Key), len(b.m.Head)) + base64.StdEncoding.EncodedLen(len(b.m.Body))
+		size += itemOverhead + len(b.msg.Identity) + max(len(b.msg.Key), len(b.msg.Head)) +
+			base64.StdEncoding.EncodedLen(len(b.msg.Body))
 	}
-	return size <= c.opt.Together
+	return size <= c.opt.MaxCallBytes
 }
 
-// perItem bytes a message takes in a call that carries several, apart from what is its own.
-const perItem = 40
+// itemOverhead is the overhead of a message in a call with several, in bytes, besides its own fields.
+const itemOverhead = 40
 
-// sendGroup begins one call with several attempts.
+// sendGroup sends several attempts as one call.
 func (c *Core) sendGroup(group []*attempt) {
 	if len(group) == 0 {
 		return
 	}
-	group[0].with = group[1:]
+	group[0].followers = group[1:]
 	for _, b := range group[1:] {
-		b.lead = group[0]
+		b.leader = group[0]
 	}
 	c.send(group[0])
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,11 @@
-// Package core is the relay's centre: one goroutine owns the decision module,
-// the ledger of identities and all attempts. Whatever happens reaches it as
-// events in batches; it hands them to the module and carries out what comes
-// back. It decides nothing about delivery.
+// Package core implements the relay's event loop. One goroutine owns the decision
+// module (package choice), the ledger of identities and all attempts. Events from
+// fronts, sockets, timers and the endpoint list reach it through one inbox; it
+// passes them to the module in batches and executes the actions that come back.
+//
+// The package takes no delivery decisions and opens no connections: choice decides,
+// lifecycle checks what is allowed, a Caller talks to partners and a Journal stores
+// records.
 package core
 
 import (
@@ -21,121 +25,123 @@
 	"basaltcross.example/basaltcross/internal/limit"
 )
 
-// Message is what a front hands in.
+// Message is a message as a front hands it in.
 type Message struct {
-	Source   string // the client, for its share of the inbox
-	Identity string // who handed it in and what they call it; empty if nothing tells it apart
-	Class    int    // index in Config.Classes
-	Partner  int    // index in the relay's partners
-	Key      string // key of the order
-	Left     time.Duration
-	Respond  time.Duration // whoever hands it in must hear of it within this; 0 for no such time
-	Now      bool          // sent at once or not at all, and not again
-	Once     bool          // a further hand-in of an identity that is known is turned away with ErrKnown
-	Front    string        // which front, and
-	Way      []byte        // what it needs to find the way back after a restart
-	Head     []byte        // further header lines for the partner, each with its CRLF
-	Body     []byte        // not changed after the hand-in
-	Reply    Reply         // where "taken" and the final answer go
-}
-
-// Reply receives what becomes of one hand-in. Its methods run on the core's
+	Source        string        // client, for fair sharing of the inbox
+	Identity      string        // client and the client's name for the message, for deduplication; empty for none
+	Class         int           // index in Settings.Classes
+	Partner       int           // index in the relay's partners
+	Key           string        // ordering key, empty for none
+	Left          time.Duration // time left to deliver the message, counted from the hand-in
+	RespondWithin time.Duration // deadline of the response to the hand-in, counted from the hand-in; 0 for none
+	Immediate     bool          // sent in the step that takes the message, or not at all; no retry
+	RejectKnown   bool          // a hand-in with a known identity is rejected with ErrDuplicate instead of joining it
+	Front         string        // name of the front that handed the message in
+	ReturnPath    []byte        // data with which the front routes the answer to the client after a restart
+	Head          []byte        // additional header lines for the partner, each with its CRLF
+	Body          []byte        // must not be modified after the hand-in
+	Reply         Reply         // receiver of the acceptance and of the final answer
+}
+
+// Reply receives the results of one hand-in. Its methods run on the core's
 // goroutine: they must not block and must not call back into the core.
 type Reply interface {
-	// Taken is called once. With a nil error the message is owed an answer; it
-	// may have joined one under way, or an ended one whose answer follows.
+	// Taken is called once. With a nil error the message is accepted and a final
+	// answer follows; the hand-in may have joined a message with the same identity
+	// that is in progress or has ended.
 	Taken(err error)
 	// Answer is called once after Taken(nil), unless a later hand-in of the
-	// same identity has taken its place.
+	// same identity has replaced this Reply.
 	Answer(a ledger.Answer)
 }
 
-// Decider is a Reply that is told when the step that took its message is over: an
-// Answer that the module gave at once has come by then.
+// Decider is a Reply that is notified when the step that took its message is over.
+// An Answer that the module decided within that step comes before the notification.
 type Decider interface {
 	Decided()
-	// Undecided ends the wait for records that cannot be written in time, if Decided has not
-	// come: the message is held, by the next run too, and its final answer follows; or nobody
-	// knows it, and none does.
+	// Undecided is called instead of Decided if the records of the message cannot be
+	// written in time. With held the message is stored, also for the next process, and
+	// its final answer follows. Otherwise the message is dropped and no answer follows.
 	Undecided(held bool)
 }
 
-// Why a hand-in was not taken.
+// Reasons for which a hand-in is rejected.
 var (
-	ErrBusy       = errors.New("core: inbox is full, or this client's share of it")
-	ErrJournal    = errors.New("core: the journal takes nothing more now")
-	ErrStopping   = errors.New("core: relay is stopping")
-	ErrKnown      = errors.New("core: this identity was handed in before")
-	ErrNoIdentity = errors.New("core: a class that must never take effect twice needs an identity")
+	ErrBusy        = errors.New("core: inbox is full, or this client's share of it")
+	ErrJournalFull = errors.New("core: the journal takes nothing more now")
+	ErrStopping    = errors.New("core: relay is stopping")
+	ErrDuplicate   = errors.New("core: this identity was handed in before")
+	ErrNoIdentity  = errors.New("core: a class that must never take effect twice needs an identity")
 )
 
 // Item is one message of a call that carries several.
 type Item struct {
-	ID   string // as its client named it
-	Key  string
-	Head []byte // as that of a call with one message
-	Body []byte
+	Identity string // identity of the message
+	Key      string
+	Head     []byte // as Message.Head
+	Body     []byte
 }
 
-// Call is one attempt as the caller of partners sees it, or one each of several
-// messages that travel together.
+// Call is one request to a host: an attempt of one message, or one attempt each of
+// several messages.
 type Call struct {
-	Name    string // of the message as its client gave it
-	Several []Item // nil for one message; else all of them, and Body is empty
-	ID      string // message, the same for each attempt
-	Host    string // endpoint address
-	Class   int
-	Partner int
-	Key     string
-	Zone    int           // of the endpoint, as the list has it now
-	Passed  *atomic.Int64 // counts the attempt's bytes on the socket, both ways
-	Head    []byte
-	Idem    string // idempotency key; empty where the class keeps none
-	Body    []byte
-	Patient time.Duration // time-out, from the moment of sending
-	Within  time.Duration // nothing is written later than this after it; 0 for no such time
-	// Once: a second effect does harm, or messages of the same key go after it.
-	Once bool
-	// End takes the attempt's outcome, once, from any goroutine.
+	Identity       string // identity of the message
+	Items          []Item // all messages of a call that carries several, with Body empty; nil for one message
+	ID             string // relay's id of the message, the same for each attempt
+	Host           string // address of the endpoint
+	Class          int
+	Partner        int
+	Key            string
+	Zone           int           // current zone of the endpoint
+	BytesPassed    *atomic.Int64 // counter of the bytes of the attempt on the socket, in both directions
+	Head           []byte
+	IdempotencyKey string // idempotency key; empty for classes without one
+	Body           []byte
+	Timeout        time.Duration // time-out, counted from Send
+	WriteWithin    time.Duration // latest time of the first write, counted from Send; 0 for none
+	// NoDuplicates marks a call of which a duplicate or an outcome taken from the wrong response
+	// does harm: a message must not be repeated, or other messages of its key wait for it.
+	NoDuplicates bool
+	// End receives the outcome of the attempt, once, from any goroutine.
 	End func(Ending)
-	// Doubted says, from any goroutine, that the outcome was another call's; nil for nobody to
-	// be told.
-	Doubted func()
+	// Retract withdraws, from any goroutine, an outcome that was passed to End: the response
+	// belonged to another call. nil if the caller of Send ignores that.
+	Retract func()
 }
 
-// Ending is how an attempt ended on its socket.
+// Ending is the result of an attempt on its socket.
 type Ending struct {
-	Outcome choice.Outcome
-	Took    time.Duration
-	Wait    time.Duration // told with a refusal
-	Over    bool          // with NotSent: the message is over, nothing more is owed
-	Spent   bool          // with NotSent: it has had all its attempts
-	Report  []float64     // load report, nil for none
-	// Unconfirmed is how long what rests on the answer waits, Unsettled how long it may turn out to be
-	// another call's; 0 for never.
-	Unconfirmed, Unsettled time.Duration
-	// Each tells of the messages of a call apart, in their order; nil where all fared the same.
+	Outcome        choice.Outcome
+	Took           time.Duration
+	Wait           time.Duration // wait that the host asked for, as by Retry-After; 0 for none
+	Abandon        bool          // with NotSent: the message is abandoned, no answer is due
+	AttemptsUsedUp bool          // with NotSent: the message has used up its attempts
+	LoadReport     []float64     // load report, nil for none
+	// ConfirmAfter is how long steps that rely on the outcome are delayed, since the response may prove to
+	// belong to another call; RetractableFor is how long the outcome may still be retracted. 0 for neither.
+	ConfirmAfter, RetractableFor time.Duration
+	// Each holds the results of the messages of a call, in their order; nil if they are all the same.
 	Each []Ending
 }
 
-// Attempt is a call that is out.
+// Attempt is a call in progress.
 type Attempt interface {
-	// Abort ends the attempt on its socket and reports how: started if
-	// anything was handed to the kernel. ok is false if it had ended already,
-	// and its Ending is delivered or on its way.
+	// Abort ends the attempt on its socket. started reports whether any byte was
+	// handed to the kernel. ok is false if the attempt had ended already; its
+	// Ending is then delivered or about to be.
 	Abort() (started, ok bool)
-	// Recall is Abort for an attempt of which not a byte was handed over; it
-	// reports false, and does nothing, for any other.
+	// Recall aborts an attempt of which no byte was handed to the kernel. It
+	// returns false, and does nothing, for any other.
 	Recall() bool
 }
 
-// Caller calls partners.
+// Caller sends calls to partners.
 type Caller interface {
 	Send(Call) Attempt
 	CloseIdle(host string)
 }
 
-// Observer is told what passes, for metrics and logs; nil methods are not allowed.
+// Observer receives events for metrics and logs.
 type Observer interface {
 	Taken(class int)
 	Answered(class int, a ledger.Answer, took time.Duration)
@@ -144,149 +150,152 @@
 	Gauge(held, calls, identities, inbox int)
 }
 
-// Toll tells which zones are open to a class, and books what crosses.
-type Toll interface {
-	// Tolls are news for the module; false if there is none.
-	Tolls(now time.Duration) (choice.Tolls, bool)
-	// Sent returns what settles a send by the bytes that passed, nil for none.
+// ZoneBudget is the budget for traffic between zones: it says which zones are open to a class
+// and accounts for the bytes that cross.
+type ZoneBudget interface {
+	// Tolls returns the current costs for the module, and false if they have not changed.
+	Tolls(now time.Duration) (choice.ZoneBudget, bool)
+	// Sent reserves the cost of a call and returns the function that replaces the reservation
+	// by the bytes that passed; nil if nothing is accounted. whole is true if the response
+	// was received.
 	Sent(now time.Duration, class, partner, zone int) func(now time.Duration, passed int64, whole bool)
 }
 
-// Journal makes records durable; journal.Journal and journal.Log are. None of its methods blocks.
+// Journal makes records durable. journal.Journal and journal.Log implement it. Its methods do not block.
 type Journal interface {
 	Stamp() journal.Stamp
-	HasRoom(bytes int) bool // for a message of that size
+	HasRoom(bytes int) bool // whether a message of that size can be stored
 	RecordMessage(journal.Message)
 	RecordAttempt(journal.Attempt)
 	RecordEnd(journal.End)
 	RecordWait(journal.Wait)
 	Forget(identity string)
-	// WhenWritten calls done from any goroutine once all that was handed in is on disk; where
-	// it is there already, WhenWritten returns true instead.
+	// WhenWritten returns true if all earlier records are on disk. Otherwise it returns false and
+	// calls done, from any goroutine, once they are.
 	WhenWritten(done func()) bool
 }
 
-// Names are those that records have.
+// Names translates indices to the names that are stored in records.
 type Names struct {
 	Partner func(int) string
 	Zones   []string
 }
 
-// Sharer is a Toll that is shared by the fleet.
-type Sharer interface {
+// SharedZoneBudget is a ZoneBudget that the relays of the fleet share.
+type SharedZoneBudget interface {
 	Fleet(now time.Duration, relays int)
 }
 
-// Options of a Core.
+// Options configure a Core.
 type Options struct {
-	Toll     Toll // nil: all zones are open
-	Settings choice.Settings
-	Seed     uint64
-	// Clock is the monotonic time; nil for the machine's. With a clock of its own
-	// a core is driven by Step instead of Run.
+	ZoneBudget ZoneBudget // nil if all zones are open
+	Settings   choice.Settings
+	Seed       uint64
+	// Clock returns the monotonic time; nil for the machine's clock. With a simulated clock
+	// the core is driven by Step instead of Run.
 	Clock      func() time.Duration
-	Arrivals   int // hand-ins that wait for the core; past a client's share they are turned away with ErrBusy
-	Identities int
-	Keep       time.Duration
+	InboxSize  int           // capacity of the inbox in hand-ins, shared fairly among clients; ErrBusy beyond
+	Identities int           // capacity of the ledger in identities
+	Retention  time.Duration // retention of ended identities
 	Caller     Caller
 	Observer   Observer
-	Journal    Journal // nil: nothing survives a crash
-	Names      Names   // needed with a Journal
-	// Every attempt is recorded, not only those whose repeat would do harm: then
-	// those spent count in the next run too.
-	Every bool
-	// Late: an answer that comes within this before a message's time is up may be too
-	// late by the clock of who handed it in, which began with the sending: the message
-	// counts as delivered only if its partner says so earlier. 0: every answer counts.
-	Late time.Duration
-	// Together bounds the content of a call that carries several messages, in bytes; 0 for
-	// no bound. Those that do not fit travel in a call of their own.
-	Together int
-	Trace    lifecycle.Trace
-	// Undelivered is told of messages that were delivered by an answer which was another call's; it
-	// must not block. nil: nobody can be told.
-	Undelivered func(identity string)
-	// Guard decides whether a message may be sent and ended; nil for one that keeps no count.
+	Journal    Journal // nil if nothing is stored
+	Names      Names   // required with a Journal
+	// RecordAllAttempts records each attempt, not only those of messages whose repeat does harm, so that
+	// the count of attempts survives a restart.
+	RecordAllAttempts bool
+	// LateMargin is the margin before a message's deadline in which a successful response does not count as
+	// delivery: the deadline of whoever handed it in began with the sending, so by that clock the
+	// response may be too late. 0 if every response counts.
+	LateMargin time.Duration
+	// MaxCallBytes limits the size of a call with several messages, in bytes; 0 for no limit.
+	// Messages that do not fit are sent in a further call.
+	MaxCallBytes int
+	Trace        lifecycle.Trace
+	// DeliveryRetracted is called for a message that was answered as delivered because of a response that
+	// belonged to another call. It must not block. nil if nobody can be notified.
+	DeliveryRetracted func(identity string)
+	// Guard counts violations of the lifecycle; nil to count none.
 	Guard *lifecycle.Guard
-	// Forgetful: waits and failures that endpoints told end with the process.
-	Forgetful bool
+	// SkipHostRecords turns off records of the waits and failures of endpoints, which then end with the process.
+	SkipHostRecords bool
 }
 
-// message is one message from hand-in to final answer and last outcome.
+// message is the state of a message from its hand-in to its final answer and last outcome.
 type message struct {
 	Message
-	id       string
-	entry    *ledger.Entry // nil without identity
-	taken    time.Duration
-	answered bool
-	due      time.Duration
-	tries    int
-	out      *attempt
-	seq      uint64
-	kept     bool // in the journal
-	life     lifecycle.Message
-	told     bool // its final answer has left
-}
-
-// event is one entry of the inbox.
+	id         string
+	entry      *ledger.Entry // nil without identity
+	takenAt    time.Duration
+	answered   bool          // the final answer is decided
+	deadline   time.Duration // no call is sent later
+	attempts   int           // attempts so far; number of the next one
+	current    *attempt      // attempt in progress, nil for none
+	seq        uint64
+	journaled  bool // stored in the journal
+	state      lifecycle.Message
+	answerSent bool // the final answer was passed to Reply
+}
+
+// event is one entry of the inbox. Exactly one of arrival, ended, listing, fleet, withdrawn and call is set.
 type event struct {
-	arrival *Message
-	at      time.Duration
-	ended   *attempt
-	ending  Ending
-	listing *choice.Listing
-	fleet   *choice.Fleet
-	drop    string // identity withdrawn
-	by      Reply  // nobody is owed its answer, if it came with this; nil: it is still wanted
-	call    func()
-}
-
-// Core runs one relay.
+	arrival   *Message
+	at        time.Duration // time of the hand-in
+	ended     *attempt
+	ending    Ending
+	listing   *choice.HostUpdate
+	fleet     *choice.FleetChange
+	withdrawn string // identity of a message that is withdrawn
+	by        Reply  // with withdrawn: no answer is due, if the message has this Reply; nil if an answer is still due
+	call      func() // run on the core's goroutine
+}
+
+// Core is the event loop of one relay.
 type Core struct {
-	opt   Options
-	ch    *choice.Chooser
-	led   *ledger.Ledger
-	clock func() time.Duration // monotonic, from 0
-
-	mu       sync.Mutex
-	inbox    []event
-	arrivals *limit.Share
-	stopping bool
-	wake     chan struct{}
-	beat     atomic.Int64 // last heart beat, by Now
-
-	// Owned by Run.
-	now      time.Duration
-	msgs     map[string]*message
-	byEntry  map[*ledger.Entry]*message
-	waits    timers
-	outs     map[*attempt]struct{}
-	zones    map[string]int // by endpoint
-	kinds    map[string]int
-	wakeAt   time.Duration
-	next     uint64
-	owed     int
-	draining bool // shutting down: nothing further is taken
-	stopAt   time.Duration
-	batch    []choice.Event
-	backlog  Backlog             // the journal, if it is one
-	records  records             // what waits for them
-	paused   bool                // nothing is sent: records wait
-	noted    map[string]noted    // by endpoint, as recorded
-	waited   map[string]noted    // from an earlier run, for endpoints not yet listed
-	lastAt   time.Duration       // while shutting down: what waits for the journal is given up then
-	nows     []string            // messages that go in this step or not at all
-	fresh    []*message          // taken in this step, with a Decider
-	open     map[*message]bool   // Deciders that were not told yet
-	untold   map[*message]func() // final answers that wait for their records
-	owing    map[string]string   // ids by identity: refused or failed, and not Settled
-	idle     func()              // to be called once nothing is out
-	parked   bool                // a later run goes on with what is held
-	doubts   doubts
-	spare    []event
-}
-
-// New returns a core; Run makes it work.
+	opt            Options
+	chooser        *choice.Chooser
+	identityLedger *ledger.Ledger
+	clock          func() time.Duration // monotonic, from 0
+
+	mu            sync.Mutex
+	inbox         []event
+	arrivals      *limit.Share // hand-ins in the inbox, by client
+	stopping      bool         // hand-ins are rejected
+	wake          chan struct{}
+	lastHeartbeat atomic.Int64 // in nanoseconds, by Now
+
+	// The fields below belong to the goroutine of Run.
+	now             time.Duration
+	byID            map[string]*message
+	byEntry         map[*ledger.Entry]*message // messages in progress
+	timeouts        timeoutHeap                // first attempts of the calls in progress
+	inFlight        map[*attempt]struct{}      // attempts in progress
+	zones           map[string]int             // by endpoint
+	kinds           map[string]int             // by endpoint
+	wakeAt          time.Duration              // wake-up that the module asked for, below 0 for none
+	lastSeq         uint64                     // last sequence number in use
+	unanswered      int                        // messages without a final answer
+	draining        bool                       // shutting down: hand-ins are rejected
+	graceEnd        time.Duration              // end of the grace period at shutdown, below 0 for none
+	batch           []choice.Event
+	backlog         Backlog              // the journal, if it implements Backlog
+	pendingSteps    pendingSteps         // steps that wait for records
+	paused          bool                 // the module sends nothing, since records are not on disk
+	recordedHosts   map[string]hostState // by endpoint, as recorded
+	restoredHosts   map[string]hostState // state of endpoints from an earlier run that are not listed yet
+	journalDeadline time.Duration        // at shutdown: end of the wait for the journal
+	immediate       []string             // ids of messages with Immediate that arrived in this step
+	newlyTaken      []*message           // messages with a Decider that arrived in this step
+	undecided       map[*message]bool    // messages whose Decider was not notified yet
+	pendingAnswers  map[*message]func()  // final answers that wait for their records
+	unsettledIDs    map[string]string    // ids of refused or failed messages without Settled, by identity
+	onIdle          func()               // called once no attempt is in progress
+	parked          bool                 // the messages held are left to a later run
+	retractions     retractions
+	spareInbox      []event // inbox of the previous step, for reuse
+}
+
+// New returns a core. Run starts it.
 func New(opt Options) (*Core, error) {
 	ch, err := choice.New(opt.Settings, opt.Seed)
 	if err != nil {
@@ -297,26 +306,29 @@
 		epoch := time.Now()
 		clock = func() time.Duration { return time.Since(epoch) }
 	}
-	led := ledger.New(opt.Identities, opt.Keep)
+	led := ledger.New(opt.Identities, opt.Retention)
 	if opt.Journal != nil {
 		led.Dropped = opt.Journal.Forget
 	}
-	c := &Core{opt: opt, ch: ch, arrivals: limit.NewShare(opt.Arrivals), led: led,
+	c := &Core{opt: opt, chooser: ch, arrivals: limit.NewShare(opt.InboxSize), identityLedger: led,
 		clock: clock,
-		wake:  make(chan struct{}, 1), msgs: map[string]*message{}, byEntry: map[*ledger.Entry]*message{},
-		open: map[*message]bool{}, untold: map[*message]func(){}, outs: map[*attempt]struct{}{}, zones: map[string]int{}, kinds: map[string]int{}, wakeAt: -1, stopAt: -1,
-		owing: map[string]string{}, noted: map[string]noted{}, waited: map[string]noted{}, lastAt: -1}
+		wake:  make(chan struct{}, 1), byID: map[string]*message{}, byEntry: map[*ledger.Entry]*message{},
+		undecided: map[*message]bool{}, pendingAnswers: map[*message]func(){},
+		inFlight: map[*attempt]struct{}{}, zones: map[string]int{}, kinds: map[string]int{},
+		wakeAt: -1, graceEnd: -1, unsettledIDs: map[string]string{},
+		recordedHosts: map[string]hostState{}, restoredHosts: map[string]hostState{}, journalDeadline: -1}
 	c.watchBacklog()
 	return c, nil
 }
 
-// Now is the core's monotonic clock.
+// Now returns the time of the core's monotonic clock.
 func (c *Core) Now() time.Duration { return c.clock() }
 
-func (c *Core) put(e event) error {
+// enqueue adds an event to the inbox and wakes the core. It returns an error only for hand-ins.
+func (c *Core) enqueue(e event) error {
 	c.mu.Lock()
 	if e.arrival != nil {
-		if c.stopping || !c.arrivals.Enter(e.arrival.Source) {
+		if c.stopping || !c.arrivals.Acquire(e.arrival.Source) {
 			stopping := c.stopping
 			c.mu.Unlock()
 			if stopping {
@@ -334,52 +346,55 @@
 	return nil
 }
 
-// Submit hands a message in. An error means that it was not taken and Reply
-// will not be called. Outcomes, list news and answers are never turned away:
-// they are bounded by the calls out and by their sources.
-func (c *Core) Submit(m *Message) error { return c.put(event{arrival: m, at: c.Now()}) }
+// Submit hands in a message. An error means that the message was rejected and that Reply
+// will not be called. Only hand-ins are rejected: the number of other events is
+// limited by the calls in progress and by their sources.
+func (c *Core) Submit(m *Message) error { return c.enqueue(event{arrival: m, at: c.Now()}) }
 
-// List hands in news of the endpoint list.
-func (c *Core) List(l choice.Listing) { _ = c.put(event{listing: &l}) }
+// List passes on a change of the endpoint list.
+func (c *Core) List(l choice.HostUpdate) { _ = c.enqueue(event{listing: &l}) }
 
-// Fleet says how many relays there are, and which of them this is, from 0.
+// Fleet sets the number of relays and the index of this one, from 0.
 func (c *Core) Fleet(index, size int) {
-	_ = c.put(event{fleet: &choice.Fleet{Index: index, Size: size}})
+	_ = c.enqueue(event{fleet: &choice.FleetChange{Index: index, Size: size}})
 }
 
-// Withdraw says that nobody wants the message of an identity any more. It is
-// sent no further; its final answer says what became of it.
-func (c *Core) Withdraw(identity string) { _ = c.put(event{drop: identity}) }
+// Withdraw cancels the message of an identity. It is not sent again; its final answer
+// is still due.
+func (c *Core) Withdraw(identity string) { _ = c.enqueue(event{withdrawn: identity}) }
 
-// Abandon is Withdraw where nobody is owed an answer any more. It does nothing
-// unless the message came with that Reply.
-func (c *Core) Abandon(identity string, by Reply) { _ = c.put(event{drop: identity, by: by}) }
+// Abandon cancels the message of an identity without a final answer. It does nothing
+// unless the current Reply of the message is by.
+func (c *Core) Abandon(identity string, by Reply) { _ = c.enqueue(event{withdrawn: identity, by: by}) }
 
-// Settled says that a refusal or failure has reached who was owed it.
+// Settled reports that the client has received a refusal or failure, see
+// choice.Settings.HoldUntilAcknowledged.
 func (c *Core) Settled(identity string) {
-	_ = c.put(event{call: func() { c.settled(identity) }})
+	_ = c.enqueue(event{call: func() { c.clearUnsettled(identity) }})
 }
 
-func (c *Core) settled(identity string) {
-	if id, ok := c.owing[identity]; ok {
-		delete(c.owing, identity)
-		c.batch = append(c.batch, choice.Settled{ID: id})
+// clearUnsettled tells the module that the refusal or failure of an identity was received.
+func (c *Core) clearUnsettled(identity string) {
+	if id, ok := c.unsettledIDs[identity]; ok {
+		delete(c.unsettledIDs, identity)
+		c.batch = append(c.batch, choice.Acknowledged{ID: id})
 	}
 }
 
-// Park says that this run ends soon and a later one goes on with what is held:
-// nothing further is sent. idle is called, once, when nothing is out any more.
+// Park stops sending and keeps the messages held for a later run of the process.
+// idle is called once, when no attempt is in progress any more.
 func (c *Core) Park(idle func()) {
-	_ = c.put(event{call: func() {
+	_ = c.enqueue(event{call: func() {
 		c.batch = append(c.batch, choice.Stop{Keep: true})
-		c.idle, c.parked = idle, true
+		c.onIdle, c.parked = idle, true
 	}})
 }
 
-// Inspect runs f on the core's goroutine and waits for it.
+// Inspect runs f on the core's goroutine, with the numbers of messages held and of attempts
+// in progress, and waits for it.
 func (c *Core) Inspect(ctx context.Context, f func(held, out int)) error {
 	done := make(chan struct{})
-	_ = c.put(event{call: func() { f(c.owed, len(c.outs)); close(done) }})
+	_ = c.enqueue(event{call: func() { f(c.unanswered, len(c.inFlight)); close(done) }})
 	select {
 	case <-done:
 		return nil
@@ -388,36 +403,39 @@
 	}
 }
 
-// Sizes are those of the core's tables and of the module's.
+// Sizes returns the sizes of the core's and the module's tables, by name.
 func (c *Core) Sizes(ctx context.Context) (all map[string]int, err error) {
 	err = c.Inspect(ctx, func(int, int) {
-		all = c.ch.Sizes()
-		all["messages"], all["identities"], all["outs"], all["noted"] = len(c.msgs), c.led.Len(), len(c.outs), len(c.noted)
-		all["owing"], all["doubts"], all["delivered"] = len(c.owing), len(c.doubts.steps), len(c.doubts.delivered)
-		all["endpoints"], all["timers"] = max(len(c.zones), len(c.kinds)), len(c.waits)
+		all = c.chooser.Sizes()
+		all["messages"], all["identities"], all["outs"], all["noted"] =
+			len(c.byID), c.identityLedger.Len(), len(c.inFlight), len(c.recordedHosts)
+		all["owing"], all["doubts"], all["delivered"] =
+			len(c.unsettledIDs), len(c.retractions.steps), len(c.retractions.delivered)
+		all["endpoints"], all["timers"] = max(len(c.zones), len(c.kinds)), len(c.timeouts)
 	})
 	return all, err
 }
 
-// A heart beats every beat; one that is late by stall says that the whole
-// process stood still. Then the core waits, in rounds of settle, until the
-// sockets' news of that time has come in.
+// A goroutine of its own stores a heartbeat every heartbeatInterval. If the last one is older
+// than suspendThreshold, the whole process was suspended. The core then waits until the
+// events of that time have come in from the sockets: it checks the inbox every
+// settleInterval, settleRounds times at most.
 const (
-	beat   = 20 * time.Millisecond
-	stall  = 100 * time.Millisecond
-	settle = 10 * time.Millisecond
-	rounds = 20
+	heartbeatInterval = 20 * time.Millisecond
+	suspendThreshold  = 100 * time.Millisecond
+	settleInterval    = 10 * time.Millisecond
+	settleRounds      = 20
 )
 
-// Run works until ctx ends, then stops taking, gives what is out the time
-// grace to finish, has the rest answered by the module, and returns.
+// Run processes events until ctx ends. It then rejects hand-ins, gives attempts in progress
+// the time grace to finish, lets the module answer the remaining messages, and returns.
 func (c *Core) Run(ctx context.Context, grace time.Duration) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	c.beat.Store(int64(c.Now()))
+	c.lastHeartbeat.Store(int64(c.Now()))
 	over := make(chan struct{})
 	defer close(over)
-	go c.pulse(over)
+	go c.runHeartbeat(over)
 	done := ctx.Done()
 	for {
 		sleep := time.Hour
@@ -435,48 +453,49 @@
 			c.mu.Lock()
 			c.stopping = true
 			c.mu.Unlock()
-			c.stopAt, c.draining = c.Now()+grace, true
-			c.lastAt = c.stopAt + grace
+			c.graceEnd, c.draining = c.Now()+grace, true
+			c.journalDeadline = c.graceEnd + grace
 		}
-		if c.Now()-time.Duration(c.beat.Load()) > stall {
-			c.settle()
+		if c.Now()-time.Duration(c.lastHeartbeat.Load()) > suspendThreshold {
+			c.awaitLateEvents()
 		}
 		c.now = c.Now()
-		c.work()
-		// A journal that failed never says that something is on disk.
-		if c.draining && len(c.msgs) == 0 && (c.records.none() || c.now >= c.lastAt) {
+		c.processInbox()
+		// A journal that has failed never reports that a record is on disk.
+		if c.draining && len(c.byID) == 0 && (c.pendingSteps.empty() || c.now >= c.journalDeadline) {
 			return
 		}
 	}
 }
 
-// Step does once what Run does over and over, for a model that keeps its own
-// time, and tells when it is to be done again at the latest; below 0 for never.
+// Step processes the inbox once, for a simulation with its own clock. It returns the time
+// of the next Step at the latest, below 0 for none.
 func (c *Core) Step() (next time.Duration) {
 	c.now = c.Now()
-	c.work()
+	c.processInbox()
 	return c.nextTime()
 }
 
-func (c *Core) pulse(over <-chan struct{}) {
-	tick := time.NewTicker(beat)
+// runHeartbeat stores a heartbeat every heartbeatInterval until over is closed.
+func (c *Core) runHeartbeat(over <-chan struct{}) {
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-over:
 			return
 		case <-tick.C:
-			c.beat.Store(int64(c.Now()))
+			c.lastHeartbeat.Store(int64(c.Now()))
 		}
 	}
 }
 
-// settle waits, after the process stood still, until no news has come for a
-// moment: answers that lie in the kernel's buffers count as in time if they
-// came before the time-out did.
-func (c *Core) settle() {
+// awaitLateEvents waits, after the process was suspended, until no events have come in for a while.
+// Responses in the kernel's buffers then reach the inbox before their time-outs are
+// checked, and count as in time.
+func (c *Core) awaitLateEvents() {
 	seen := -1
-	for range rounds {
+	for range settleRounds {
 		c.mu.Lock()
 		n := len(c.inbox)
 		c.mu.Unlock()
@@ -484,79 +503,81 @@
 			return
 		}
 		seen = n
-		time.Sleep(settle)
+		time.Sleep(settleInterval)
 	}
 }
 
+// nextTime returns the time at which the inbox has to be processed at the latest; below 0 for none.
 func (c *Core) nextTime() time.Duration {
 	at := c.wakeAt
-	if len(c.waits) > 0 && (at < 0 || c.waits[0].end < at) {
-		at = c.waits[0].end
+	if len(c.timeouts) > 0 && (at < 0 || c.timeouts[0].timeoutAt < at) {
+		at = c.timeouts[0].timeoutAt
 	}
-	if c.stopAt >= 0 && (at < 0 || c.stopAt < at) {
-		at = c.stopAt
+	if c.graceEnd >= 0 && (at < 0 || c.graceEnd < at) {
+		at = c.graceEnd
 	}
-	if due := c.records.next(c); due >= 0 && (at < 0 || due < at) {
+	if due := c.pendingSteps.next(c); due >= 0 && (at < 0 || due < at) {
 		at = due
 	}
-	if due := c.doubts.next(); due >= 0 && (at < 0 || due < at) {
+	if due := c.retractions.next(); due >= 0 && (at < 0 || due < at) {
 		at = due
 	}
-	if c.draining && (at < 0 || c.lastAt < at) {
-		at = c.lastAt
+	if c.draining && (at < 0 || c.journalDeadline < at) {
+		at = c.journalDeadline
 	}
 	return at
 }
 
-// work takes in everything that happened and decides once.
-func (c *Core) work() {
+// processInbox processes the inbox and all timers that are due, and has the module decide on them
+// in one step.
+func (c *Core) processInbox() {
 	c.mu.Lock()
 	events := c.inbox
-	c.inbox = c.spare[:0]
-	c.arrivals.Clear()
+	c.inbox = c.spareInbox[:0]
+	c.arrivals.ReleaseAll()
 	c.mu.Unlock()
 	c.batch = c.batch[:0]
 	recall := map[string]bool{}
 	for i := range events {
 		switch e := &events[i]; {
 		case e.ended != nil:
-			c.over(e.ended, e.ending)
+			c.endCall(e.ended, e.ending)
 			if e.ending.Wait > 0 {
-				c.hold(e.ended, recall)
+				c.addWaitingHosts(e.ended, recall)
 			}
 		case e.arrival != nil:
-			c.arrive(e.arrival, e.at)
+			c.handleArrival(e.arrival, e.at)
 		case e.listing != nil:
 			c.batch = append(c.batch, *e.listing)
-			c.listed(e.listing, recall)
-			c.remember(e.listing)
+			c.applyListing(e.listing, recall)
+			c.restoreHosts(e.listing)
 		case e.fleet != nil:
 			c.batch = append(c.batch, *e.fleet)
-			if t, ok := c.opt.Toll.(Sharer); ok {
+			if t, ok := c.opt.ZoneBudget.(SharedZoneBudget); ok {
 				t.Fleet(c.now, e.fleet.Size)
 			}
-		case e.drop != "":
-			c.withdraw(e.drop, e.by)
+		case e.withdrawn != "":
+			c.withdraw(e.withdrawn, e.by)
 		case e.call != nil:
 			e.call()
 		}
 		events[i] = event{}
 	}
-	c.spare = events
+	c.spareInbox = events
 	if len(recall) > 0 {
 		c.recall(recall)
 	}
-	c.confirmDue()
-	// Only now the time-outs: an answer in the same batch goes before its own.
-	for len(c.waits) > 0 && c.waits[0].end <= c.now {
-		c.abort(c.waits[0], choice.Timeout)
+	c.runDue()
+	// Time-outs come after the events, so that a response in the same batch counts.
+	for len(c.timeouts) > 0 && c.timeouts[0].timeoutAt <= c.now {
+		c.abortCall(c.timeouts[0], choice.Timeout)
 	}
-	if c.stopAt >= 0 && c.now >= c.stopAt {
-		c.stopAt = -1
+	if c.graceEnd >= 0 && c.now >= c.graceEnd {
+		c.graceEnd = -1
 		c.batch = append(c.batch, choice.Stop{})
-		for a := range c.outs {
-			if a.lead == nil {
-				c.abort(a, choice.Cancelled)
+		for a := range c.inFlight {
+			if a.leader == nil {
+				c.abortCall(a, choice.Cancelled)
 			}
 		}
 	}
@@ -564,45 +585,47 @@
 		c.wakeAt = -1
 		c.batch = append(c.batch, choice.Woken{})
 	}
-	if c.opt.Toll != nil {
-		if news, ok := c.opt.Toll.Tolls(c.now); ok {
+	if c.opt.ZoneBudget != nil {
+		if news, ok := c.opt.ZoneBudget.Tolls(c.now); ok {
 			c.batch = append(c.batch, news)
 		}
 	}
 	c.respondOverdue()
 	c.pauseSends()
 	for len(c.batch) > 0 {
-		c.carryOut(c.ch.Step(c.now, c.batch))
+		c.carryOut(c.chooser.Step(c.now, c.batch))
 		c.batch = c.batch[:0]
-		for _, id := range c.nows { // had their chance
-			if m := c.msgs[id]; m != nil && !m.answered {
-				c.batch = append(c.batch, choice.Withdrawn{ID: id, Owed: true})
+		for _, id := range c.immediate { // not sent in this step: withdrawn
+			if m := c.byID[id]; m != nil && !m.answered {
+				c.batch = append(c.batch, choice.Withdrawn{ID: id, AnswerOwed: true})
 			}
 		}
-		c.nows = c.nows[:0]
+		c.immediate = c.immediate[:0]
 		c.pauseSends()
 	}
-	for _, m := range c.fresh {
-		c.open[m] = true
-		c.durable(true, func() { // not before the record of what was taken is down
-			if c.open[m] {
-				delete(c.open, m)
+	for _, m := range c.newlyTaken {
+		c.undecided[m] = true
+		c.whenDurable(true, func() { // not before the record of the message is on disk
+			if c.undecided[m] {
+				delete(c.undecided, m)
 				m.Reply.(Decider).Decided()
 			}
 		}, m.seq)
 	}
-	clear(c.fresh)
-	c.fresh = c.fresh[:0]
-	c.releaseWritten()
-	c.tellOverdue()
-	if c.idle != nil && len(c.outs) == 0 {
-		c.idle()
-		c.idle = nil
+	clear(c.newlyTaken)
+	c.newlyTaken = c.newlyTaken[:0]
+	c.runWritten()
+	c.reportOverdue()
+	if c.onIdle != nil && len(c.inFlight) == 0 {
+		c.onIdle()
+		c.onIdle = nil
 	}
-	c.opt.Observer.Gauge(c.owed, len(c.waits), c.led.Len(), len(events))
+	c.opt.Observer.Gauge(c.unanswered, len(c.timeouts), c.identityLedger.Len(), len(events))
 }
 
-func (c *Core) arrive(in *Message, at time.Duration) {
+// handleArrival processes a hand-in that was made at a time: it rejects it, joins it to a message with
+// the same identity, or takes it as a new message.
+func (c *Core) handleArrival(in *Message, at time.Duration) {
 	k := &c.opt.Settings.Classes[in.Class]
 	if k.Effect == choice.Unsafe && in.Identity == "" {
 		in.Reply.Taken(ErrNoIdentity)
@@ -612,116 +635,122 @@
 		in.Reply.Taken(ErrStopping)
 		return
 	}
-	m := &message{Message: *in, taken: c.now, due: at + min(in.Left, k.Deadline)}
+	m := &message{Message: *in, takenAt: c.now, deadline: at + min(in.Left, k.Deadline)}
 	if in.Identity != "" {
-		if e := c.led.Find(c.now, in.Identity); e != nil {
-			if in.Once {
-				in.Reply.Taken(ErrKnown)
+		if e := c.identityLedger.Find(c.now, in.Identity); e != nil {
+			if in.RejectKnown {
+				in.Reply.Taken(ErrDuplicate)
 				return
 			}
 			if e.Answer.Verdict == 0 && c.byEntry[e] != nil {
 				c.byEntry[e].Reply = in.Reply
 			}
-			a := e.Answer // of an ended one; else it follows
-			c.durable(true, func() {
+			a := e.Answer // of an ended message; otherwise it follows
+			c.whenDurable(true, func() {
 				in.Reply.Taken(nil)
 				if a.Verdict != 0 {
 					in.Reply.Answer(a)
 				}
-			}, numberOf(e.ID))
+			}, seqOf(e.ID))
 			return
 		}
 	}
 	if c.opt.Journal != nil && in.Identity != "" && !c.opt.Journal.HasRoom(len(in.Head)+len(in.Body)) {
-		in.Reply.Taken(ErrJournal)
+		in.Reply.Taken(ErrJournalFull)
 		return
 	}
-	c.next++
-	m.seq, m.id = c.next, strconv.FormatUint(c.next, 36)
-	m.kept = c.opt.Journal != nil && in.Identity != ""
+	c.lastSeq++
+	m.seq, m.id = c.lastSeq, strconv.FormatUint(c.lastSeq, 36)
+	m.journaled = c.opt.Journal != nil && in.Identity != ""
 	if in.Identity != "" {
-		e, err := c.led.Open(c.now, in.Identity, m.id, k.Effect == choice.Safe)
+		e, err := c.identityLedger.Open(c.now, in.Identity, m.id, k.Effect == choice.Safe)
 		if err != nil {
 			in.Reply.Taken(err)
 			return
 		}
 		m.entry, c.byEntry[e] = e, m
 	}
-	m.life = lifecycle.Message{ID: m.Identity, Repeat: repeats[k.Effect], Window: k.Window, Due: m.due, Kept: m.kept}
-	if in.Respond > 0 {
-		m.life.RespondBy = at + in.Respond
+	m.state = lifecycle.Message{ID: m.Identity, Repeat: repeatPolicies[k.Effect], Window: k.Window, Due: m.deadline,
+		Kept: m.journaled}
+	if in.RespondWithin > 0 {
+		m.state.RespondBy = at + in.RespondWithin
 	}
-	c.msgs[m.id] = m
-	c.owed++
-	if m.kept {
+	c.byID[m.id] = m
+	c.unanswered++
+	if m.journaled {
 		c.opt.Journal.RecordMessage(journal.Message{Seq: m.seq, Identity: m.Identity, Source: m.Source, Class: k.Name,
 			Partner: c.opt.Names.Partner(m.Partner), Key: m.Key, At: c.opt.Journal.Stamp(),
-			Remaining: int64(m.due - c.now), Head: m.Head, Body: m.Body, Front: m.Front, Way: m.Way})
+			Remaining: int64(m.deadline - c.now), Head: m.Head, Body: m.Body, Front: m.Front, Way: m.ReturnPath})
 	}
-	c.durable(m.kept, func() { in.Reply.Taken(nil) }, m.seq)
+	c.whenDurable(m.journaled, func() { in.Reply.Taken(nil) }, m.seq)
 	c.opt.Trace.Step(m.Identity, "taken", m.id)
 	c.opt.Observer.Taken(in.Class)
 	c.batch = append(c.batch, choice.Arrival{ID: m.id, Class: in.Class, Dest: in.Partner,
-		Left: m.due - c.now, Key: in.Key})
+		TimeLeft: m.deadline - c.now, Key: in.Key})
 	if _, ok := in.Reply.(Decider); ok {
-		c.fresh = append(c.fresh, m)
+		c.newlyTaken = append(c.newlyTaken, m)
 	}
-	if in.Now {
-		c.nows = append(c.nows, m.id)
+	if in.Immediate {
+		c.immediate = append(c.immediate, m.id)
 	}
 }
 
-// answer gives a message its one final answer.
+// answer decides the final answer of a message. It is recorded and passed to Reply once the
+// record is on disk.
 func (c *Core) answer(m *message, a ledger.Answer) {
-	if m.answered || !m.life.MayEnd(c.opt.Guard, a.Verdict == ledger.Refused) {
+	if m.answered || !m.state.MayEnd(c.opt.Guard, a.Verdict == ledger.Refused) {
 		return
 	}
 	m.answered = true
-	c.owed--
+	c.unanswered--
 	if m.entry != nil {
-		c.led.End(c.now, m.entry, a)
+		c.identityLedger.End(c.now, m.entry, a)
 		delete(c.byEntry, m.entry)
 	}
-	if c.opt.Settings.Acknowledged && (a.Verdict == ledger.Refused || a.Verdict == ledger.Failed) {
-		c.owing[m.Identity] = m.id
+	if c.opt.Settings.HoldUntilAcknowledged && (a.Verdict == ledger.Refused || a.Verdict == ledger.Failed) {
+		c.unsettledIDs[m.Identity] = m.id
 	}
-	if m.kept && !c.takeBack(m) {
+	if m.journaled && !c.takeBack(m) {
 		c.opt.Journal.RecordEnd(journal.End{Seq: m.seq, Identity: m.Identity,
-			Class: c.opt.Settings.Classes[m.Class].Name, Verdict: uint8(a.Verdict), After: int64(a.After),
-			At: c.opt.Journal.Stamp(), Front: m.Front, Way: m.Way})
+			Class:   c.opt.Settings.Classes[m.Class].Name,
+			Verdict: uint8(a.Verdict), After: int64(a.RetryAfter), At: c.opt.Journal.Stamp(),
+			Front: m.Front, Way: m.ReturnPath})
 	}
 	tell := func() {
-		if m.told {
+		if m.answerSent {
 			return
 		}
-		m.told = true
-		delete(c.untold, m)
-		if m.life.MayTell(c.opt.Guard, c.now, c.recorded(m)) {
+		m.answerSent = true
+		delete(c.pendingAnswers, m)
+		if m.state.MayTell(c.opt.Guard, c.now, c.recorded(m)) {
 			c.opt.Trace.Step(m.Identity, "told", a.Verdict.String())
 			m.Reply.Answer(a)
 		}
 	}
 	c.opt.Trace.Step(m.Identity, "ended", a.Verdict.String())
-	if c.opt.Settings.Acknowledged {
-		c.untold[m] = tell
+	if c.opt.Settings.HoldUntilAcknowledged {
+		c.pendingAnswers[m] = tell
 	}
-	c.durable(m.kept, tell, m.seq)
-	c.opt.Observer.Answered(m.Class, a, c.now-m.taken)
-	c.forget(m)
+	c.whenDurable(m.journaled, tell, m.seq)
+	c.opt.Observer.Answered(m.Class, a, c.now-m.takenAt)
+	c.removeFinished(m)
 }
 
-// repeats translates effects.
-var repeats = [...]lifecycle.Repeat{choice.Safe: lifecycle.Freely, choice.Keyed: lifecycle.InWindow, choice.Unsafe: lifecycle.Never}
+// repeatPolicies maps the module's effects to those of lifecycle.
+var repeatPolicies = [...]lifecycle.Repeat{choice.Safe: lifecycle.Freely, choice.Keyed: lifecycle.InWindow,
+	choice.Unsafe: lifecycle.Never}
 
-// forget frees a message that is answered and has nothing out.
-func (c *Core) forget(m *message) {
-	if m.answered && m.out == nil {
-		delete(c.msgs, m.id)
+// removeFinished removes a message that is answered and has no attempt in progress.
+func (c *Core) removeFinished(m *message) {
+	if m.answered && m.current == nil {
+		delete(c.byID, m.id)
 	}
 }
 
+// withdraw cancels the message of an identity that is in progress. With by nil its final answer is
+// still due; otherwise the message is abandoned, provided that by is its current Reply.
 func (c *Core) withdraw(identity string, by Reply) {
-	e := c.led.Find(c.now, identity)
+	e := c.identityLedger.Find(c.now, identity)
 	if e == nil || e.Answer.Verdict != 0 {
 		return
 	}
@@ -729,62 +758,65 @@
 	if by != nil && m.Reply != by {
 		return
 	}
-	c.batch = append(c.batch, choice.Withdrawn{ID: m.id, Owed: by == nil})
+	c.batch = append(c.batch, choice.Withdrawn{ID: m.id, AnswerOwed: by == nil})
 	if by != nil {
 		c.answer(m, ledger.Answer{Verdict: ledger.Abandoned})
 	}
 }
 
-// carryOut does what the module said, in its order.
+// carryOut executes the actions of the module, in their order.
 func (c *Core) carryOut(actions []choice.Action) {
-	sends := map[string][]*attempt{} // to hosts that take several messages a call
+	groups := map[string][]*attempt{} // for hosts that accept several messages a call
 	for i, act := range actions {
 		switch act := act.(type) {
 		case choice.Send:
-			a := c.attempt(act)
-			most := c.kind(act.Host).PerCall
-			if most <= 1 {
+			a := c.newAttempt(act)
+			perCall := c.kind(act.Host).PerCall
+			if perCall <= 1 {
 				c.send(a)
 				continue
 			}
-			group := sends[act.Host]
-			if a != nil && !c.fits(group, a) {
+			group := groups[act.Host]
+			if a != nil && !c.fitsCall(group, a) {
 				c.sendGroup(group)
 				group = nil
 			}
-			if a != nil { // without it too the others go, where it would have been the last
+			if a != nil { // the rest of the group is sent even if its last message is gone
 				group = append(group, a)
 			}
-			if sends[act.Host] = group; len(group) >= most || !sentLater(actions[i+1:], act.Host) {
-				delete(sends, act.Host)
+			if groups[act.Host] = group; len(group) >= perCall || !anySendTo(actions[i+1:], act.Host) {
+				delete(groups, act.Host)
 				c.sendGroup(group)
 			}
 		case choice.Refuse:
-			if m := c.msgs[act.ID]; m != nil {
-				c.refuse(m, act.After)
+			if m := c.byID[act.ID]; m != nil {
+				c.refuse(m, act.RetryAfter)
 			}
 		case choice.Fail:
-			if m := c.msgs[act.ID]; m != nil {
+			if m := c.byID[act.ID]; m != nil {
 				c.answer(m, ledger.Answer{Verdict: ledger.Failed})
 			}
 		case choice.Cancel:
-			if m := c.msgs[act.ID]; m != nil && m.out != nil && m.out.n == act.Attempt {
-				a := m.out
-				if a.off = true; a.lead != nil {
-					a = a.lead
+			if m := c.byID[act.ID]; m != nil && m.current != nil && m.current.attemptNo == act.Attempt {
+				a := m.current
+				if a.cancelled = true; a.leader != nil {
+					a = a.leader
 				}
-				if slices.ContainsFunc(a.all(), func(b *attempt) bool { return !b.off && b.m.out == b }) {
-					continue // the others in this call are still wanted
+				if slices.ContainsFunc(a.members(), func(b *attempt) bool {
+					return !b.cancelled &&
+						b.msg.current == b
+				}) {
+					continue // other messages of this call are not cancelled
 				}
-				started, ok := a.sock.Abort()
+				started, ok := a.handle.Abort()
 				if !ok {
-					continue // the answer was first
+					continue // the response came first
 				}
-				e := Ending{Outcome: choice.Cancelled, Took: c.now - a.sent}
+				e := Ending{Outcome: choice.Cancelled, Took: c.now - a.sentAt}
 				if !started {
 					e.Outcome = choice.NotSent
 				}
-				c.later(event{ended: a, ending: e})
+				c.enqueueOwn(event{ended: a, ending: e})
 			}
 		case choice.CloseIdle:
 			c.opt.Caller.CloseIdle(act.Host)
@@ -798,12 +830,12 @@
 	}
 }
 
-// later puts an event of the core's own into its next batch.
-func (c *Core) later(e event) { _ = c.put(e) }
+// enqueueOwn adds an event that the core itself raises; it is processed in the next batch.
+func (c *Core) enqueueOwn(e event) { _ = c.enqueue(e) }
 
-// idem is the idempotency key: the identity where there is one, so that a
-// hand-in at another relay carries the same.
-func (m *message) idem() string {
+// idempotencyKey returns the idempotency key: the identity if there is one, so that a hand-in
+// at another relay carries the same key.
+func (m *message) idempotencyKey() string {
 	if m.Identity != "" {
 		return m.Identity
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,13 +11,15 @@
 
 const ms = time.Millisecond
 
-// rig is a core without its goroutine: time and batches are the test's.
+// rig drives a core without its goroutine: the test sets the time and processes the batches. It is
+// also the Caller and the Observer.
 type rig struct {
 	*Core
 	calls []*fakeCall
 	log   []string
 }
 
+// fakeCall is a call that the test ends. With started, a byte of it was handed to the kernel.
 type fakeCall struct {
 	Call
 	started, ended, aborted bool
@@ -56,8 +58,8 @@
 func (r *rig) Attempted(_ int, o choice.Outcome, _ time.Duration) {}
 func (r *rig) Log(text string)                                    { r.log = append(r.log, text) }
 func (r *rig) Gauge(int, int, int, int)                           {}
-func (r *rig) at(d time.Duration)                                 { r.now = d; r.work() }
-func (r *rig) hand(id string, class int, re *reply, left time.Duration) error {
+func (r *rig) at(d time.Duration)                                 { r.now = d; r.processInbox() }
+func (r *rig) handIn(id string, class int, re *reply, left time.Duration) error {
 	return r.Submit(&Message{Identity: id, Class: class, Partner: 0, Key: "k", Left: left, Reply: re})
 }
 
@@ -75,50 +77,52 @@
 	class := choice.Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 1}
 	unsafe := class
 	unsafe.Effect, unsafe.Ordered = choice.Unsafe, true
-	c, err := New(Options{Seed: 1, Arrivals: 8, Identities: 8, Keep: time.Minute, Caller: r, Observer: r,
+	c, err := New(Options{Seed: 1, InboxSize: 8, Identities: 8, Retention: time.Minute, Caller: r, Observer: r,
 		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 2, Tick: 5 * ms, Cancels: true,
-			Certain: true, ReportLimit: -1, MaxRetryAfter: time.Second, Classes: []choice.Class{class, unsafe},
-			Kinds: []choice.Kind{{PerCall: 1}},
-			Rules: choice.Rules{OverloadFactor: 2, Fall: time.Second, ColdFrom: 0.2, Cold: 5 * time.Second}}})
+			RefuseOnlyNeverRan: true, ReportLimitIndex: -1, MaxRetryAfter: time.Second,
+			Classes: []choice.Class{class, unsafe},
+			Kinds:   []choice.Kind{{PerCall: 1}},
+			Rules:   choice.Rules{OverloadFactor: 2, Fall: time.Second, ColdFrom: 0.2, Cold: 5 * time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.clock = func() time.Duration { return c.now }
 	r.Core = c
-	r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
+	r.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
 	r.at(0)
 	return r
 }
 
-// An answer in the same batch as its time-out: the answer stands.
+// Guards against a response that is lost because it is processed in the same batch as its time-out: the
+// response counts.
 func TestAnswerBeatsItsTimeOut(t *testing.T) {
 	r := newRig(t)
 	re := &reply{}
-	if err := r.hand("m", 1, re, 6*time.Second); err != nil {
+	if err := r.handIn("m", 1, re, 6*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	r.at(ms)
 	r.calls[0].finish(choice.Served, 0)
-	r.at(20 * time.Second) // stood still far past everything
+	r.at(20 * time.Second) // the process was suspended far beyond the time-out
 	if len(re.answers) != 1 || re.answers[0].Verdict != ledger.Delivered || r.calls[0].aborted {
-		t.Fatalf("answers %v, aborted %v", re.answers, r.calls[0].aborted)
+		t.Fatalf("answers %v, aborted %v, want one delivered", re.answers, r.calls[0].aborted)
 	}
-	if len(r.waits) != 0 || len(r.msgs) != 0 {
-		t.Errorf("%d timers and %d messages left", len(r.waits), len(r.msgs))
+	if len(r.timeouts) != 0 || len(r.byID) != 0 {
+		t.Errorf("%d timers and %d messages left", len(r.timeouts), len(r.byID))
 	}
 }
 
-// A time-out whose answer is on its way from another goroutine: the answer
-// comes by the inbox, there is no second outcome.
+// Guards against two outcomes of one attempt: its time-out passes while its response is on the way
+// from another goroutine. The response counts.
 func TestTimeOutCrossesAnAnswer(t *testing.T) {
 	r := newRig(t)
 	re := &reply{}
-	_ = r.hand("m", 1, re, 6*time.Second)
+	_ = r.handIn("m", 1, re, 6*time.Second)
 	r.at(ms)
-	r.calls[0].ended = true // its socket has it, its event is not here yet
+	r.calls[0].ended = true // ended on the socket; the event is not in the inbox yet
 	r.at(10 * time.Second)
 	if len(re.answers) != 0 {
-		t.Fatalf("answered %v before the outcome was known", re.answers)
+		t.Fatalf("answered %v before the outcome is known", re.answers)
 	}
 	r.calls[0].finish(choice.Served, 0)
 	r.at(10*time.Second + ms)
@@ -127,21 +131,22 @@
 	}
 }
 
-// The hand-in of a class that must never take effect twice needs an identity;
-// a repeat joins, and after the end gets the same answer without a call.
-func TestIdentities(t *testing.T) {
+// Guards against a second effect of repeated hand-ins. A class that must never take effect twice
+// requires an identity; a repeat joins the message in progress, and after its end gets the same
+// answer without a call.
+func TestRepeatedHandInIsDeduplicated(t *testing.T) {
 	r := newRig(t)
 	none, one, two, three := &reply{}, &reply{}, &reply{}, &reply{}
-	_ = r.hand("", 1, none, time.Second)
-	_ = r.hand("m", 1, one, time.Second)
-	_ = r.hand("m", 1, two, time.Second)
+	_ = r.handIn("", 1, none, time.Second)
+	_ = r.handIn("m", 1, one, time.Second)
+	_ = r.handIn("m", 1, two, time.Second)
 	r.at(ms)
 	if len(none.taken) != 1 || !errors.Is(none.taken[0], ErrNoIdentity) {
 		t.Errorf("without identity: %v", none.taken)
 	}
 	r.calls[0].finish(choice.Reset, 0)
 	r.at(2 * ms)
-	_ = r.hand("m", 1, three, time.Second)
+	_ = r.handIn("m", 1, three, time.Second)
 	r.at(3 * ms)
 	if len(one.answers) != 0 || len(two.answers) != 1 || len(three.answers) != 1 || len(r.calls) != 1 {
 		t.Fatalf("answers %v %v %v, %d calls", one.answers, two.answers, three.answers, len(r.calls))
@@ -151,11 +156,11 @@
 	}
 }
 
-// At the bound of the inbox hand-ins are turned away, outcomes never.
-func TestInboxIsFull(t *testing.T) {
+// Guards against outcomes that are lost because the inbox is full: only hand-ins are rejected.
+func TestFullInboxRejectsOnlyHandIns(t *testing.T) {
 	r := newRig(t)
 	re := &reply{}
-	_ = r.hand("m", 0, re, 6*time.Second)
+	_ = r.handIn("m", 0, re, 6*time.Second)
 	r.at(ms)
 	for i := range 8 {
 		m := &Message{Source: string(rune('a' + i)), Left: time.Second, Reply: &reply{}}
@@ -163,33 +168,33 @@
 			t.Fatal(err)
 		}
 	}
-	if err := r.hand("z", 0, &reply{}, time.Second); !errors.Is(err, ErrBusy) {
-		t.Fatalf("at the bound: %v", err)
+	if err := r.handIn("z", 0, &reply{}, time.Second); !errors.Is(err, ErrBusy) {
+		t.Fatalf("hand-in to a full inbox: %v, want ErrBusy", err)
 	}
 	r.calls[0].finish(choice.Served, 0)
 	r.at(2 * ms)
 	if len(re.answers) != 1 {
-		t.Errorf("the outcome was lost: %v", re.answers)
+		t.Errorf("answers %v, want one: the outcome was lost", re.answers)
 	}
-	if err := r.hand("z", 0, &reply{}, time.Second); err != nil {
-		t.Errorf("after the batch: %v", err)
+	if err := r.handIn("z", 0, &reply{}, time.Second); err != nil {
+		t.Errorf("hand-in after the batch: %v", err)
 	}
 }
 
-// A connection that is still coming up carries no decision that news has
-// overtaken: a drain or a told wait takes it back.
+// Guards against calls that are sent although events since the decision forbid them: while the
+// connection is being established, the endpoint starts to drain or asks for a wait.
 func TestAttemptsAreRecalled(t *testing.T) {
 	for _, news := range []string{"drain", "wait"} {
 		r := newRig(t)
-		_ = r.hand("m", 0, &reply{}, 6*time.Second)
-		_ = r.hand("n", 0, &reply{}, 6*time.Second)
+		_ = r.handIn("m", 0, &reply{}, 6*time.Second)
+		_ = r.handIn("n", 0, &reply{}, 6*time.Second)
 		r.at(ms)
 		if len(r.calls) != 2 {
 			t.Fatalf("%d calls", len(r.calls))
 		}
 		r.calls[0].started = false
 		if news == "drain" {
-			r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Draining}}})
+			r.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "a", State: choice.Draining}}})
 		} else {
 			r.calls[1].finish(choice.Refused, 2*time.Second)
 		}
@@ -200,11 +205,12 @@
 	}
 }
 
-// A refusal's answer stands until the advised time; who comes after it is tried anew.
-func TestComesAgainAfterARefusal(t *testing.T) {
+// Guards against a refusal that outlives its time, or is lost before it: until then a repeated hand-in
+// gets the same answer, and after it is sent again.
+func TestRepeatAfterARefusal(t *testing.T) {
 	r := newRig(t)
 	one, early, late := &reply{}, &reply{}, &reply{}
-	_ = r.hand("m", 1, one, 6*time.Second)
+	_ = r.handIn("m", 1, one, 6*time.Second)
 	r.at(ms)
 	r.calls[0].finish(choice.Refused, 3*time.Second)
 	r.at(2 * ms)
@@ -214,22 +220,22 @@
 		}
 	}
 	a := one.answers[0]
-	if a.Verdict != ledger.Refused || a.After <= 0 {
+	if a.Verdict != ledger.Refused || a.RetryAfter <= 0 {
 		t.Fatalf("answer %v", a)
 	}
 	ended := r.now
-	_ = r.hand("m", 1, early, time.Second)
+	_ = r.handIn("m", 1, early, time.Second)
 	r.at(ended)
 	if len(early.answers) != 1 || early.answers[0] != a {
-		t.Errorf("early: %v", early.answers)
+		t.Errorf("repeat before the time: answers %v", early.answers)
 	}
 	n := len(r.calls)
-	r.now = ended + a.After
+	r.now = ended + a.RetryAfter
 	_ = r.Submit(&Message{Identity: "m", Class: 1, Left: 6 * time.Second, Reply: late})
-	for now := ended + a.After; now < ended+a.After+4*time.Second; now += 5 * ms {
+	for now := ended + a.RetryAfter; now < ended+a.RetryAfter+4*time.Second; now += 5 * ms {
 		r.at(now)
 	}
 	if len(late.answers) != 0 || len(r.calls) != n+1 {
-		t.Errorf("late: %v, %d calls", late.answers, len(r.calls)-n)
+		t.Errorf("repeat after the time: answers %v, %d calls, want one call", late.answers, len(r.calls)-n)
 	}
 }
--- a/internal/core/several_test.go
+++ b/internal/core/several_test.go
@@ -11,17 +11,18 @@
 	"basaltcross.example/basaltcross/internal/ledger"
 )
 
-// several is a rig over a host that takes three messages a call, with some handed in
-// before it is listed, so that one step sends them all.
-func several(t *testing.T, classes ...int) (*rig, []*reply) {
+// newBatchRig returns a rig with a host that accepts three messages a call. A message of each of the classes is
+// handed in before the host is listed, so that one step sends them all.
+func newBatchRig(t *testing.T, classes ...int) (*rig, []*reply) {
 	t.Helper()
 	r := &rig{}
 	class := choice.Class{Aim: time.Second, Deadline: 6 * time.Second, Worth: 1}
 	unsafe := class
 	unsafe.Effect = choice.Unsafe
-	c, err := New(Options{Seed: 1, Arrivals: 20, Identities: 20, Keep: time.Minute, Caller: r, Observer: r,
+	c, err := New(Options{Seed: 1, InboxSize: 20, Identities: 20, Retention: time.Minute, Caller: r, Observer: r,
 		Settings: choice.Settings{Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 2, Tick: 5 * ms, Cancels: true,
-			Certain: true, ReportLimit: -1, Classes: []choice.Class{class, unsafe}, Kinds: []choice.Kind{{PerCall: 3}},
+			RefuseOnlyNeverRan: true, ReportLimitIndex: -1, Classes: []choice.Class{class, unsafe},
+			Kinds: []choice.Kind{{PerCall: 3}},
 			Rules: choice.Rules{OverloadFactor: 2, Fall: time.Second, ColdFrom: 0.2, Cold: 5 * time.Second}}})
 	if err != nil {
 		t.Fatal(err)
@@ -33,16 +34,18 @@
 	for i, k := range classes {
 		re := &reply{}
 		all = append(all, re)
-		if err := r.Submit(&Message{Identity: fmt.Sprint("m", i), Class: k, Left: 6 * time.Second, Reply: re, Body: []byte{byte(i)}}); err != nil {
+		if err := r.Submit(&Message{Identity: fmt.Sprint("m", i), Class: k, Left: 6 * time.Second, Reply: re,
+			Body: []byte{byte(i)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	r.at(ms)
-	r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
+	r.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
 	r.at(2 * ms)
 	return r, all
 }
 
+// verdicts returns the verdicts of the replies, each followed by a space; "none" without an answer.
 func verdicts(all []*reply) (out string) {
 	for _, re := range all {
 		v := ledger.Verdict(0)
@@ -57,36 +60,38 @@
 	return out
 }
 
-// The sends of one step to one host travel as one call, up to the kind's number, and
-// each message in it has its own end.
+// Guards against messages that share a call and get the outcome of another one. The sends of one step to a host
+// share calls up to the limit of the kind.
 func TestSeveralInOneCall(t *testing.T) {
-	r, all := several(t, 1, 1, 1, 1)
-	if len(r.calls) != 2 || len(r.calls[0].Call.Several) != 3 || r.calls[1].Call.Several != nil || len(r.waits) != 2 {
-		t.Fatalf("%d calls, %d timers", len(r.calls), len(r.waits))
+	r, all := newBatchRig(t, 1, 1, 1, 1)
+	if len(r.calls) != 2 || len(r.calls[0].Call.Items) != 3 || r.calls[1].Call.Items != nil ||
+		len(r.timeouts) != 2 {
+		t.Fatalf("%d calls, %d timers", len(r.calls), len(r.timeouts))
 	}
-	for i, m := range r.calls[0].Call.Several {
-		if m.ID != fmt.Sprint("m", i) || len(m.Body) != 1 || m.Body[0] != byte(i) {
+	for i, m := range r.calls[0].Call.Items {
+		if m.Identity != fmt.Sprint("m", i) || len(m.Body) != 1 || m.Body[0] != byte(i) {
 			t.Errorf("%+v", m)
 		}
 	}
 	a := r.calls[0]
 	a.ended = true
-	a.Call.End(Ending{Outcome: choice.Served, Took: ms, Each: []Ending{{Outcome: choice.Served}, {Outcome: choice.Error},
-		{Outcome: choice.NotSent, Over: true}}})
+	a.Call.End(Ending{Outcome: choice.Served, Took: ms, Each: []Ending{{Outcome: choice.Served},
+		{Outcome: choice.Error},
+		{Outcome: choice.NotSent, Abandon: true}}})
 	r.calls[1].finish(choice.Served, 0)
 	r.at(3 * ms)
 	if got := verdicts(all); got != "delivered failed abandoned delivered " {
-		t.Errorf("ends: %s", got)
+		t.Errorf("verdicts: %s", got)
 	}
-	if len(r.outs) != 0 || len(r.waits) != 0 || len(r.msgs) != 0 {
-		t.Errorf("%d out, %d timers, %d messages left", len(r.outs), len(r.waits), len(r.msgs))
+	if len(r.inFlight) != 0 || len(r.timeouts) != 0 || len(r.byID) != 0 {
+		t.Errorf("%d out, %d timers, %d messages left", len(r.inFlight), len(r.timeouts), len(r.byID))
 	}
 }
 
-// One time-out counts for all in a call, and so does a reset.
-func TestOneEndForAll(t *testing.T) {
+// Guards against messages that stay without an outcome when their shared call times out or is reset.
+func TestTimeoutAndResetEndAllMessagesOfACall(t *testing.T) {
 	for _, timeOut := range []bool{true, false} {
-		r, all := several(t, 1, 1, 1)
+		r, all := newBatchRig(t, 1, 1, 1)
 		if timeOut {
 			r.at(10 * time.Second)
 		} else {
@@ -94,126 +99,131 @@
 			r.at(3 * ms)
 		}
 		if got := verdicts(all); got != "failed failed failed " || r.calls[0].aborted != timeOut {
-			t.Errorf("time-out %v: ends %s, aborted %v", timeOut, got, r.calls[0].aborted)
+			t.Errorf("time-out %v: verdicts %s, aborted %v", timeOut, got, r.calls[0].aborted)
 		}
 	}
 }
 
-// A Cancel of some messages in a call leaves it to the others; that of the last ends it.
-func TestCancelOfOneLeavesTheOthers(t *testing.T) {
-	r, all := several(t, 1, 1, 1)
-	id := func(i int) string { return r.led.Find(r.now, fmt.Sprint("m", i)).ID }
+// Guards against a Cancel of one message that aborts the call of the others: the call ends with the Cancel of its
+// last message.
+func TestCancelOfOneMessageDoesNotAbortTheCall(t *testing.T) {
+	r, all := newBatchRig(t, 1, 1, 1)
+	id := func(i int) string { return r.identityLedger.Find(r.now, fmt.Sprint("m", i)).ID }
 	r.carryOut([]choice.Action{choice.Cancel{ID: id(1)}})
 	r.at(3 * ms)
 	if r.calls[0].aborted || verdicts(all) != "none none none " {
-		t.Fatalf("aborted %v, ends %s", r.calls[0].aborted, verdicts(all))
+		t.Fatalf("one cancelled: aborted %v, verdicts %s", r.calls[0].aborted, verdicts(all))
 	}
 	r.carryOut([]choice.Action{choice.Cancel{ID: id(0)}, choice.Cancel{ID: id(2)}})
 	r.at(4 * ms)
 	if !r.calls[0].aborted || verdicts(all) != "failed failed failed " {
-		t.Errorf("aborted %v, ends %s", r.calls[0].aborted, verdicts(all))
+		t.Errorf("all cancelled: aborted %v, verdicts %s", r.calls[0].aborted, verdicts(all))
 	}
 }
 
-// Who withdraws a message nobody is owed anything, unless somebody else handed it in.
+// Guards against an Abandon that ends the message of another client: it counts only from the Reply with which the
+// message came.
 func TestAbandon(t *testing.T) {
 	r := newRig(t)
 	one, other := &reply{}, &reply{}
-	if err := r.hand("m", 0, one, 6*time.Second); err != nil {
+	if err := r.handIn("m", 0, one, 6*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	r.at(ms)
 	r.Abandon("m", other)
 	r.at(2 * ms)
 	if len(one.answers) != 0 {
-		t.Fatalf("%v: somebody else's message was withdrawn", one.answers)
+		t.Fatalf("answers %v: the message of another Reply was abandoned", one.answers)
 	}
 	r.Abandon("m", one)
 	r.at(3 * ms)
 	if verdicts([]*reply{one}) != "abandoned " {
-		t.Errorf("%v", one.answers)
+		t.Errorf("answers %v, want abandoned", one.answers)
 	}
 	r.calls[0].finish(choice.Error, 0)
 	r.at(4 * ms)
-	if len(r.calls) != 1 || len(r.msgs) != 0 {
-		t.Errorf("%d calls, %d messages left", len(r.calls), len(r.msgs))
+	if len(r.calls) != 1 || len(r.byID) != 0 {
+		t.Errorf("%d calls, %d messages left", len(r.calls), len(r.byID))
 	}
 }
 
-// A refusal that was heard gives up its place in the order of its key, whatever became
-// of its identity meanwhile.
+// Guards against a key that is blocked for ever, or released too early, by a refused message: the message keeps its
+// place in the order of its key until Settled.
 func TestSettledRefusals(t *testing.T) {
 	r := newRig(t)
 	set := r.opt.Settings
-	set.Acknowledged, set.Classes = true, slices.Clone(set.Classes)
+	set.HoldUntilAcknowledged, set.Classes = true, slices.Clone(set.Classes)
 	set.Classes[1].Ordered = true
-	c, err := New(Options{Seed: 1, Arrivals: 8, Identities: 8, Keep: time.Minute, Caller: r, Observer: r, Settings: set})
+	c, err := New(Options{Seed: 1, InboxSize: 8, Identities: 8, Retention: time.Minute, Caller: r, Observer: r,
+		Settings: set})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.clock = func() time.Duration { return c.now }
 	r.Core = c
 	one, two := &reply{}, &reply{}
-	_ = r.hand("one", 1, one, 100*ms)
-	_ = r.hand("two", 1, two, 6*time.Second)
-	for at := ms; at < 200*ms; at += ms { // no host is listed: the first one's time passes
+	_ = r.handIn("one", 1, one, 100*ms)
+	_ = r.handIn("two", 1, two, 6*time.Second)
+	for at := ms; at < 200*ms; at += ms { // no host is listed: the deadline of the first message passes
 		r.at(at)
 	}
 	if verdicts([]*reply{one, two}) != "refused none " {
 		t.Fatal(verdicts([]*reply{one, two}))
 	}
-	r.List(choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
+	r.List(choice.HostUpdate{Full: true, Hosts: []choice.Host{{Addr: "a", State: choice.Ready}}})
 	r.at(300 * ms)
 	if len(r.calls) != 0 {
-		t.Fatal("sent before the one ahead was settled")
+		t.Fatal("sent before the message ahead was settled")
 	}
 	r.Settled("one")
 	r.at(400 * ms)
-	if len(r.calls) != 1 || len(r.owing) != 0 {
-		t.Errorf("%d calls once the one ahead was settled, %d owing", len(r.calls), len(r.owing))
+	if len(r.calls) != 1 || len(r.unsettledIDs) != 0 {
+		t.Errorf("%d calls once the message ahead was settled, %d messages not settled", len(r.calls),
+			len(r.unsettledIDs))
 	}
 }
 
-// An answer at the very end of a message's time may be late by the clock of who handed
-// it in: then its end is told, and its key goes on once that was heard.
-func TestAnswersAtTheVeryEnd(t *testing.T) {
+// Guards against a delivery that is too late for the client: a response just before the deadline may be after it by
+// the client's clock, and the message then fails.
+func TestResponseWithinTheLateMarginIsNoDelivery(t *testing.T) {
 	for at, want := range map[time.Duration]string{500 * ms: "delivered ", 950 * ms: "failed "} {
 		r := newRig(t)
-		r.opt.Late = 100 * ms
+		r.opt.LateMargin = 100 * ms
 		re := &reply{}
-		_ = r.hand("m", 1, re, time.Second)
+		_ = r.handIn("m", 1, re, time.Second)
 		r.at(ms)
 		r.calls[0].finish(choice.Served, 0)
 		r.at(at)
-		if verdicts([]*reply{re}) != want || len(r.msgs) != 0 {
-			t.Errorf("served after %v of a second: %s", at, verdicts([]*reply{re}))
+		if verdicts([]*reply{re}) != want || len(r.byID) != 0 {
+			t.Errorf("served %v after the hand-in, with 1 s to deliver: %s", at, verdicts([]*reply{re}))
 		}
 	}
 }
 
-// instant is a journal that has everything on disk at once, and keeps nothing.
-type instant struct{}
+// instantJournal is a journal that reports every record as on disk at once, and stores nothing.
+type instantJournal struct{}
 
-func (instant) Stamp() journal.Stamp          { return journal.Stamp{} }
-func (instant) HasRoom(int) bool              { return true }
-func (instant) RecordMessage(journal.Message) {}
-func (instant) RecordAttempt(journal.Attempt) {}
-func (instant) RecordEnd(journal.End)         {}
-func (instant) RecordWait(journal.Wait)       {}
-func (instant) Forget(string)                 {}
-func (instant) WhenWritten(func()) bool       { return true }
+func (instantJournal) Stamp() journal.Stamp          { return journal.Stamp{} }
+func (instantJournal) HasRoom(int) bool              { return true }
+func (instantJournal) RecordMessage(journal.Message) {}
+func (instantJournal) RecordAttempt(journal.Attempt) {}
+func (instantJournal) RecordEnd(journal.End)         {}
+func (instantJournal) RecordWait(journal.Wait)       {}
+func (instantJournal) Forget(string)                 {}
+func (instantJournal) WhenWritten(func()) bool       { return true }
 
-// The time that a start takes is off the time of what it restores.
+// Guards against restored messages whose deadline moves by the time that the start takes.
 func TestRestoredTimesCountFromTheRestore(t *testing.T) {
 	r := newRig(t)
-	r.opt.Journal = instant{}
+	r.opt.Journal = instantJournal{}
 	re := &reply{}
-	r.Restore([]Restored{{Message: Message{Identity: "m", Class: 0, Partner: 5, Left: time.Second, Reply: re}, Seq: 7}}, nil, nil, 7)
+	r.Restore([]Restored{{Message: Message{Identity: "m", Class: 0, Partner: 5, Left: time.Second, Reply: re},
+		Seq: 7}}, nil, nil, 7)
 	r.at(900 * ms)
 	for at := 901 * ms; at <= 1000*ms; at += ms {
 		r.at(at)
 	}
 	if verdicts([]*reply{re}) != "refused " {
-		t.Errorf("%s: nothing was said within its time", verdicts([]*reply{re}))
+		t.Errorf("verdicts %s, want a refusal within its time", verdicts([]*reply{re}))
 	}
 }
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// Conn is one connection of an Engine. Its methods are safe for concurrent use and never
-// wait for the peer. Writes are taken whole; what the kernel does not take at once follows in order.
+// Conn is one connection of an Engine. Its methods are safe for concurrent use and never wait for
+// the peer. A write is accepted whole; what the kernel does not take at once is sent later, in
+// order.
 type Conn struct {
 	engine        *Engine
 	handler       Handler
@@ -20,47 +21,48 @@
 	descriptor    int
 	local, remote net.Addr
 
-	mu       sync.Mutex
-	open     bool
-	why      error         // it is not open any more
-	ended    chan struct{} // closed with it
-	heardAll bool          // the peer has ended its sending
-	ending   bool          // nothing is written behind what waits, and then the sending side ends
-	discard  bool          // what comes is dropped
-	dropped  int
-	pending  []byte // to be written
-	by       time.Time
-	retry    *time.Timer
-	pause    time.Duration
-	closedBy *time.Timer
-
-	// Of the connection's goroutine alone.
-	failing time.Time     // reading fails since then; zero if it does not
-	heldUp  time.Duration // what was read last may have stood there for so long
+	mu           sync.Mutex
+	open         bool
+	closeReason  error         // reason for the close
+	closedSignal chan struct{} // closed when the connection is closed
+	peerEnded    bool          // the peer has ended its sending side
+	writeEnding  bool          // the sending side ends once pending is written
+	discarding   bool          // received bytes are discarded
+	discarded    int
+	pending      []byte // bytes still to be written
+	writeBy      time.Time
+	retryTimer   *time.Timer
+	retryPause   time.Duration
+	closeTimer   *time.Timer
+
+	// For the connection's goroutine only.
+	failingSince time.Time     // start of a series of failed reads; zero if the last read succeeded
+	readDelay    time.Duration // upper bound on the time for which the data read last waited because reads failed
 }
 
-// Errors of a connection.
+// Errors of writes.
 var (
-	// ErrFull: more waits to be written than the engine's bound.
-	ErrFull = errors.New("engine: too much waits to be written")
-	// ErrLate: the time by which all had to be written has passed.
-	ErrLate = errors.New("engine: not written in time")
+	// ErrFull reports that more bytes wait to be written than the engine's bound allows.
+	ErrFull = errors.New("engine: write buffer is full")
+	// ErrLate reports that the time by which the bytes had to be written has passed.
+	ErrLate = errors.New("engine: write deadline exceeded")
 )
 
 const (
-	// A socket that takes or gives nothing is tried again after firstPause, doubling to longestPause.
-	firstPause   = time.Millisecond
-	longestPause = 16 * time.Millisecond
-	// mostDropped bytes are read of a peer after Finish: what was on its way by then,
-	// and not all of a body without end.
-	mostDropped = 1 << 20
+	// The interval between two attempts at a read or write that made no progress starts at
+	// minRetryPause and doubles up to maxRetryPause.
+	minRetryPause = time.Millisecond
+	maxRetryPause = 16 * time.Millisecond
+	// maxDiscarded bounds the bytes read from a peer after Finish: enough for what was under way by
+	// then, but not for a body without end.
+	maxDiscarded = 1 << 20
 )
 
-// takeSocket takes what the connection's operations need from its socket.
-func (c *Conn) takeSocket() error {
+// initSocket obtains the raw connection and the descriptor of the socket.
+func (c *Conn) initSocket() error {
 	socket, ok := c.raw.(syscall.Conn)
 	if !ok {
-		return fmt.Errorf("%T is no socket", c.raw)
+		return fmt.Errorf("%T is not a socket", c.raw)
 	}
 	var err error
 	if c.socket, err = socket.SyscallConn(); err != nil {
@@ -69,19 +71,19 @@
 	return c.socket.Control(func(fd uintptr) { c.descriptor = int(fd) })
 }
 
-// serve hands over what is read until the connection ends.
+// serve passes what is read to the handler until the connection ends.
 func (c *Conn) serve() {
-	pause := firstPause
+	pause := minRetryPause
 	for {
 		switch err := c.receive(); {
 		case err == nil:
-			pause = firstPause
-		case passes(err):
+			pause = minRetryPause
+		case isTransient(err):
 			time.Sleep(pause)
-			pause = min(2*pause, longestPause)
+			pause = min(2*pause, maxRetryPause)
 		default:
 			if errors.Is(err, io.EOF) {
-				c.outlast()
+				c.awaitHandlerClose()
 			}
 			c.mu.Lock()
 			c.abort(err)
@@ -92,35 +94,36 @@
 	}
 }
 
-// outlast keeps a connection whose peer has ended its sending until the handler has ended it too, if
-// the handler wants that.
-func (c *Conn) outlast() {
+// awaitHandlerClose keeps a connection whose peer has ended its sending side open until the handler
+// has ended it too, if the handler asks for that.
+func (c *Conn) awaitHandlerClose() {
 	h, may := c.handler.(HalfCloser)
 	if !may || !h.HalfClosed() {
 		return
 	}
 	c.mu.Lock()
-	c.heardAll = true
-	if c.ending && len(c.pending) == 0 { // both sides have ended by now
+	c.peerEnded = true
+	if c.writeEnding && len(c.pending) == 0 { // both sides have ended by now
 		c.abort(io.EOF)
 	}
 	c.mu.Unlock()
-	<-c.ended
+	<-c.closedSignal
 }
 
-// passes tells an error of a read or write that says nothing of the connection: the system had
-// no memory for it at that moment.
-func passes(err error) bool { return err == syscall.ENOMEM || err == syscall.ENOBUFS }
+// isTransient reports whether a read or write failed only because the system was out of memory at
+// that moment, which says nothing about the connection.
+func isTransient(err error) bool { return err == syscall.ENOMEM || err == syscall.ENOBUFS }
 
-// receive waits for data and hands it over. io.EOF is the peer's end.
+// receive waits for data and passes it to the handler. It returns io.EOF when the peer has ended
+// its sending side.
 func (c *Conn) receive() error {
 	var buf *[]byte
 	var n int
-	var failed error
+	var readErr error
 	err := c.socket.Read(func(fd uintptr) (done bool) {
 		buf = c.engine.buffers.Get().(*[]byte)
-		n, failed = read(int(fd), *buf)
-		if failed == syscall.EAGAIN { // no buffer is held while nothing comes
+		n, readErr = read(int(fd), *buf)
+		if readErr == syscall.EAGAIN { // don't hold a buffer while waiting for data
 			c.engine.buffers.Put(buf)
 			buf = nil
 			return false
@@ -131,29 +134,29 @@
 		defer c.engine.buffers.Put(buf)
 	}
 	switch {
-	case err != nil: // closed here
+	case err != nil: // closed by this side
 		return err
-	case passes(failed) && c.failing.IsZero():
-		c.failing = time.Now()
-		return failed
-	case failed != nil:
-		return failed
+	case isTransient(readErr) && c.failingSince.IsZero():
+		c.failingSince = time.Now()
+		return readErr
+	case readErr != nil:
+		return readErr
 	case n == 0:
 		return io.EOF
 	}
-	c.heldUp = 0
-	if !c.failing.IsZero() {
-		c.heldUp, c.failing = time.Since(c.failing), time.Time{}
+	c.readDelay = 0
+	if !c.failingSince.IsZero() {
+		c.readDelay, c.failingSince = time.Since(c.failingSince), time.Time{}
 	}
-	c.data((*buf)[:n])
+	c.deliver((*buf)[:n])
 	return nil
 }
 
-// HeldUp is how long the data that is handed over may have stood there because reading it
-// failed; for the handler, within Data.
-func (c *Conn) HeldUp() time.Duration { return c.heldUp }
+// HeldUp returns an upper bound on the time for which the current data waited to be read because
+// reads failed. The handler may call it within Data.
+func (c *Conn) HeldUp() time.Duration { return c.readDelay }
 
-// read is read(2) that goes on after a signal.
+// read is read(2), repeated when a signal interrupts it.
 func read(fd int, b []byte) (n int, err error) {
 	for {
 		n, err = syscall.Read(fd, b)
@@ -163,14 +166,14 @@
 	}
 }
 
-// data hands over what was read.
-func (c *Conn) data(b []byte) {
+// deliver passes read data to the handler, or discards it after Finish.
+func (c *Conn) deliver(b []byte) {
 	c.mu.Lock()
-	wanted := c.open && !c.discard
-	if c.discard {
-		c.dropped += len(b)
+	wanted := c.open && !c.discarding
+	if c.discarding {
+		c.discarded += len(b)
 	}
-	over := c.dropped > mostDropped
+	over := c.discarded > maxDiscarded
 	c.mu.Unlock()
 	switch {
 	case over:
@@ -180,26 +183,26 @@
 	}
 }
 
-// Write takes all of b, or none of it. On an error n tells how much the kernel had taken
-// before, and the connection is closed.
+// Write accepts all of b or none of it. On an error n is the number of bytes that the kernel had
+// taken before, and the connection is closed.
 func (c *Conn) Write(b []byte) (n int, err error) { return c.WriteBy(b, time.Time{}) }
 
-// WriteBy is Write of what must not leave later than by: past it the connection is closed
-// with what waits. The zero time stands for no such time.
+// WriteBy is like Write for bytes that must not be sent after by: past it, the connection is closed
+// and what still waits is dropped. The zero time means no limit.
 func (c *Conn) WriteBy(b []byte, by time.Time) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.open {
-		return 0, fmt.Errorf("%w: %w", net.ErrClosed, c.why)
+		return 0, fmt.Errorf("%w: %w", net.ErrClosed, c.closeReason)
 	}
-	if c.ending {
+	if c.writeEnding {
 		return 0, net.ErrClosed
 	}
 	if most := c.engine.opt.WriteBuffer; most > 0 && len(c.pending)+len(b) > most {
 		c.abort(ErrFull)
 		return 0, ErrFull
 	}
-	if c.by = by; len(c.pending) > 0 {
+	if c.writeBy = by; len(c.pending) > 0 {
 		c.pending = append(c.pending, b...)
 		return len(b), nil
 	}
@@ -210,13 +213,13 @@
 	}
 	if n < len(b) {
 		c.pending = append([]byte(nil), b[n:]...)
-		c.pause = firstPause
-		c.later()
+		c.retryPause = minRetryPause
+		c.scheduleFlush()
 	}
 	return len(b), nil
 }
 
-// send writes as much as the kernel takes; under mu, of an open connection.
+// send writes as much as the kernel takes. The caller holds mu, and the connection is open.
 func (c *Conn) send(b []byte) (n int, err error) {
 	closed := c.socket.Control(func(fd uintptr) {
 		for n < len(b) && err == nil {
@@ -228,15 +231,15 @@
 	switch {
 	case closed != nil:
 		return n, closed
-	case err == syscall.EAGAIN, passes(err):
-		return n, nil // the rest is tried later
+	case err == syscall.EAGAIN, isTransient(err):
+		return n, nil // the rest is retried later
 	}
 	return n, err
 }
 
-// sendOnce is one write(2); under mu.
+// sendOnce does one write(2). The caller holds mu.
 func (c *Conn) sendOnce(fd int, b []byte) (n int, err error) {
-	if !c.by.IsZero() && !time.Now().Before(c.by) {
+	if !c.writeBy.IsZero() && !time.Now().Before(c.writeBy) {
 		return 0, ErrLate
 	}
 	n, err = syscall.Write(fd, b)
@@ -249,13 +252,13 @@
 	return n, err
 }
 
-// later tries what waits again after a pause; under mu.
-func (c *Conn) later() {
-	c.retry = time.AfterFunc(c.pause, c.flush)
-	c.pause = min(2*c.pause, longestPause)
+// scheduleFlush retries the pending write after a pause. The caller holds mu.
+func (c *Conn) scheduleFlush() {
+	c.retryTimer = time.AfterFunc(c.retryPause, c.flush)
+	c.retryPause = min(2*c.retryPause, maxRetryPause)
 }
 
-// flush writes what waits, and then ends the sending side if that was asked for.
+// flush writes the pending bytes, and then ends the sending side if that was requested.
 func (c *Conn) flush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -268,27 +271,27 @@
 		return
 	}
 	if n > 0 {
-		c.pause = firstPause
+		c.retryPause = minRetryPause
 	}
 	if c.pending = c.pending[n:]; len(c.pending) > 0 {
-		c.later()
+		c.scheduleFlush()
 		return
 	}
-	c.retry = nil
+	c.retryTimer = nil
 	c.pending = nil
-	if c.ending {
-		c.shut()
+	if c.writeEnding {
+		c.shutdownWrite()
 	}
 }
 
-// abort ends the connection with what waits to be written; under mu.
-func (c *Conn) abort(why error) {
+// abort closes the connection and drops the pending bytes. The caller holds mu.
+func (c *Conn) abort(reason error) {
 	if !c.open {
 		return
 	}
-	c.open, c.why, c.pending = false, why, nil
-	close(c.ended)
-	for _, t := range []*time.Timer{c.retry, c.closedBy} {
+	c.open, c.closeReason, c.pending = false, reason, nil
+	close(c.closedSignal)
+	for _, t := range []*time.Timer{c.retryTimer, c.closeTimer} {
 		if t != nil {
 			t.Stop()
 		}
@@ -296,55 +299,55 @@
 	_ = c.raw.Close()
 }
 
-// shut ends the sending side; under mu, with nothing left to be written.
-func (c *Conn) shut() {
+// shutdownWrite ends the sending side. The caller holds mu, and nothing is pending.
+func (c *Conn) shutdownWrite() {
 	var err error
 	closed := c.socket.Control(func(fd uintptr) { err = syscall.Shutdown(int(fd), syscall.SHUT_WR) })
 	switch err = errors.Join(closed, err); {
 	case err != nil:
 		c.abort(err)
-	case c.heardAll:
+	case c.peerEnded:
 		c.abort(io.EOF)
 	}
 }
 
-// CloseWrite ends the sending side behind all that was written, and leaves the reading
-// side open: the peer reads everything and then the end.
+// CloseWrite ends the sending side after all that was written and leaves the receiving side open:
+// the peer reads everything and then the end.
 func (c *Conn) CloseWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.open || c.ending {
+	if !c.open || c.writeEnding {
 		return
 	}
 	c.endWriting()
 }
 
-// endWriting ends the sending side once nothing waits; under mu.
+// endWriting ends the sending side once nothing is pending. The caller holds mu.
 func (c *Conn) endWriting() {
-	if c.ending = true; len(c.pending) == 0 {
-		c.shut()
+	if c.writeEnding = true; len(c.pending) == 0 {
+		c.shutdownWrite()
 	}
 }
 
-// Finish is CloseWrite for a connection of which nothing more is wanted: what comes is
-// dropped, and the connection is closed when the peer has closed it, at the latest after
-// the time given. A close over bytes that were not read would reset the connection and
-// take with it what the peer has not read yet.
+// Finish is CloseWrite for a connection from which nothing more is wanted. Received bytes are
+// discarded, and the connection is closed when the peer closes it, at the latest after the given
+// time. Closing it with unread bytes would reset the connection and destroy data that the peer has
+// not read yet.
 func (c *Conn) Finish(within time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.open || c.discard {
+	if !c.open || c.discarding {
 		return
 	}
-	c.discard = true
-	c.closedBy = time.AfterFunc(within, func() { _ = c.Close() })
-	if !c.ending {
+	c.discarding = true
+	c.closeTimer = time.AfterFunc(within, func() { _ = c.Close() })
+	if !c.writeEnding {
 		c.endWriting()
 	}
 }
 
-// Close ends the connection at once, with what waits to be written. The handler is told by
-// its own goroutine.
+// Close closes the connection at once and drops the pending bytes. The handler's Closed is called
+// on the connection's goroutine.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -352,32 +355,32 @@
 	return nil
 }
 
-// Unsent is how many bytes wait to be written.
+// Unsent returns the number of bytes that wait to be written.
 func (c *Conn) Unsent() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pending)
 }
 
-// IsClosed tells whether the connection has ended.
+// IsClosed reports whether the connection is closed.
 func (c *Conn) IsClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.open
 }
 
-// Peeked is what Peek finds.
+// Peeked is the result of Peek.
 type Peeked int
 
-// What may stand to be read.
+// The results of Peek.
 const (
 	Nothing Peeked = iota
 	Bytes
 	End // the peer's end, or an error
 )
 
-// Peek looks what stands to be read, without reading it: the end of a connection may not
-// have been read yet.
+// Peek looks at the socket without reading from it: the end of a connection may not have been read
+// yet.
 func (c *Conn) Peek() Peeked {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -393,7 +396,7 @@
 	switch {
 	case closed != nil:
 		return End
-	case err == syscall.EAGAIN || err == syscall.EINTR || passes(err):
+	case err == syscall.EAGAIN || err == syscall.EINTR || isTransient(err):
 		return Nothing
 	case err == nil && n > 0:
 		return Bytes
@@ -401,19 +404,21 @@
 	return End
 }
 
-// EndedByPeer tells whether the peer has ended the connection, and not this side or an error of its own.
+// EndedByPeer reports whether the peer closed the connection, as opposed to this side or a local
+// error.
 func (c *Conn) EndedByPeer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return errors.Is(c.why, io.EOF) || errors.Is(c.why, syscall.ECONNRESET) || errors.Is(c.why, syscall.EPIPE)
+	return errors.Is(c.closeReason, io.EOF) || errors.Is(c.closeReason, syscall.ECONNRESET) ||
+		errors.Is(c.closeReason, syscall.EPIPE)
 }
 
-// LocalAddr is the connection's own address.
+// LocalAddr returns the local address of the connection.
 func (c *Conn) LocalAddr() net.Addr { return c.local }
 
-// RemoteAddr is that of the peer.
+// RemoteAddr returns the peer's address.
 func (c *Conn) RemoteAddr() net.Addr { return c.remote }
 
-// Descriptor is the number of the socket, for options of it; of a closed connection it
-// may be another one's.
+// Descriptor returns the socket's descriptor, for socket options. Once the connection is closed,
+// the number may belong to another one.
 func (c *Conn) Descriptor() int { return c.descriptor }
--- a/internal/mqttfront/answers.go
+++ b/internal/mqttfront/answers.go
@@ -123,7 +123,7 @@
 // encode returns the PUBLISH packet of the answer of p.
 func (s *session) encode(p *pending, qos byte, dup bool) []byte {
 	n := Note{Answer: p.answer.Verdict.String(), PacketID: p.packetID,
-		RetryAfterMS: int64(math.Ceil(float64(p.answer.After) / float64(time.Millisecond)))}
+		RetryAfterMS: int64(math.Ceil(float64(p.answer.RetryAfter) / float64(time.Millisecond)))}
 	payload, _ := json.Marshal(n) // cannot fail for these field types
 	out := mqtt.Publish{Topic: p.topic, QoS: qos, ID: p.sentID, Dup: dup, Payload: payload}
 	if s.version == mqtt.V5 {
--- a/internal/mqttfront/handin.go
+++ b/internal/mqttfront/handin.go
@@ -140,7 +140,7 @@
 		m.Identity = fl.identity
 	}
 	if f.opt.Keeper != nil {
-		m.Front, m.Way = Name, added.returnPath(fl.qos)
+		m.Front, m.ReturnPath = Name, added.returnPath(fl.qos)
 	}
 	s.addPending(added)
 	if err := f.opt.Door.Submit(m); err != nil {
--- a/internal/mqttfront/repeat_test.go
+++ b/internal/mqttfront/repeat_test.go
@@ -35,7 +35,7 @@
 func (d *fakeCore) answer(v ledger.Verdict) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.received[len(d.received)-1].Reply.Answer(ledger.Answer{Verdict: v, After: 10 * time.Millisecond})
+	d.received[len(d.received)-1].Reply.Answer(ledger.Answer{Verdict: v, RetryAfter: 10 * time.Millisecond})
 }
 
 // receivedAnswer is an answer that the client received, with the packet id of its PUBLISH.
--- /dev/null
+++ b/internal/partner/attribution.go
@@ -0,0 +1,305 @@
+package partner
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"slices"
+	"time"
+
+	"basaltcross.example/basaltcross/internal/lifecycle"
+)
+
+// beginCall records that k goes out on the connection, and traces it. The caller holds cn.mu.
+func (cn *conn) beginCall(k *call) {
+	c := cn.pool.caller
+	rested := cn.state.Begin(c.now())
+	if c.opt.Trace == nil {
+		return
+	}
+	with := cn.label() + " rested " + rested.Round(time.Microsecond).String()
+	for _, name := range k.messageNames() {
+		c.opt.Trace.Step(name, "call", with)
+	}
+}
+
+// attribute decides how certain it is that the response just read answers k. followed reports
+// whether more bytes were received behind it. The caller holds cn.mu.
+func (cn *conn) attribute(k *call, followed bool) lifecycle.Belief {
+	conduct := &cn.pool.caller.conduct
+	if conduct.Off {
+		return lifecycle.Own
+	}
+	names, foreign := cn.resp.matchMessages(k)
+	belief := cn.state.Believe(lifecycle.PeerAnswer{Written: cn.allSent(), Names: names, Foreign: foreign,
+		Followed: followed, FirstOnly: cn.firstCallOnly()})
+	switch belief {
+	case lifecycle.Nobodys:
+		breach := lifecycle.AnswerEarly
+		if foreign {
+			breach = lifecycle.AnswerForeign
+		}
+		cn.reportBreach(breach, k)
+	case lifecycle.Doubtful:
+		cn.reportBreach(lifecycle.AnswerDoubtful, k)
+	case lifecycle.Own, lifecycle.Likely:
+	}
+	return belief
+}
+
+// attributeLast is attribute for a response after which no further one can follow. The caller holds
+// cn.mu.
+func (cn *conn) attributeLast(k *call) lifecycle.Belief {
+	belief := cn.attribute(k, false)
+	if belief == lifecycle.Nobodys && cn.allSent() {
+		return lifecycle.Doubtful
+	}
+	return belief
+}
+
+// allSent reports whether all bytes of the calls so far have been written to the socket.
+func (cn *conn) allSent() bool { return cn.sent.Load() >= cn.queued.Load() }
+
+// firstCallOnly reports whether the peer's conduct limits its connections to one call each.
+func (cn *conn) firstCallOnly() bool {
+	c := cn.pool.caller
+	return c.conduct.Rule(c.now(), cn.host, cn.pool.partner, lifecycle.Repeats).FirstOnly
+}
+
+// attribution is how certain it is that a response answers its call, how long anything that depends
+// on it has to wait, and how long it may still turn out to answer another call.
+type attribution struct {
+	belief          lifecycle.Belief
+	wait, unsettled time.Duration
+}
+
+// recordAnswer records that k was answered. The caller holds cn.mu.
+func (cn *conn) recordAnswer(k *call, belief lifecycle.Belief) attribution {
+	c := cn.pool.caller
+	now := c.now()
+	if belief == lifecycle.Own || belief == lifecycle.Likely {
+		c.conduct.Took(now, cn.host, now-k.writtenAt)
+	}
+	served := len(k.Items) == 0 && cn.resp.firstStatus >= http.StatusOK &&
+		cn.resp.firstStatus < http.StatusMultipleChoices
+	doubted := func() {
+		cn.reportBreach(lifecycle.AnswerRetracted, k)
+		if k.Retract != nil {
+			k.Retract()
+		}
+	}
+	wait, unsettled := cn.state.Answered(now, c.conduct.Usual(cn.host), belief, served, doubted)
+	return attribution{belief, wait, unsettled}
+}
+
+// unsolicited handles bytes that no call asked for: it closes the connection, distrusts the peer,
+// and retracts the last answers on the connection. A wait that the bytes announce is applied: they
+// may be the real answer to a call that was ended by a duplicate of an earlier answer.
+func (cn *conn) unsolicited(b []byte) {
+	c := cn.pool.caller
+	if wait := c.longestWaitIn(b); wait > 0 && c.opt.UnsolicitedWait != nil {
+		c.opt.UnsolicitedWait(cn.host, cn.pool.partner, wait)
+	}
+	cn.mu.Lock()
+	if cn.state.Phase() == lifecycle.PeerDoubted {
+		cn.mu.Unlock()
+		return
+	}
+	now := c.now()
+	doubted, late := cn.state.Strayed(now)
+	cn.mu.Unlock()
+	cn.reportBreach(lifecycle.BytesUnasked, nil)
+	_ = cn.sock.Close()
+	if !c.conduct.Off {
+		cn.distrust(now, late, doubted)
+	}
+}
+
+// longestWaitIn returns the longest wait announced by the complete responses in b.
+func (c *Caller) longestWaitIn(b []byte) (longest time.Duration) {
+	now := time.Now()
+	for len(b) > 0 {
+		r := response{}
+		r.reset(c.opt.Limits)
+		r.hook = c.opt.Hook != nil
+		rest, err := r.feed(b)
+		if err != nil || !r.Done() {
+			return longest
+		}
+		wait := parseWaitMs(r.wait)
+		if c.opt.Hook == nil && (r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable) {
+			wait, _ = retryWait(r.retryAfter, now)
+		}
+		longest, b = max(longest, wait), rest
+	}
+	return longest
+}
+
+// rememberServed keeps the answers of a closed connection that reported success. The peer may not
+// have sent anything after them, so the connection did not show whether they answered their own
+// calls.
+func (p *pool) rememberServed(now time.Duration, all []func()) {
+	p.servedMu.Lock()
+	defer p.servedMu.Unlock()
+	for _, doubted := range all {
+		p.served = append(p.served, servedAnswer{now, doubted})
+	}
+	old := 0
+	for old < len(p.served) && (now-p.served[old].at > lifecycle.LongestDoubt ||
+		len(p.served)-old > maxServedAnswers) {
+		old++
+	}
+	p.served = p.served[old:]
+}
+
+// takeServed removes and returns the recent answers that rememberServed kept.
+func (p *pool) takeServed(now time.Duration) (doubted []func()) {
+	p.servedMu.Lock()
+	defer p.servedMu.Unlock()
+	for _, a := range p.served {
+		if now-a.at <= lifecycle.LongestDoubt {
+			doubted = append(doubted, a.doubted)
+		}
+	}
+	p.served = nil
+	return doubted
+}
+
+// distrust records that the peer sent bytes that no call asked for, and how late after the last
+// answer. It retracts the answers on this connection and on the peer's other connections, or those
+// of all peers if the fault is not one peer's alone.
+func (cn *conn) distrust(now, late time.Duration, doubted []func()) {
+	c := cn.pool.caller
+	pools := []*pool{cn.pool}
+	if c.conduct.Saw(now, cn.host, cn.pool.partner, late) {
+		pools = c.allPools()
+	}
+	for _, p := range pools {
+		doubted = append(doubted, p.closeUsedIdle(now)...)
+	}
+	notifyAll(doubted)
+}
+
+// closeUsedIdle closes the idle connections that have carried a call. It returns the callbacks for
+// the doubtful answers on them and on recently closed connections.
+func (p *pool) closeUsedIdle(now time.Duration) []func() {
+	doubted := p.takeServed(now)
+	for _, cn := range p.removeIdle((*conn).used) {
+		cn.mu.Lock()
+		doubted = append(doubted, cn.state.Retract(now)...)
+		cn.mu.Unlock()
+		_ = cn.sock.Close()
+	}
+	return doubted
+}
+
+// closeWhenSettled closes a connection that is not needed any more, once its last answer is
+// settled.
+func (cn *conn) closeWhenSettled() {
+	cn.mu.Lock()
+	after := cn.state.Unsettled(cn.pool.caller.now())
+	cn.mu.Unlock()
+	if after > 0 && !cn.pool.caller.conduct.Off {
+		time.AfterFunc(after, func() { _ = cn.sock.Close() })
+		return
+	}
+	_ = cn.sock.Close()
+}
+
+func closeAllWhenSettled(conns []*conn) {
+	for _, cn := range conns {
+		cn.closeWhenSettled()
+	}
+}
+
+// closedByPeer closes a connection that was found to be closed by the peer.
+func (cn *conn) closedByPeer() {
+	cn.mu.Lock()
+	doubted := cn.state.Broke(cn.pool.caller.now())
+	cn.mu.Unlock()
+	_ = cn.sock.Close()
+	if !cn.pool.caller.conduct.Off {
+		notifyAll(doubted)
+	}
+}
+
+// doubtedAtClose returns the callbacks for the answers that the end of the connection makes
+// doubtful. If this side closed it, the pool remembers the other answers. The caller holds cn.mu.
+func (cn *conn) doubtedAtClose() []func() {
+	now := cn.pool.caller.now()
+	switch {
+	case cn.state.Turn() < 2 || cn.pool.caller.conduct.Off:
+		return nil
+	case cn.firstCallOnly():
+		return cn.state.Retract(now)
+	case cn.sock.EndedByPeer():
+		return cn.state.Broke(now)
+	}
+	cn.pool.rememberServed(now, cn.state.Left())
+	return nil
+}
+
+func notifyAll(doubted []func()) {
+	for _, notify := range doubted {
+		notify()
+	}
+}
+
+// used reports whether the connection has carried a call.
+func (cn *conn) used() bool {
+	cn.mu.Lock()
+	defer cn.mu.Unlock()
+	return cn.state.Turn() > 0
+}
+
+// label names the connection and the turn on it, which is the number of its last call.
+func (cn *conn) label() string { return fmt.Sprintf("%d turn %d", cn.number, cn.state.Turn()) }
+
+func (cn *conn) reportBreach(breach lifecycle.PeerBreach, k *call) {
+	r := lifecycle.PeerRefusal{Breach: breach, Peer: cn.host, Connection: cn.number, Turn: cn.state.Turn()}
+	if k != nil {
+		r.Message = k.messageNames()[0]
+	}
+	cn.pool.caller.conduct.Refuse(r)
+}
+
+// messageNames returns the names of the messages in the call.
+func (k *call) messageNames() []string {
+	if len(k.Items) == 0 {
+		return []string{k.Identity}
+	}
+	all := make([]string, len(k.Items))
+	for i, m := range k.Items {
+		all[i] = m.Identity
+	}
+	return all
+}
+
+// bears returns whether the messages of the call may be repeated.
+func (k *call) bears() lifecycle.Bears {
+	if k.NoDuplicates {
+		return lifecycle.Once
+	}
+	return lifecycle.Repeats
+}
+
+// matchMessages reports whether a response names the messages of the call, all of them and no
+// others; foreign reports whether it names any other.
+func (r *response) matchMessages(k *call) (matches, foreign bool) {
+	if !r.hook || !r.Done() || r.status != http.StatusOK {
+		return false, false
+	}
+	var ends []struct {
+		ID string `json:"id"`
+	}
+	if json.Unmarshal(r.content, &ends) != nil || len(ends) == 0 {
+		return false, false
+	}
+	own := k.messageNames()
+	for _, end := range ends {
+		if !slices.Contains(own, end.ID) {
+			return false, end.ID != ""
+		}
+	}
+	return len(ends) == len(own), false
+}
--- a/internal/webpush/push.go
+++ b/internal/webpush/push.go
@@ -135,7 +135,7 @@
 	}
 	m.Left = min(time.Duration(seconds)*time.Second, f.opt.Names.Lives[class])
 	if seconds == 0 { // deliver at once or not at all (5.2)
-		m.Now, m.Left = true, f.opt.Names.Lives[class]
+		m.Immediate, m.Left = true, f.opt.Names.Lives[class]
 	}
 	switch u := q.header("Urgency"); u {
 	case "", "very-low", "low", "normal", "high":
@@ -196,13 +196,13 @@
 	// A message without Idempotency-Key gets a random identity that no other POST can repeat,
 	// so that it can be withdrawn.
 	p := &push{id: rand.Text(), owner: sender.Key, ttl: m.Left}
-	if m.Now {
+	if m.Immediate {
 		p.ttl = 0
 	}
 	if idempotencyKey != "" {
 		p.identity = front.Identity('w', sender.Key, sender.Subject, idempotencyKey)
 		if old := f.byIdentity[p.identity]; old != nil && (old.answer.Verdict != ledger.Refused ||
-			now.Before(old.endedAt.Add(old.answer.After))) {
+			now.Before(old.endedAt.Add(old.answer.RetryAfter))) {
 			f.answerRepeat(old, async, respond)
 			return
 		}
@@ -234,7 +234,7 @@
 	}
 	m.Identity, m.Reply = p.identity, front.Reply[*push]{Box: f.outbox, To: p}
 	if f.opt.Keeper != nil {
-		m.Front, m.Way = Name, p.returnPath()
+		m.Front, m.ReturnPath = Name, p.returnPath()
 	}
 	p.waitingPosts = append(p.waitingPosts, func(err error) { respond(f.postResponse(p, async, err)) })
 	if err := f.opt.Door.Submit(&m); err != nil {
@@ -420,7 +420,7 @@
 				receipt{Message: "/message/" + p.id, Status: http.StatusAccepted, Answer: "none"}))
 			return
 		}
-		respond(withRetryAfter(jsonResponse(http.StatusOK, receiptOf(p)), p.answer.After))
+		respond(withRetryAfter(jsonResponse(http.StatusOK, receiptOf(p)), p.answer.RetryAfter))
 	}
 	if wait := f.pollWait(q); wait > 0 && p.answer.Verdict == 0 {
 		f.startPoll(&p.longPolls, wait, answer)
--- a/internal/webpush/repeat_test.go
+++ b/internal/webpush/repeat_test.go
@@ -93,7 +93,7 @@
 
 // answer gives the final answer of the newest hand-in.
 func (b *fixture) answer(v ledger.Verdict, after time.Duration) {
-	b.reply(front.Said[*push]{Answer: ledger.Answer{Verdict: v, After: after}})
+	b.reply(front.Said[*push]{Answer: ledger.Answer{Verdict: v, RetryAfter: after}})
 }
 
 // receipts fetches the receipts of a subscription and returns their answers. The query
