--- a/cmd/basaltcross/keys.go
+++ b/cmd/basaltcross/keys.go
@@ -15,7 +15,7 @@
 	c := &cobra.Command{Use: "keys", Short: "Make VAPID pairs and a test authority"}
 	vapid := &cobra.Command{Use: "vapid", Short: "Print a VAPID key pair (RFC 8292)", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			public, private, err := keys.VAPID()
+			public, private, err := keys.NewVAPIDKeys()
 			if err == nil {
 				_, err = fmt.Fprintf(c.OutOrStdout(), "public  %s\nprivate %s\n", public, private)
 			}
--- a/internal/badday/crash.go
+++ b/internal/badday/crash.go
@@ -203,7 +203,7 @@
 	if _, _, err := authority.Issue(dir, "server", time.Now().Add(-time.Minute), time.Now().Add(time.Hour), "127.0.0.1"); err != nil {
 		return nil, err
 	}
-	trust := &tls.Config{RootCAs: authority.Pool()}
+	trust := &tls.Config{RootCAs: authority.CertPool()}
 	addr, origin := fmt.Sprintf("127.0.0.1:%d", port), fmt.Sprintf("https://127.0.0.1:%d", pushPort)
 	config := filepath.Join(dir, "relay.cue")
 	text := fmt.Sprintf(`relay: {name: "crash", workers: 64, held: 2000, shutdown: "1s", maxRetryAfter: "2s"}
--- a/internal/badday/day.go
+++ b/internal/badday/day.go
@@ -410,7 +410,7 @@
 	if err != nil {
 		return err
 	}
-	d.trust = &tls.Config{RootCAs: a.Pool()}
+	d.trust = &tls.Config{RootCAs: a.CertPool()}
 	_, _, err = a.Issue(d.dir, "server", time.Now().Add(-time.Minute), time.Now().Add(time.Hour), "127.0.0.1")
 	return err
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -121,7 +121,7 @@
 	c := &Client{conn: conn, lost: make(chan struct{})}
 	cfg := paho.ClientConfig{ClientID: o.ID, Conn: conn, PacketTimeout: 30 * time.Second,
 		OnPublishReceived: []func(paho.PublishReceived) (bool, error){func(p paho.PublishReceived) (bool, error) {
-			var n mqttfront.Note
+			var n mqttfront.AnswerPayload
 			if err := json.Unmarshal(p.Packet.Payload, &n); err != nil {
 				return false, err
 			}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -27,9 +27,9 @@
 	"time"
 )
 
-// Ring holds the certificates and authorities of a program and reloads their files
+// Store holds the certificates and authorities of a program and reloads their files
 // when they change.
-type Ring struct {
+type Store struct {
 	// Report, if set, is called when a certificate was first loaded, and after each
 	// attempt to reload a file: with the expiry of the certificate in use (zero for a
 	// file of authorities) and the error if the file was rejected. After an error the
@@ -37,20 +37,20 @@
 	Report func(file string, expires time.Time, err error)
 
 	mu    sync.Mutex
-	pairs []*Pair
-	pools []*Pool
+	pairs []*KeyPair
+	pools []*CAPool
 }
 
-// Pair is a certificate with its private key.
-type Pair struct {
+// KeyPair is a certificate with its private key.
+type KeyPair struct {
 	CertFile, KeyFile string
 	cert              atomic.Pointer[tls.Certificate]
 	versions          [2]fileVersion // of CertFile and KeyFile, when last loaded
 	statErrorReported bool           // the current failure to stat a file was reported
 }
 
-// Pool is a file of certificate authorities.
-type Pool struct {
+// CAPool is a file of certificate authorities.
+type CAPool struct {
 	File    string
 	pool    atomic.Pointer[x509.CertPool]
 	version fileVersion
@@ -78,10 +78,10 @@
 	return s.size == o.size && s.at.Equal(o.at) && s.node != nil && o.node != nil && os.SameFile(s.node, o.node)
 }
 
-// Pair loads a certificate and its private key, once for each pair of files. It is
+// LoadPair loads a certificate and its private key, once for each pair of files. It is
 // an error if they do not match, if the certificate is not valid now, or if the key
 // file's mode grants any access to others.
-func (r *Ring) Pair(certFile, keyFile string) (*Pair, error) {
+func (r *Store) LoadPair(certFile, keyFile string) (*KeyPair, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pairs {
@@ -89,7 +89,7 @@
 			return p, nil
 		}
 	}
-	p := &Pair{CertFile: certFile, KeyFile: keyFile}
+	p := &KeyPair{CertFile: certFile, KeyFile: keyFile}
 	if err := p.load(time.Now()); err != nil {
 		return nil, err
 	}
@@ -98,11 +98,11 @@
 	return p, nil
 }
 
-// Pool loads a file of certificate authorities.
-func (r *Ring) Pool(file string) (*Pool, error) {
+// LoadPool loads a file of certificate authorities.
+func (r *Store) LoadPool(file string) (*CAPool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := &Pool{File: file}
+	p := &CAPool{File: file}
 	if err := p.load(); err != nil {
 		return nil, err
 	}
@@ -110,24 +110,24 @@
 	return p, nil
 }
 
-func (r *Ring) report(file string, expires time.Time, err error) {
+func (r *Store) report(file string, expires time.Time, err error) {
 	if r.Report != nil {
 		r.Report(file, expires, err)
 	}
 }
 
 // Cert returns the certificate in use.
-func (p *Pair) Cert() *tls.Certificate { return p.cert.Load() }
+func (p *KeyPair) Cert() *tls.Certificate { return p.cert.Load() }
 
 // Expires returns when the certificate in use expires.
-func (p *Pair) Expires() time.Time { return p.Cert().Leaf.NotAfter }
+func (p *KeyPair) Expires() time.Time { return p.Cert().Leaf.NotAfter }
 
-// Pool returns the set of authorities in use.
-func (p *Pool) Pool() *x509.CertPool { return p.pool.Load() }
+// CertPool returns the set of authorities in use.
+func (p *CAPool) CertPool() *x509.CertPool { return p.pool.Load() }
 
 // load reads, checks and puts into use the certificate and key; after an error the
 // previous ones stay in use.
-func (p *Pair) load(now time.Time) error {
+func (p *KeyPair) load(now time.Time) error {
 	st, err := os.Stat(p.KeyFile)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func (p *Pool) load() error {
+func (p *CAPool) load() error {
 	text, err := os.ReadFile(p.File)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
@@ -177,7 +177,7 @@
 // Run reloads files that change until ctx ends. Established connections keep the
 // certificate that they were opened with. A file that cannot be loaded is reported
 // once and tried again when it changes; until then the old content stays in use.
-func (r *Ring) Run(ctx context.Context) {
+func (r *Store) Run(ctx context.Context) {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
@@ -185,14 +185,14 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			r.Look(now)
+			r.ReloadChanged(now)
 		}
 	}
 }
 
-// Look checks all files once and reloads those that have changed since they were
+// ReloadChanged checks all files once and reloads those that have changed since they were
 // last loaded.
-func (r *Ring) Look(now time.Time) {
+func (r *Store) ReloadChanged(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pairs {
@@ -226,7 +226,7 @@
 // Server returns a server configuration, of TLS 1.2 or later, that presents the
 // pair's certificate in use. If clients is not nil, client certificates are verified
 // against its authorities in use, and required if require is set.
-func Server(p *Pair, clients *Pool, require bool, protocols ...string) *tls.Config {
+func Server(p *KeyPair, clients *CAPool, require bool, protocols ...string) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: protocols,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.Cert(), nil }}
 	if clients == nil {
@@ -236,13 +236,13 @@
 	if require {
 		base.ClientAuth = tls.RequireAndVerifyClientCert
 	}
-	base.ClientCAs = clients.Pool()
+	base.ClientCAs = clients.CertPool()
 	var mu sync.Mutex
 	now := base
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		if pool := clients.Pool(); now.ClientCAs != pool {
+		if pool := clients.CertPool(); now.ClientCAs != pool {
 			// A new Config, so that session tickets issued under the old authorities are void.
 			now = base.Clone()
 			now.ClientCAs = pool
@@ -255,13 +255,13 @@
 // Client returns a function that makes the client configuration of a connection, of
 // TLS 1.2 or later: with the authorities in ca (nil for the system's), the client
 // certificate in own (nil for none), and a shared cache of sessions to resume.
-func Client(ca *Pool, own *Pair, name string) func() *tls.Config {
+func Client(ca *CAPool, own *KeyPair, name string) func() *tls.Config {
 	cache := tls.NewLRUClientSessionCache(64)
 	return func() *tls.Config {
 		c := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: name, ClientSessionCache: cache,
 			NextProtos: []string{"http/1.1"}}
 		if ca != nil {
-			c.RootCAs = ca.Pool()
+			c.RootCAs = ca.CertPool()
 		}
 		if own != nil {
 			c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -304,8 +304,8 @@
 	return n
 }
 
-// Pool returns a set that holds only this authority.
-func (a *Authority) Pool() *x509.CertPool {
+// CertPool returns a set that holds only this authority.
+func (a *Authority) CertPool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.cert)
 	return p
@@ -368,9 +368,9 @@
 	return os.Rename(tmp, file)
 }
 
-// VAPID generates a key pair for an application server (RFC 8292). public is the
+// NewVAPIDKeys generates a key pair for an application server (RFC 8292). public is the
 // uncompressed point and private the scalar, both in base64url without padding.
-func VAPID() (public, private string, err error) {
+func NewVAPIDKeys() (public, private string, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return "", "", err
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -190,7 +190,7 @@
 		return nil, err
 	}
 	c := &mqttConn{conn: conn, wake: make(chan struct{}, 1), waiting: map[uint64]func(bool){}}
-	b := mqtt.AppendConnect(nil, &mqtt.Connect{Version: mqtt.V5, Clean: true, ClientID: id,
+	b := mqtt.AppendConnect(nil, &mqtt.Connect{Version: mqtt.V5, CleanStart: true, ClientID: id,
 		Props: mqtt.Props{SessionExpiry: 60}})
 	b = mqtt.AppendSubscribe(b, mqtt.V5, 1, mqtt.Filter{Topic: "answers/" + id, QoS: 0})
 	if _, err := conn.Write(b); err != nil {
@@ -275,7 +275,7 @@
 			case mqtt.PUBLISH:
 				p, err := mqtt.ParsePublish(mqtt.V5, first, body)
 				if err == nil && len(p.Props.Correlation) == 8 {
-					c.answer(binary.BigEndian.Uint64(p.Props.Correlation), p.Props.Get("answer") == "delivered")
+					c.answer(binary.BigEndian.Uint64(p.Props.Correlation), p.Props.UserValue("answer") == "delivered")
 				}
 			case mqtt.PUBACK: // taken, or turned away: then no answer follows
 				if a, err := mqtt.ParseAck(mqtt.V5, first, body); err == nil && a.Code >= 0x80 {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -177,7 +177,7 @@
 	if _, _, err := authority.Issue(dir, "server", time.Now().Add(-time.Minute), time.Now().Add(time.Hour), "127.0.0.1"); err != nil {
 		return nil, err
 	}
-	trust := &tls.Config{RootCAs: authority.Pool()}
+	trust := &tls.Config{RootCAs: authority.CertPool()}
 	if err := o.config(dir, "relay.cue", true, host.addrs); err != nil {
 		return nil, err
 	}
--- a/internal/mqtt/encode.go
+++ b/internal/mqtt/encode.go
@@ -81,9 +81,9 @@
 	return b
 }
 
-// Offers returns the CONNACK properties that declare retained messages, wildcard
+// UnsupportedFeatures returns the CONNACK properties that declare retained messages, wildcard
 // and shared subscriptions and subscription identifiers as unavailable.
-func Offers() Props {
+func UnsupportedFeatures() Props {
 	return Props{set: 1<<pRetainAvailable | 1<<pWildcard | 1<<pSubIDs | 1<<pShared}
 }
 
@@ -109,7 +109,7 @@
 // AppendConnect appends a CONNECT. It does not write a will.
 func AppendConnect(b []byte, c *Connect) []byte {
 	flags := byte(0)
-	if c.Clean {
+	if c.CleanStart {
 		flags |= 2
 	}
 	if c.HasUser {
--- a/internal/mqtt/mqtt_test.go
+++ b/internal/mqtt/mqtt_test.go
@@ -10,7 +10,7 @@
 // decodes to the same fields.
 func FuzzPackets(f *testing.F) {
 	f.Add(AppendConnect(nil, &Connect{Version: V5, ClientID: "c", KeepAlive: 5, HasUser: true, User: "u",
-		Password: []byte("p"), Props: Props{SessionExpiry: 9, ReceiveMaximum: 3, User: []Pair{{"a", "b"}}}}))
+		Password: []byte("p"), Props: Props{SessionExpiry: 9, ReceiveMaximum: 3, User: []UserProperty{{"a", "b"}}}}))
 	f.Add(AppendPublish(nil, V5, &Publish{QoS: 1, ID: 7, Topic: "send/a/b", Payload: []byte("x"),
 		Props: Props{Correlation: []byte{1}, ResponseTopic: "r", MessageExpiry: 4, Alias: 2}}))
 	f.Add(AppendPublish(nil, V311, &Publish{QoS: 2, ID: 7, Topic: "t", Dup: true}))
--- a/internal/mqtt/packet.go
+++ b/internal/mqtt/packet.go
@@ -242,8 +242,8 @@
 	pShared          = 0x2A
 )
 
-// Pair is one User Property.
-type Pair struct{ Name, Value string }
+// UserProperty is one User Property.
+type UserProperty struct{ Name, Value string }
 
 // Props holds the properties of a packet. Has tells a property that is absent from
 // one that is present with the value zero.
@@ -274,7 +274,7 @@
 	MaximumPacket    uint32
 	Wildcard, SubIDs byte
 	Shared           byte
-	User             []Pair
+	User             []UserProperty
 }
 
 // maxUserProps is the largest number of user properties in one packet.
@@ -313,8 +313,8 @@
 func (p *Props) HasAlias() bool          { return p.Has(pAlias) }
 func (p *Props) HasAuth() bool           { return p.Has(pAuthMethod) }
 
-// Get returns the value of the first user property called name, or "".
-func (p *Props) Get(name string) string {
+// UserValue returns the value of the first user property called name, or "".
+func (p *Props) UserValue(name string) string {
 	for _, u := range p.User {
 		if u.Name == name {
 			return u.Value
@@ -423,7 +423,7 @@
 	case pRetainAvailable:
 		p.RetainAvailable = r.flag("Retain Available")
 	case pUser:
-		u := Pair{r.string("User Property"), r.string("User Property")}
+		u := UserProperty{r.string("User Property"), r.string("User Property")}
 		if p.User = append(p.User, u); len(p.User) > maxUserProps {
 			r.fail(errorf(QuotaExceeded, "over %d user properties", maxUserProps))
 		}
@@ -462,15 +462,15 @@
 
 // Connect is a CONNECT packet (3.1).
 type Connect struct {
-	Version   byte
-	Clean     bool   // Clean Start; Clean Session in 3.1.1
-	KeepAlive uint16 // seconds, 0 for none
-	ClientID  string
-	Will      *Will
-	HasUser   bool
-	User      string
-	Password  []byte
-	Props     Props
+	Version    byte
+	CleanStart bool   // Clean Start; Clean Session in 3.1.1
+	KeepAlive  uint16 // seconds, 0 for none
+	ClientID   string
+	Will       *Will
+	HasUser    bool
+	User       string
+	Password   []byte
+	Props      Props
 }
 
 // ParseConnect decodes the body of a CONNECT packet. For an unsupported protocol
@@ -494,7 +494,7 @@
 	if flags&1 != 0 {
 		return c, malformed("reserved connect flag is set")
 	}
-	c.Clean = flags&2 != 0
+	c.CleanStart = flags&2 != 0
 	if c.Version == V5 {
 		c.Props = r.props(CONNECT)
 		if r.err == nil && c.Props.Has(pAuthData) && !c.Props.HasAuth() {
@@ -694,15 +694,15 @@
 
 // Connack is a CONNACK packet (3.2).
 type Connack struct {
-	Present bool // Session Present
-	Code    byte
-	Props   Props
+	SessionPresent bool // Session Present
+	Code           byte
+	Props          Props
 }
 
 // ParseConnack decodes the body of a CONNACK packet.
 func ParseConnack(version byte, body []byte) (Connack, *Error) {
 	r := reader{b: body}
-	a := Connack{Present: r.byte("acknowledge flags")&1 != 0, Code: r.byte("reason code")}
+	a := Connack{SessionPresent: r.byte("acknowledge flags")&1 != 0, Code: r.byte("reason code")}
 	if version == V5 {
 		a.Props = r.props(CONNACK)
 	}
--- a/internal/mqttfront/answers.go
+++ b/internal/mqttfront/answers.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Note is the JSON payload of an answer.
-type Note struct {
+// AnswerPayload is the JSON payload of an answer.
+type AnswerPayload struct {
 	Answer       string `json:"answer"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	PacketID     uint16 `json:"packet_id,omitempty"`
@@ -122,16 +122,16 @@
 
 // encode returns the PUBLISH packet of the answer of p.
 func (s *session) encode(p *pending, qos byte, dup bool) []byte {
-	n := Note{Answer: p.answer.Verdict.String(), PacketID: p.packetID,
+	n := AnswerPayload{Answer: p.answer.Verdict.String(), PacketID: p.packetID,
 		RetryAfterMS: int64(math.Ceil(float64(p.answer.RetryAfter) / float64(time.Millisecond)))}
 	payload, _ := json.Marshal(n) // cannot fail for these field types
 	out := mqtt.Publish{Topic: p.topic, QoS: qos, ID: p.sentID, Dup: dup, Payload: payload}
 	if s.version == mqtt.V5 {
 		out.Props = mqtt.Props{PayloadFormat: 1, ContentType: "application/json", Correlation: p.correlation,
-			User: []mqtt.Pair{{Name: "answer", Value: n.Answer}}}
+			User: []mqtt.UserProperty{{Name: "answer", Value: n.Answer}}}
 		if n.RetryAfterMS > 0 {
 			out.Props.User = append(out.Props.User,
-				mqtt.Pair{Name: "retry-after-ms", Value: strconv.FormatInt(n.RetryAfterMS, 10)})
+				mqtt.UserProperty{Name: "retry-after-ms", Value: strconv.FormatInt(n.RetryAfterMS, 10)})
 		}
 	}
 	return mqtt.AppendPublish(nil, s.version, &out)
--- a/internal/mqttfront/conn.go
+++ b/internal/mqttfront/conn.go
@@ -375,7 +375,7 @@
 		return &mqtt.Error{Code: mqtt.BadAuthMethod, Text: "enhanced authentication is not offered"}
 	}
 	if in.ClientID == "" {
-		if in.Version == mqtt.V311 && !in.Clean {
+		if in.Version == mqtt.V311 && !in.CleanStart {
 			return &mqtt.Error{Code: mqtt.BadIdentifier, Text: "an empty client identifier needs a clean session"}
 		}
 		in.Props.AssignedID = "auto-" + rand.Text()
@@ -446,7 +446,7 @@
 func (c *conn) admit(in *mqtt.Connect) *mqtt.Error {
 	f := c.front
 	keep := time.Duration(in.KeepAlive) * time.Second
-	ack := mqtt.Offers()
+	ack := mqtt.UnsupportedFeatures()
 	if in.Version == mqtt.V5 && f.opt.KeepAlive > 0 && (keep == 0 || keep > f.opt.KeepAlive) {
 		keep = f.opt.KeepAlive
 		ack.ServerKeepAlive = uint16(min(keep/time.Second, 65535))
@@ -458,7 +458,7 @@
 		if time.Duration(in.Props.SessionExpiry)*time.Second != expiry {
 			ack.SessionExpiry = uint32(expiry / time.Second)
 		}
-	case !in.Clean:
+	case !in.CleanStart:
 		expiry = f.opt.SessionExpiry
 	}
 	f.mu.Lock()
@@ -481,7 +481,7 @@
 	if s != nil {
 		s.mu.Lock()
 		previous, will = s.conn, s.will
-		if s.conn == nil && !time.Now().Before(s.disconnectedAt.Add(s.expiry)) || in.Clean {
+		if s.conn == nil && !time.Now().Before(s.disconnectedAt.Add(s.expiry)) || in.CleanStart {
 			s.removed, s.conn = true, nil
 			s.scheduleExpiry()
 			s.mu.Unlock()
--- a/internal/mqttfront/front.go
+++ b/internal/mqttfront/front.go
@@ -47,7 +47,7 @@
 	Listen         []string // addresses to listen on without TLS
 	TLSListen      []string // addresses to listen on with TLS
 	TLS            *tls.Config
-	Slots          secure.Slots
+	HandshakeSlots secure.HandshakeSlots
 	Names          front.Names
 	Body           int               // largest payload, in bytes
 	Connections    int               // at this limit new ones are closed at once
@@ -55,7 +55,7 @@
 	ReceiveMaximum int               // per connection, as announced to the client
 	TopicAliases   int               // Topic Alias Maximum, per connection
 	Pending        int               // unacknowledged answers of a session; at this limit hand-ins are rejected
-	Partial        int64             // bytes of partially received packets
+	PartialBytes   int64             // bytes of partially received packets
 	SessionExpiry  time.Duration     // longest Session Expiry Interval granted
 	KeepAlive      time.Duration     // longest keep-alive interval granted; MQTT 5.0 only
 	Handshake      time.Duration     // time limit until CONNECT is accepted, and to complete a packet
@@ -64,9 +64,9 @@
 	Door           front.Door
 	Observer       Observer
 	Keeper         front.Keeper // stores sessions and answers for a restart; nil for none
-	// Before, if set, is called once before the front listens, to restore the sessions
+	// BeforeListen, if set, is called once before the front listens, to restore the sessions
 	// and messages of an earlier run.
-	Before func(*Front)
+	BeforeListen func(*Front)
 }
 
 // Front is an MQTT server.
@@ -99,7 +99,7 @@
 	maxAuthWaiting   = 256      // connections that wait for their password check
 )
 
-// New restores earlier sessions by Options.Before, opens the listeners and starts the
+// New restores earlier sessions by Options.BeforeListen, opens the listeners and starts the
 // front.
 func New(opt Options) (*Front, error) {
 	f := &Front{opt: opt, max: opt.Body + packetOverhead, startedAt: time.Now().UnixNano(),
@@ -109,8 +109,8 @@
 	if _, err := rand.Read(f.auth.salt[:]); err != nil {
 		return nil, fmt.Errorf("mqtt: %w", err)
 	}
-	if opt.Before != nil {
-		opt.Before(f)
+	if opt.BeforeListen != nil {
+		opt.BeforeListen(f)
 	}
 	for i, addrs := range [][]string{opt.Listen, opt.TLSListen} {
 		if len(addrs) == 0 {
@@ -206,7 +206,7 @@
 		return nil
 	}
 	if secured {
-		c.sec = secure.Server(nb, f.opt.TLS, f.opt.Slots, f.opt.Handshake, c.handshakeDone)
+		c.sec = secure.Server(nb, f.opt.TLS, f.opt.HandshakeSlots, f.opt.Handshake, c.handshakeDone)
 		c.out = c.sec
 	}
 	return c
@@ -279,10 +279,10 @@
 }
 
 // reserve adds n, which may be negative, to the bytes of partially received packets of
-// c. Over Options.Partial it closes the connection that holds most of them.
+// c. Over Options.PartialBytes it closes the connection that holds most of them.
 func (f *Front) reserve(c *conn, n int) {
 	c.partialBytes.Add(int64(n))
-	if f.partialTotal.Add(int64(n)) <= f.opt.Partial || n <= 0 {
+	if f.partialTotal.Add(int64(n)) <= f.opt.PartialBytes || n <= 0 {
 		return
 	}
 	for {
--- a/internal/mqttfront/front_test.go
+++ b/internal/mqttfront/front_test.go
@@ -62,7 +62,7 @@
 func start(t *testing.T, d *fakeCore, change func(*Options)) string {
 	t.Helper()
 	o := Options{Listen: []string{"127.0.0.1:0"}, Body: 4096, Connections: 100, Sessions: 100, ReceiveMaximum: 4,
-		TopicAliases: 2, Pending: 8, Partial: 64 << 10, SessionExpiry: time.Minute, KeepAlive: time.Minute,
+		TopicAliases: 2, Pending: 8, PartialBytes: 64 << 10, SessionExpiry: time.Minute, KeepAlive: time.Minute,
 		Handshake: 10 * time.Second, WriteBuffer: 32 << 10, Door: d, Observer: nopObserver{},
 		Names: front.Names{Classes: map[string]int{"status": 0}, Partners: map[string]int{"p": 0},
 			Lives: []time.Duration{time.Minute}}}
@@ -215,7 +215,7 @@
 	}
 	addr := start(t, &fakeCore{}, func(o *Options) { o.Users = map[string]string{"u": string(hash)} })
 	con := func(v byte, change func(*mqtt.Connect)) []byte {
-		c := &mqtt.Connect{Version: v, ClientID: "c", Clean: true, HasUser: true, User: "u",
+		c := &mqtt.Connect{Version: v, ClientID: "c", CleanStart: true, HasUser: true, User: "u",
 			Password: []byte("secret")}
 		if change != nil {
 			change(c)
@@ -236,7 +236,7 @@
 			mqtt.BadUserOrPassword},
 		{"enhanced authentication", con(mqtt.V5, func(c *mqtt.Connect) { c.Props.AuthMethod = "SCRAM" }),
 			mqtt.BadAuthMethod},
-		{"empty id 3.1.1", con(mqtt.V311, func(c *mqtt.Connect) { c.ClientID, c.Clean = "", false }), 2},
+		{"empty id 3.1.1", con(mqtt.V311, func(c *mqtt.Connect) { c.ClientID, c.CleanStart = "", false }), 2},
 		{"version 3", con(3, nil), 1},
 		{"version 9", con(9, nil), mqtt.UnsupportedVersion},
 	} {
@@ -300,7 +300,7 @@
 	}
 	_ = p.conn.Close()
 	p = dial(t, addr)
-	if a := p.connect("c", props); !a.Present {
+	if a := p.connect("c", props); !a.SessionPresent {
 		t.Fatal("CONNACK without Session Present, want the session resumed")
 	}
 	kind, body := p.next() // sent again, as it was not acknowledged
@@ -350,13 +350,13 @@
 	}
 }
 
-// Partially received packets of many connections must stay within Options.Partial, and the
+// Partially received packets of many connections must stay within Options.PartialBytes, and the
 // connection of a client that does not read its answers must be closed, so that neither
 // exhausts the memory. Other clients must be served meanwhile.
 func TestPartialPacketsAndSlowReaderAreBounded(t *testing.T) {
 	d := &fakeCore{}
 	addr := start(t, d, func(o *Options) {
-		o.Pending, o.ReceiveMaximum, o.Body, o.Partial = 60000, 65535, 64<<10, 256<<10
+		o.Pending, o.ReceiveMaximum, o.Body, o.PartialBytes = 60000, 65535, 64<<10, 256<<10
 	})
 	good := dial(t, addr)
 	good.connect("good", mqtt.Props{})
@@ -371,11 +371,11 @@
 			t.Fatalf("well-behaved client got packet type %d %x, want PUBACK", kind, body)
 		}
 	}
-	for range 40 - 256/32 { // 32 KiB each, and only Options.Partial of 256 KiB may be held
+	for range 40 - 256/32 { // 32 KiB each, and only PartialBytes of 256 KiB may be held
 		select {
 		case <-closed:
 		case <-time.After(5 * time.Second):
-			t.Fatal("connections with partial packets over Options.Partial are not closed")
+			t.Fatal("connections with partial packets over Options.PartialBytes are not closed")
 		}
 	}
 	slow := dial(t, addr)
@@ -412,7 +412,7 @@
 	d := &fakeCore{}
 	addr := start(t, d, func(o *Options) { o.Handshake = 300 * time.Millisecond })
 	will := func(id string) []byte {
-		b := mqtt.AppendConnect(nil, &mqtt.Connect{Version: mqtt.V5, ClientID: id, KeepAlive: 1, Clean: true})
+		b := mqtt.AppendConnect(nil, &mqtt.Connect{Version: mqtt.V5, ClientID: id, KeepAlive: 1, CleanStart: true})
 		b[9] |= 4 // will flag, QoS 0
 		b[1] += byte(1 + 2 + len("send/status/p") + 2 + 1)
 		b = append(b, 0, 0, byte(len("send/status/p")))
--- a/internal/mqttfront/handin.go
+++ b/internal/mqttfront/handin.go
@@ -130,7 +130,7 @@
 	if fl.qos > 0 {
 		added.waitingFlows = []*flow{fl}
 	}
-	m := &core.Message{Source: s.id, Class: class, Partner: partner, Key: p.Props.Get("key"),
+	m := &core.Message{Source: s.id, Class: class, Partner: partner, Key: p.Props.UserValue("key"),
 		Left: f.opt.Names.Lives[class],
 		Body: bytes.Clone(p.Payload), Reply: front.Reply[*pending]{Box: f.outbox, To: added}}
 	if p.Props.HasMessageExpiry() {
--- a/internal/mqttfront/persist.go
+++ b/internal/mqttfront/persist.go
@@ -80,10 +80,10 @@
 	}
 }
 
-// Owe adds a message of an earlier run, so that a retransmission of its flow is recognised
+// RestoreMessage adds a message of an earlier run, so that a retransmission of its flow is recognised
 // and its answer is sent unless the client has it. It returns the receiver of an answer
 // that is still to come.
-func (f *Front) Owe(o front.Owed) core.Reply {
+func (f *Front) RestoreMessage(o front.Owed) core.Reply {
 	var w returnPath
 	if err := cbor.Unmarshal(o.Way, &w); err != nil {
 		f.opt.Observer.Logf("mqtt: way of %q: %v", o.Identity, err)
--- a/internal/mqttfront/repeat_test.go
+++ b/internal/mqttfront/repeat_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return receivedAnswer{verdict: q.Props.Get("answer"), id: q.ID,
+	return receivedAnswer{verdict: q.Props.UserValue("answer"), id: q.ID,
 		handIn: strings.Contains(string(q.Payload), `"packet_id":2`)}
 }
 
@@ -101,7 +101,7 @@
 	t.Helper()
 	_ = p.conn.Close()
 	p = dial(t, addr)
-	if !p.connect("c", mqtt.Props{SessionExpiry: 60}).Present {
+	if !p.connect("c", mqtt.Props{SessionExpiry: 60}).SessionPresent {
 		t.Fatal("CONNACK without Session Present, want the session resumed")
 	}
 	if again := p.readAnswer(); again != first {
--- a/internal/partner/connect_test.go
+++ b/internal/partner/connect_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	return &tls.Config{Certificates: []tls.Certificate{pair}},
-		&tls.Config{RootCAs: a.Pool(), ServerName: "bank.example"}
+		&tls.Config{RootCAs: a.CertPool(), ServerName: "bank.example"}
 }
 
 func secureCaller(t *testing.T, client *tls.Config, keep addr.PoolSettings) *Caller {
--- a/internal/relay/journal_test.go
+++ b/internal/relay/journal_test.go
@@ -239,7 +239,7 @@
 	if b.conn != nil {
 		_ = b.conn.Close()
 	}
-	b.conn = rawConnectAs(b.t, b.r.Addrs()[0], &mqtt.Connect{Version: mqtt.V5, ClientID: "c", Clean: clean, Props: mqtt.Props{SessionExpiry: 60}})
+	b.conn = rawConnectAs(b.t, b.r.Addrs()[0], &mqtt.Connect{Version: mqtt.V5, ClientID: "c", CleanStart: clean, Props: mqtt.Props{SessionExpiry: 60}})
 }
 
 func (b *owedBed) restart() {
@@ -270,7 +270,7 @@
 			continue
 		}
 		p, err := mqtt.ParsePublish(mqtt.V5, first, body)
-		if err != nil || string(p.Props.Correlation) != "a" || p.Props.Get("answer") != "delivered" {
+		if err != nil || string(p.Props.Correlation) != "a" || p.Props.UserValue("answer") != "delivered" {
 			b.t.Fatalf("%+v, %v", p, err)
 		}
 		return p
--- a/internal/relay/push_test.go
+++ b/internal/relay/push_test.go
@@ -61,7 +61,7 @@
 	}
 	b.issue(t, "server", time.Hour)
 	b.issue(t, "client", time.Hour)
-	if b.public, b.private, err = keys.VAPID(); err != nil {
+	if b.public, b.private, err = keys.NewVAPIDKeys(); err != nil {
 		t.Fatal(err)
 	}
 	port := freePort(t)
@@ -73,13 +73,13 @@
 %[6]s`, b.dir, port, b.origin, b.public, otherPublic, extra)
 	b.Bed = testutil.New(t, partners, model, cfg, relay.Hooks{})
 	b.http = &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{ForceAttemptHTTP2: true,
-		TLSClientConfig: &tls.Config{RootCAs: b.ca.Pool()}}}
+		TLSClientConfig: &tls.Config{RootCAs: b.ca.CertPool()}}}
 	t.Cleanup(b.http.CloseIdleConnections)
 	return b
 }
 
 // otherPublic is a pair that may push to one resource only.
-var otherPublic, otherPrivate, _ = keys.VAPID()
+var otherPublic, otherPrivate, _ = keys.NewVAPIDKeys()
 
 func freePort(t *testing.T) int {
 	t.Helper()
@@ -334,7 +334,7 @@
 		t.Fatal(err)
 	}
 	c, err := client.Dial(testutil.Context(t), b.Relay.TLSAddrs()[0], client.Options{ID: id, Expiry: 60, On: on,
-		TLS: &tls.Config{RootCAs: b.ca.Pool(), ServerName: "127.0.0.1", Certificates: []tls.Certificate{cert}}})
+		TLS: &tls.Config{RootCAs: b.ca.CertPool(), ServerName: "127.0.0.1", Certificates: []tls.Certificate{cert}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -389,7 +389,7 @@
 		t.Errorf("too long: %d %s", r.StatusCode, text)
 	}
 	// HTTP/1.1 has our own parser.
-	raw, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.Pool(), NextProtos: []string{"http/1.1"}})
+	raw, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.CertPool(), NextProtos: []string{"http/1.1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -572,7 +572,7 @@
 func TestCertificateReplaced(t *testing.T) {
 	b := newPushBed(t, 1, standin.Model{}, "")
 	serial := func() string {
-		c, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.Pool(), ServerName: "127.0.0.1"})
+		c, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.CertPool(), ServerName: "127.0.0.1"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -616,7 +616,7 @@
 			b.issue(t, "bad", time.Hour)
 			_ = os.Chmod(b.dir+"/bad.key", 0o644)
 		}
-		if _, err := new(keys.Ring).Pair(b.dir+"/bad.pem", b.dir+"/bad.key"); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := new(keys.Store).LoadPair(b.dir+"/bad.pem", b.dir+"/bad.key"); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("at start: %v, want %s", err, want)
 		}
 	}
@@ -649,7 +649,7 @@
 	for range 20 {
 		all.Go(func() {
 			for range 15 {
-				d := tls.Dialer{Config: &tls.Config{RootCAs: b.ca.Pool(), ServerName: "127.0.0.1"}}
+				d := tls.Dialer{Config: &tls.Config{RootCAs: b.ca.CertPool(), ServerName: "127.0.0.1"}}
 				ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 				c, err := d.DialContext(ctx, "tcp", b.origin[8:])
 				cancel()
@@ -675,7 +675,7 @@
 		}
 	}
 	// Rapid reset (CVE-2023-44487): streams opened and reset as fast as can be.
-	c, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.Pool(), NextProtos: []string{"h2"}})
+	c, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.CertPool(), NextProtos: []string{"h2"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -110,8 +110,8 @@
 	r.obs = obs.NewRelay(log, classes)
 	names := names(cfg)
 	r.obs.Warn(cfg.TLS.Warn.D())
-	ring := &keys.Ring{Report: r.obs.Certificate}
-	slots := make(secure.Slots, cmp.Or(cfg.TLS.Handshakes, runtime.GOMAXPROCS(0)))
+	ring := &keys.Store{Report: r.obs.Certificate}
+	slots := make(secure.HandshakeSlots, cmp.Or(cfg.TLS.Handshakes, runtime.GOMAXPROCS(0)))
 	var targets []partner.Target
 	for i, p := range cfg.Partners {
 		k := cfg.Kinds[names.Kinds[i]]
@@ -285,13 +285,13 @@
 		keeper = r.log
 	}
 	if w := &cfg.WebPush; len(w.Listen)+len(w.TLSListen) > 0 {
-		o := webpush.Options{Listen: w.Listen, TLSListen: w.TLSListen, TLS: pushTLS, Slots: slots, Names: doors,
-			Audience: w.Audience, Anyone: len(w.Keys) == 0, Body: cfg.Limits.Body, Header: w.HeaderBytes,
-			Connections: w.Connections, Streams: w.Streams, Messages: w.Messages, Boxes: w.Receipts, Pending: w.Pending,
-			Polls: w.Polls, Keep: cfg.Limits.Identities.Keep.D(), Poll: w.Poll.D(), Handshake: w.Handshake.D(),
+		o := webpush.Options{Listen: w.Listen, TLSListen: w.TLSListen, TLS: pushTLS, HandshakeSlots: slots, Names: doors,
+			Audience: w.Audience, AllowAnonymous: len(w.Keys) == 0, Body: cfg.Limits.Body, Header: w.HeaderBytes,
+			Connections: w.Connections, Streams: w.Streams, Messages: w.Messages, Subscriptions: w.Receipts, Pending: w.Pending,
+			Polls: w.Polls, Retention: cfg.Limits.Identities.Keep.D(), MaxPollWait: w.Poll.D(), Handshake: w.Handshake.D(),
 			Idle: w.Idle.D(), WriteBuffer: w.WriteBuffer, Door: door, Observer: r.obs, Keeper: keeper}
 		for _, k := range cfg.Classes {
-			o.Unsafe = append(o.Unsafe, k.Effect == "unsafe")
+			o.RequireIdempotencyKey = append(o.RequireIdempotencyKey, k.Effect == "unsafe")
 		}
 		if len(w.Keys) > 0 {
 			o.Keys = map[string][]string{}
@@ -301,15 +301,16 @@
 		}
 		r.push = webpush.New(o)
 	}
-	r.front, err = mqttfront.New(mqttfront.Options{Listen: m.Listen, Keeper: keeper, Before: func(f *mqttfront.Front) {
+	r.front, err = mqttfront.New(mqttfront.Options{Listen: m.Listen, Keeper: keeper, BeforeListen: func(f *mqttfront.Front) {
 		if kept != nil {
 			r.restore(kept, f, r.push, doors)
 		}
 		run()
 	},
-		TLSListen: m.TLSListen, TLS: mqttTLS, Slots: slots, Names: doors, Body: cfg.Limits.Body, Connections: m.Connections, Sessions: m.Sessions,
+		TLSListen: m.TLSListen, TLS: mqttTLS, HandshakeSlots: slots, Names: doors, Body: cfg.Limits.Body,
+		Connections: m.Connections, Sessions: m.Sessions,
 		ReceiveMaximum: m.ReceiveMaximum, TopicAliases: m.TopicAliases, Pending: m.Pending,
-		Partial: int64(m.PartialBytes), SessionExpiry: m.SessionExpiry.D(), KeepAlive: m.KeepAlive.D(),
+		PartialBytes: int64(m.PartialBytes), SessionExpiry: m.SessionExpiry.D(), KeepAlive: m.KeepAlive.D(),
 		Handshake: m.Handshake.D(), WriteBuffer: m.WriteBuffer, Users: users,
 		Door: door, Observer: r.obs})
 	if err != nil {
@@ -367,34 +368,34 @@
 	return resolve.Servers{Addrs: cfg.Resolver.Servers, Timeout: cfg.Resolver.Timeout.D() / 2}
 }
 
-func serverTLS(ring *keys.Ring, t *config.TLS, protocols ...string) (*tls.Config, error) {
+func serverTLS(ring *keys.Store, t *config.TLS, protocols ...string) (*tls.Config, error) {
 	if t == nil {
 		return nil, nil
 	}
-	pair, err := ring.Pair(t.Cert, t.Key)
+	pair, err := ring.LoadPair(t.Cert, t.Key)
 	if err != nil {
 		return nil, err
 	}
-	var clients *keys.Pool
+	var clients *keys.CAPool
 	if t.ClientCA != "" {
-		if clients, err = ring.Pool(t.ClientCA); err != nil {
+		if clients, err = ring.LoadPool(t.ClientCA); err != nil {
 			return nil, err
 		}
 	}
 	return keys.Server(pair, clients, t.RequireClient, protocols...), nil
 }
 
-func clientTLS(ring *keys.Ring, t *config.PartnerTLS) (func() *tls.Config, error) {
-	var ca *keys.Pool
-	var own *keys.Pair
+func clientTLS(ring *keys.Store, t *config.PartnerTLS) (func() *tls.Config, error) {
+	var ca *keys.CAPool
+	var own *keys.KeyPair
 	var err error
 	if t.CA != "" {
-		if ca, err = ring.Pool(t.CA); err != nil {
+		if ca, err = ring.LoadPool(t.CA); err != nil {
 			return nil, err
 		}
 	}
 	if t.Cert != "" {
-		if own, err = ring.Pair(t.Cert, t.Key); err != nil {
+		if own, err = ring.LoadPair(t.Cert, t.Key); err != nil {
 			return nil, err
 		}
 	}
@@ -403,7 +404,7 @@
 
 // CheckKeys reads the certificates of a configuration once.
 func CheckKeys(cfg *config.Config) error {
-	ring := &keys.Ring{}
+	ring := &keys.Store{}
 	for _, t := range []*config.TLS{cfg.MQTT.TLS, cfg.WebPush.TLS} {
 		if _, err := serverTLS(ring, t); err != nil {
 			return err
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -503,7 +503,7 @@
 // session is its identity, and the answer names it.
 func TestVersion311(t *testing.T) {
 	b := testutil.New(t, 1, standin.Model{Service: 5 * ms}, "", relay.Hooks{})
-	got := make(chan mqttfront.Note, 10)
+	got := make(chan mqttfront.AnswerPayload, 10)
 	c := paho311.NewClient(paho311.NewClientOptions().AddBroker("tcp://" + b.Relay.Addrs()[0]).SetClientID("old").
 		SetCleanSession(false).SetProtocolVersion(4).SetAutoReconnect(false))
 	must := func(tok paho311.Token) {
@@ -515,7 +515,7 @@
 	must(c.Connect())
 	defer c.Disconnect(0)
 	must(c.Subscribe("answers/old", 2, func(_ paho311.Client, m paho311.Message) {
-		var n mqttfront.Note
+		var n mqttfront.AnswerPayload
 		if err := json.Unmarshal(m.Payload(), &n); err != nil {
 			t.Error(err)
 		}
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -61,9 +61,9 @@
 	owe := func(name string, o front.Owed) core.Reply {
 		switch {
 		case name == mqttfront.Name:
-			return f.Owe(o)
+			return f.RestoreMessage(o)
 		case name == webpush.Name && push != nil:
-			return push.Owe(o)
+			return push.RestoreMessage(o)
 		}
 		return front.Nobody{}
 	}
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -29,9 +29,9 @@
 func (errWouldBlock) Timeout() bool   { return true }
 func (errWouldBlock) Temporary() bool { return true }
 
-// ErrFlood is the error of a connection that is closed because over 1 MiB received
+// ErrReadBufferFull is the error of a connection that is closed because over 1 MiB received
 // from its peer has not been read.
-var ErrFlood = errors.New("secure: more than 1 MiB received and not yet read")
+var ErrReadBufferFull = errors.New("secure: more than 1 MiB received and not yet read")
 
 // closeTimeout is the time that the peer has to read what was written before the
 // connection is closed.
@@ -41,16 +41,16 @@
 // blocking reader.
 const maxBuffered = 1 << 20
 
-// Slots limits the handshakes that compute at the same time to its capacity. A
+// HandshakeSlots limits the handshakes that compute at the same time to its capacity. A
 // handshake that waits for its peer holds no slot, so that clients that stall do not
 // delay others.
-type Slots chan struct{}
+type HandshakeSlots chan struct{}
 
 // transport is the net.Conn beneath a tls.Conn. Reads return the bytes that the
 // engine delivered; writes go to the engine and never block.
 type transport struct {
 	nb    *engine.Conn
-	slots Slots
+	slots HandshakeSlots
 	write func(*engine.Conn, []byte) (int, error) // nil for nb.Write
 
 	mu          sync.Mutex
@@ -62,19 +62,19 @@
 	timer       *time.Timer
 }
 
-func newTransport(nb *engine.Conn, slots Slots) *transport {
+func newTransport(nb *engine.Conn, slots HandshakeSlots) *transport {
 	tr := &transport{nb: nb, slots: slots}
 	tr.changed.L = &tr.mu
 	return tr
 }
 
 // deliver appends received bytes for Read. Beyond maxBuffered it closes the
-// connection with ErrFlood.
+// connection with ErrReadBufferFull.
 func (tr *transport) deliver(b []byte) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if len(tr.buf)+len(b) > maxBuffered {
-		tr.err = ErrFlood
+		tr.err = ErrReadBufferFull
 		tr.buf = nil
 		go tr.nb.Close()
 	} else if tr.err == nil {
@@ -185,7 +185,7 @@
 // it failed. If ready returns a function, this is called with the plaintext on the
 // connection's goroutine from then on. If it returns nil, it has used c as a blocking
 // connection until its end.
-func Server(nb *engine.Conn, cfg *tls.Config, slots Slots, timeout time.Duration,
+func Server(nb *engine.Conn, cfg *tls.Config, slots HandshakeSlots, timeout time.Duration,
 	ready func(c *Conn, err error) func([]byte)) *Conn {
 	tr := newTransport(nb, slots)
 	c := &Conn{Conn: tls.Server(tr, cfg), transport: tr}
--- a/internal/webpush/front.go
+++ b/internal/webpush/front.go
@@ -42,31 +42,31 @@
 
 // Options configures a Front.
 type Options struct {
-	Listen      []string // addresses to listen on without TLS
-	TLSListen   []string // addresses to listen on with TLS
-	TLS         *tls.Config
-	Slots       secure.Slots
-	Names       front.Names
-	Unsafe      []bool              // by class: a POST must have an Idempotency-Key
-	Audience    []string            // origins accepted as the audience of a VAPID token
-	Keys        map[string][]string // by VAPID key: allowed resources, none for all; empty map: any key, any resource
-	Anyone      bool                // requests without a token are accepted; for loopback addresses only
-	Body        int                 // largest content of a request, in bytes
-	Header      int                 // largest header of a request, in bytes
-	Connections int                 // at this limit new ones are closed at once
-	Streams     int                 // concurrent streams of an HTTP/2 connection
-	Messages    int                 // messages kept, with those that have ended
-	Boxes       int                 // receipt subscriptions kept
-	Pending     int                 // messages without acknowledged receipt, per subscription
-	Polls       int                 // long polls waiting; at this limit polls are answered at once
-	Keep        time.Duration       // how long ended messages and unused subscriptions are kept
-	Poll        time.Duration       // longest wait of a long poll
-	Handshake   time.Duration       // time limit of a TLS handshake, and of receiving a request
-	Idle        time.Duration       // connections without a request are closed after this time
-	WriteBuffer int                 // unsent bytes of one connection
-	Door        front.Door
-	Observer    Observer
-	Keeper      front.Keeper // stores subscriptions and answers for a restart; nil for none
+	Listen                []string // addresses to listen on without TLS
+	TLSListen             []string // addresses to listen on with TLS
+	TLS                   *tls.Config
+	HandshakeSlots        secure.HandshakeSlots
+	Names                 front.Names
+	RequireIdempotencyKey []bool              // by class: a POST must have an Idempotency-Key
+	Audience              []string            // origins accepted as the audience of a VAPID token
+	Keys                  map[string][]string // allowed resources by VAPID key, none for all; empty: any key
+	AllowAnonymous        bool                // requests without a token are accepted; for loopback addresses only
+	Body                  int                 // largest content of a request, in bytes
+	Header                int                 // largest header of a request, in bytes
+	Connections           int                 // at this limit new ones are closed at once
+	Streams               int                 // concurrent streams of an HTTP/2 connection
+	Messages              int                 // messages kept, with those that have ended
+	Subscriptions         int                 // receipt subscriptions kept
+	Pending               int                 // messages without acknowledged receipt, per subscription
+	Polls                 int                 // long polls waiting; at this limit polls are answered at once
+	Retention             time.Duration       // how long ended messages and unused subscriptions are kept
+	MaxPollWait           time.Duration       // longest wait of a long poll
+	Handshake             time.Duration       // time limit of a TLS handshake, and of receiving a request
+	Idle                  time.Duration       // connections without a request are closed after this time
+	WriteBuffer           int                 // unsent bytes of one connection
+	Door                  front.Door
+	Observer              Observer
+	Keeper                front.Keeper // stores subscriptions and answers for a restart; nil for none
 }
 
 // Front is a Web Push server.
@@ -96,7 +96,7 @@
 	deferred      []func() // responses to send after mu is unlocked
 }
 
-// New returns a front that does not listen yet, so that Restore and Owe can restore the
+// New returns a front that does not listen yet, so that Restore and RestoreMessage can restore the
 // state of an earlier run before Start.
 func New(opt Options) *Front {
 	return &Front{opt: opt, vapid: newVAPID(opt.Audience), outbox: front.NewOutbox[*push](),
@@ -235,7 +235,7 @@
 		return nil
 	}
 	if secured {
-		c.sec = secure.Server(nb, f.opt.TLS, f.opt.Slots, f.opt.Handshake, c.handshakeDone)
+		c.sec = secure.Server(nb, f.opt.TLS, f.opt.HandshakeSlots, f.opt.Handshake, c.handshakeDone)
 		c.out = c.sec
 	}
 	return c
--- a/internal/webpush/persist.go
+++ b/internal/webpush/persist.go
@@ -56,7 +56,7 @@
 	defer f.mu.Unlock()
 	for id, value := range boxes {
 		var k subscriptionRecord
-		if err := cbor.Unmarshal(value, &k); err != nil || len(f.subscriptions) >= f.opt.Boxes {
+		if err := cbor.Unmarshal(value, &k); err != nil || len(f.subscriptions) >= f.opt.Subscriptions {
 			f.opt.Observer.Logf("webpush: receipt subscription %q of an earlier run is not restored: %v", id, err)
 			if f.opt.Keeper != nil {
 				f.opt.Keeper.Session(Name, id, nil)
@@ -70,9 +70,9 @@
 	}
 }
 
-// Owe adds a message of an earlier run, with its answer if it has one, before Start. It
+// RestoreMessage adds a message of an earlier run, with its answer if it has one, before Start. It
 // returns the receiver of an answer that is still to come.
-func (f *Front) Owe(o front.Owed) core.Reply {
+func (f *Front) RestoreMessage(o front.Owed) core.Reply {
 	var w returnPath
 	if err := cbor.Unmarshal(o.Way, &w); err != nil {
 		f.opt.Observer.Logf("webpush: way of %q: %v", o.Identity, err)
--- a/internal/webpush/push.go
+++ b/internal/webpush/push.go
@@ -53,7 +53,7 @@
 	return response{status: status, header: [][2]string{{"Content-Type", "application/json"}}, body: append(b, '\n')}
 }
 
-// push is a message handed in by POST. It is kept until Options.Keep after it ended, or
+// push is a message handed in by POST. It is kept until Options.Retention after it ended, or
 // until its place is needed for another.
 type push struct {
 	id           string // random id of its resource, which cannot be guessed
@@ -84,7 +84,7 @@
 		return
 	}
 	sender, err := f.vapid.check(q.header("Authorization"), time.Now())
-	if err != nil && !(f.opt.Anyone && errors.Is(err, errNoToken)) {
+	if err != nil && !(f.opt.AllowAnonymous && errors.Is(err, errNoToken)) {
 		respond(textResponse(http.StatusUnauthorized, "%v", err).with("WWW-Authenticate", "vapid"))
 		return
 	}
@@ -206,7 +206,7 @@
 			f.answerRepeat(old, async, respond)
 			return
 		}
-	} else if f.opt.Unsafe[class] {
+	} else if f.opt.RequireIdempotencyKey[class] {
 		respond(textResponse(http.StatusBadRequest,
 			"Idempotency-Key: messages of this class must never take effect twice; "+
 				"name each by this field"))
@@ -334,12 +334,12 @@
 	}
 }
 
-// sweep removes ended messages and unused receipt subscriptions after Options.Keep; under
+// sweep removes ended messages and unused receipt subscriptions after Options.Retention; under
 // mu.
 func (f *Front) sweep(now time.Time) {
 	for e := f.ended.Front(); e != nil; e = f.ended.Front() {
 		p := e.Value.(*push)
-		if now.Sub(p.endedAt) < f.opt.Keep {
+		if now.Sub(p.endedAt) < f.opt.Retention {
 			break
 		}
 		f.ended.Remove(e)
@@ -350,7 +350,7 @@
 	}
 	f.lastSweep = now
 	for id, b := range f.subscriptions {
-		if b.outstanding == 0 && len(b.longPolls) == 0 && now.Sub(b.lastUsed) >= f.opt.Keep {
+		if b.outstanding == 0 && len(b.longPolls) == 0 && now.Sub(b.lastUsed) >= f.opt.Retention {
 			delete(f.subscriptions, id)
 			for _, r := range b.receipts {
 				f.forgetUnread(r.push)
@@ -391,12 +391,12 @@
 }
 
 // pollWait returns the wait that a long poll asks for by Prefer (RFC 7240, 4.3), limited
-// to Options.Poll.
+// to Options.MaxPollWait.
 func (f *Front) pollWait(q *request) time.Duration {
 	for part := range strings.SplitSeq(q.header("Prefer"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(strings.ToLower(part)), "wait="); ok {
 			if n, err := strconv.ParseUint(v, 10, 31); err == nil {
-				return min(time.Duration(n)*time.Second, f.opt.Poll)
+				return min(time.Duration(n)*time.Second, f.opt.MaxPollWait)
 			}
 		}
 	}
--- a/internal/webpush/receipts.go
+++ b/internal/webpush/receipts.go
@@ -58,7 +58,7 @@
 		b.lastUsed = now
 		return b, nil
 	}
-	if len(f.subscriptions) >= f.opt.Boxes {
+	if len(f.subscriptions) >= f.opt.Subscriptions {
 		return nil, errors.New("as many receipt subscriptions as are kept; use one for many messages")
 	}
 	b := &subscription{id: rand.Text(), owner: owner, lastUsed: now}
--- a/internal/webpush/repeat_test.go
+++ b/internal/webpush/repeat_test.go
@@ -48,8 +48,9 @@
 func newFixture(t *testing.T) *fixture {
 	b := &fixture{t: t, backend: &fakeCore{}, handedOver: &keeper{}}
 	b.f = New(Options{Names: front.Names{Classes: map[string]int{"status": 0}, Partners: map[string]int{"p": 0},
-		Lives: []time.Duration{time.Minute}}, Unsafe: []bool{false}, Anyone: true, Body: 4096, Messages: 100,
-		Boxes: 10, Pending: 10, Polls: 10, Keep: time.Minute, Poll: time.Second,
+		Lives: []time.Duration{time.Minute}},
+		RequireIdempotencyKey: []bool{false}, AllowAnonymous: true, Body: 4096, Messages: 100,
+		Subscriptions: 10, Pending: 10, Polls: 10, Retention: time.Minute, MaxPollWait: time.Second,
 		Door: b.backend, Keeper: b.handedOver, Observer: nopObserver{}})
 	return b
 }
