--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -27,9 +27,9 @@
 	"time"
 )
 
-// Store holds the certificates and authorities of a program and reloads their files
+// CertStore holds the certificates and authorities of a program and reloads their files
 // when they change.
-type Store struct {
+type CertStore struct {
 	// Report, if set, is called when a certificate was first loaded, and after each
 	// attempt to reload a file: with the expiry of the certificate in use (zero for a
 	// file of authorities) and the error if the file was rejected. After an error the
@@ -81,7 +81,7 @@
 // LoadPair loads a certificate and its private key, once for each pair of files. It is
 // an error if they do not match, if the certificate is not valid now, or if the key
 // file's mode grants any access to others.
-func (r *Store) LoadPair(certFile, keyFile string) (*KeyPair, error) {
+func (r *CertStore) LoadPair(certFile, keyFile string) (*KeyPair, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pairs {
@@ -99,7 +99,7 @@
 }
 
 // LoadPool loads a file of certificate authorities.
-func (r *Store) LoadPool(file string) (*CAPool, error) {
+func (r *CertStore) LoadPool(file string) (*CAPool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := &CAPool{File: file}
@@ -110,7 +110,7 @@
 	return p, nil
 }
 
-func (r *Store) report(file string, expires time.Time, err error) {
+func (r *CertStore) report(file string, expires time.Time, err error) {
 	if r.Report != nil {
 		r.Report(file, expires, err)
 	}
@@ -177,7 +177,7 @@
 // Run reloads files that change until ctx ends. Established connections keep the
 // certificate that they were opened with. A file that cannot be loaded is reported
 // once and tried again when it changes; until then the old content stays in use.
-func (r *Store) Run(ctx context.Context) {
+func (r *CertStore) Run(ctx context.Context) {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
@@ -192,7 +192,7 @@
 
 // ReloadChanged checks all files once and reloads those that have changed since they were
 // last loaded.
-func (r *Store) ReloadChanged(now time.Time) {
+func (r *CertStore) ReloadChanged(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pairs {
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -21,7 +21,8 @@
 )
 
 // sources are those of the configuration, the file first.
-func sources(cfg *config.Config, ring *keys.Store, names directory.Names) (out []directory.Source, clients []*catalog.Client, err error) {
+func sources(cfg *config.Config, ring *keys.CertStore, names directory.Names) (out []directory.Source,
+	clients []*catalog.Client, err error) {
 	if cfg.Directory.File != "" {
 		out = append(out, &directory.File{Path: cfg.Directory.File, Names: names, MaxBytes: cfg.Limits.ListBytes})
 	}
--- a/internal/relay/journal_test.go
+++ b/internal/relay/journal_test.go
@@ -239,7 +239,8 @@
 	if b.conn != nil {
 		_ = b.conn.Close()
 	}
-	b.conn = rawConnectAs(b.t, b.r.Addrs()[0], &mqtt.Connect{Version: mqtt.V5, ClientID: "c", CleanStart: clean, Props: mqtt.Props{SessionExpiry: 60}})
+	b.conn = rawConnectAs(b.t, b.r.Addrs()[0], &mqtt.Connect{Version: mqtt.V5, ClientID: "c", CleanStart: clean,
+		Props: mqtt.Props{SessionExpiry: 60}})
 }
 
 func (b *owedBed) restart() {
--- a/internal/relay/push_test.go
+++ b/internal/relay/push_test.go
@@ -616,7 +616,8 @@
 			b.issue(t, "bad", time.Hour)
 			_ = os.Chmod(b.dir+"/bad.key", 0o644)
 		}
-		if _, err := new(keys.Store).LoadPair(b.dir+"/bad.pem", b.dir+"/bad.key"); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := new(keys.CertStore).LoadPair(b.dir+"/bad.pem", b.dir+"/bad.key"); err == nil ||
+			!strings.Contains(err.Error(), want) {
 			t.Errorf("at start: %v, want %s", err, want)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -110,7 +110,7 @@
 	r.obs = obs.NewRelay(log, classes)
 	names := names(cfg)
 	r.obs.Warn(cfg.TLS.Warn.D())
-	ring := &keys.Store{Report: r.obs.Certificate}
+	ring := &keys.CertStore{Report: r.obs.Certificate}
 	slots := make(secure.HandshakeSlots, cmp.Or(cfg.TLS.Handshakes, runtime.GOMAXPROCS(0)))
 	var targets []partner.Target
 	for i, p := range cfg.Partners {
@@ -287,8 +287,9 @@
 	if w := &cfg.WebPush; len(w.Listen)+len(w.TLSListen) > 0 {
 		o := webpush.Options{Listen: w.Listen, TLSListen: w.TLSListen, TLS: pushTLS, HandshakeSlots: slots, Names: doors,
 			Audience: w.Audience, AllowAnonymous: len(w.Keys) == 0, Body: cfg.Limits.Body, Header: w.HeaderBytes,
-			Connections: w.Connections, Streams: w.Streams, Messages: w.Messages, Subscriptions: w.Receipts, Pending: w.Pending,
-			Polls: w.Polls, Retention: cfg.Limits.Identities.Keep.D(), MaxPollWait: w.Poll.D(), Handshake: w.Handshake.D(),
+			Connections: w.Connections, Streams: w.Streams, Messages: w.Messages, Subscriptions: w.Receipts,
+			Pending: w.Pending,
+			Polls:   w.Polls, Retention: cfg.Limits.Identities.Keep.D(), MaxPollWait: w.Poll.D(), Handshake: w.Handshake.D(),
 			Idle: w.Idle.D(), WriteBuffer: w.WriteBuffer, Door: door, Observer: r.obs, Keeper: keeper}
 		for _, k := range cfg.Classes {
 			o.RequireIdempotencyKey = append(o.RequireIdempotencyKey, k.Effect == "unsafe")
@@ -368,7 +369,7 @@
 	return resolve.Servers{Addrs: cfg.Resolver.Servers, Timeout: cfg.Resolver.Timeout.D() / 2}
 }
 
-func serverTLS(ring *keys.Store, t *config.TLS, protocols ...string) (*tls.Config, error) {
+func serverTLS(ring *keys.CertStore, t *config.TLS, protocols ...string) (*tls.Config, error) {
 	if t == nil {
 		return nil, nil
 	}
@@ -385,7 +386,7 @@
 	return keys.Server(pair, clients, t.RequireClient, protocols...), nil
 }
 
-func clientTLS(ring *keys.Store, t *config.PartnerTLS) (func() *tls.Config, error) {
+func clientTLS(ring *keys.CertStore, t *config.PartnerTLS) (func() *tls.Config, error) {
 	var ca *keys.CAPool
 	var own *keys.KeyPair
 	var err error
@@ -404,7 +405,7 @@
 
 // CheckKeys reads the certificates of a configuration once.
 func CheckKeys(cfg *config.Config) error {
-	ring := &keys.Store{}
+	ring := &keys.CertStore{}
 	for _, t := range []*config.TLS{cfg.MQTT.TLS, cfg.WebPush.TLS} {
 		if _, err := serverTLS(ring, t); err != nil {
 			return err
--- a/internal/webpush/persist.go
+++ b/internal/webpush/persist.go
@@ -34,7 +34,7 @@
 
 // returnPath returns the encoded returnPath of p.
 func (p *push) returnPath() []byte {
-	w := returnPath{ID: p.id, Owner: p.owner, Topic: p.topic, TTL: p.ttl}
+	w := returnPath{ID: p.id, Owner: p.owner, Topic: p.topic, TTL: p.grantedTTL}
 	if p.subscription != nil {
 		w.Subscription = p.subscription.id
 	}
@@ -81,7 +81,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := &push{id: w.ID, identity: o.Identity, owner: w.Owner,
-		subscription: f.subscriptions[w.Subscription], topic: w.Topic, ttl: w.TTL, accepted: true,
+		subscription: f.subscriptions[w.Subscription], topic: w.Topic, grantedTTL: w.TTL, accepted: true,
 		answer: o.Answer}
 	if len(f.pushes) >= f.opt.Messages {
 		f.evictOldest() // makes room if a message has ended; one that has not is kept over the limit
--- a/internal/webpush/push.go
+++ b/internal/webpush/push.go
@@ -61,7 +61,7 @@
 	owner        string        // VAPID key of the sender
 	subscription *subscription // receipt subscription that gets its receipt, nil for none
 	topic        string
-	ttl          time.Duration // granted time to live
+	grantedTTL   time.Duration // time to live, as limited by the message's class
 	accepted     bool
 	answer       ledger.Answer
 	endedAt      time.Time
@@ -195,9 +195,9 @@
 	f.sweep(now)
 	// A message without Idempotency-Key gets a random identity that no other POST can repeat,
 	// so that it can be withdrawn.
-	p := &push{id: rand.Text(), owner: sender.Key, ttl: m.Left}
+	p := &push{id: rand.Text(), owner: sender.Key, grantedTTL: m.Left}
 	if m.Immediate {
-		p.ttl = 0
+		p.grantedTTL = 0
 	}
 	if idempotencyKey != "" {
 		p.identity = front.Identity('w', sender.Key, sender.Subject, idempotencyKey)
@@ -281,7 +281,7 @@
 		status = http.StatusAccepted
 	}
 	r := response{status: status, header: [][2]string{{"Location", "/message/" + p.id},
-		{"TTL", strconv.Itoa(int(p.ttl / time.Second))}}}
+		{"TTL", strconv.Itoa(int(p.grantedTTL / time.Second))}}}
 	if p.subscription != nil {
 		r = r.with("Link", fmt.Sprintf(`</receipts/%s>; rel="urn:ietf:params:push:receipt"`, p.subscription.id))
 	}
