--- a/internal/mqtt/packet.go
+++ b/internal/mqtt/packet.go
@@ -463,7 +463,7 @@
 // Connect is a CONNECT packet (3.1).
 type Connect struct {
 	Version    byte
-	CleanStart bool   // Clean Start; Clean Session in 3.1.1
+	CleanStart bool   // Clean Session in 3.1.1
 	KeepAlive  uint16 // seconds, 0 for none
 	ClientID   string
 	Will       *Will
@@ -694,7 +694,7 @@
 
 // Connack is a CONNACK packet (3.2).
 type Connack struct {
-	SessionPresent bool // Session Present
+	SessionPresent bool
 	Code           byte
 	Props          Props
 }
--- a/internal/mqttfront/front_test.go
+++ b/internal/mqttfront/front_test.go
@@ -113,7 +113,7 @@
 		n, e := p.conn.Read(more)
 		var ne net.Error
 		if errors.As(e, &ne) && ne.Timeout() {
-			p.t.Fatal("connection not closed within 20 s")
+			p.t.Fatal("no packet received and connection not closed within 20 s")
 		}
 		if e != nil {
 			return 0, nil
--- a/internal/mqttfront/repeat_test.go
+++ b/internal/mqttfront/repeat_test.go
@@ -95,8 +95,8 @@
 	p.send(mqtt.AppendAck(nil, mqtt.V5, mqtt.PUBCOMP, id, mqtt.Success, ""))
 }
 
-// resume reconnects the client of a session and checks that it receives the answer first
-// again.
+// resume reconnects the client of a session, which must receive its unacknowledged answer,
+// first, once more.
 func resume(t *testing.T, p *testClient, addr string, first receivedAnswer) *testClient {
 	t.Helper()
 	_ = p.conn.Close()
--- a/internal/webpush/front.go
+++ b/internal/webpush/front.go
@@ -32,7 +32,7 @@
 type Observer interface {
 	// Push reports, at each tick, the number of connections, of messages and of receipt
 	// subscriptions.
-	Push(connections, messages, boxes int)
+	Push(connections, messages, subscriptions int)
 	// NotTaken is called for each message that the core does not accept, with the reason.
 	NotTaken(reason string)
 	// Handshake is called after each TLS handshake, with its error or nil.
@@ -186,7 +186,7 @@
 		case now := <-tick.C:
 			f.mu.Lock()
 			f.sweep(now)
-			messages, boxes := len(f.pushes), len(f.subscriptions)
+			messages, subscriptions := len(f.pushes), len(f.subscriptions)
 			f.mu.Unlock()
 			f.connMu.Lock()
 			n := len(f.conns)
@@ -200,7 +200,7 @@
 			for _, c := range late {
 				c.nb.Finish(front.Farewell)
 			}
-			f.opt.Observer.Push(n, messages, boxes)
+			f.opt.Observer.Push(n, messages, subscriptions)
 		}
 	}
 }
