--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -115,7 +115,8 @@
 		c.clear(a)
 	}
 	c.batch = append(c.batch, choice.Result{ID: m.id, Host: a.host, Attempt: a.attemptNo, Outcome: e.Outcome,
-		Took: e.Took, RetryAfter: e.Wait, Done: served || m.answered, NoMoreAttempts: e.AttemptsUsedUp, Report: e.LoadReport})
+		Took: e.Took, RetryAfter: e.Wait, Done: served || m.answered, NoMoreAttempts: e.AttemptsUsedUp,
+		Report: e.LoadReport})
 	if served {
 		c.answer(m, ledger.Answer{Verdict: ledger.Delivered})
 	}
--- a/internal/hookfront/request.go
+++ b/internal/hookfront/request.go
@@ -39,8 +39,8 @@
 		return nil, err
 	}
 	m := &core.Message{Source: c.name, Identity: id, Class: class, Partner: dest, RejectKnown: true,
-		Left: max(time.Duration(left)*time.Millisecond-c.readDelay(), time.Millisecond), RespondWithin: c.respondWithin(),
-		Front: Name, Body: r.Body}
+		Left:          max(time.Duration(left)*time.Millisecond-c.readDelay(), time.Millisecond),
+		RespondWithin: c.respondWithin(), Front: Name, Body: r.Body}
 	key, n := r.Only(idempotencyField)
 	if n > 1 || len(key) > 256 || strings.ContainsFunc(key, func(c rune) bool { return c < ' ' || c >= 0x7f }) {
 		return nil, fmt.Errorf("%s: %d fields, %.40q; one of at most 256 visible characters may be there",
--- a/internal/partner/hook.go
+++ b/internal/partner/hook.go
@@ -96,8 +96,8 @@
 //	answered       503, over slots       NotSent         all slots of this relay were in use; says nothing
 //	                                                     about the host
 //	answered       503                   Refused         it has not run
-//	answered       504                   NotSent, Spent  its attempts are used up; its notice is still due
-//	answered       410                   NotSent, Over   it was cancelled or has expired; no notice is due
+//	answered       504                   NotSent         AttemptsUsedUp; its notice is still due
+//	answered       410                   NotSent         Abandon; it was cancelled or has expired; no notice is due
 //	answered       400, 413, several     NotSent         none of them has run; the fault is this relay's
 //	answered       any other             Error           it may have run
 //
