--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -19,7 +19,7 @@
 )
 
 // clientWaits is how long a client waits for its answer (PROTOCOL).
-const clientWaits = 400 * time.Millisecond
+const clientTimeout = 400 * time.Millisecond
 
 // Client hands messages in to one node, one after the other, and keeps its connection.
 type Client struct {
@@ -34,18 +34,18 @@
 	Rude     func() bool // whether the next request is left half sent; may be nil
 	Ends     func() bool // whether the client ends its sending behind the next request; may be nil
 
-	conn    net.Conn
-	reader  *bufio.Reader
-	used    bool
-	numbers int
-	r       *rand.Rand
+	conn       net.Conn
+	reader     *bufio.Reader
+	used       bool
+	lastNumber int
+	r          *rand.Rand
 }
 
 // Run hands in until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	c.r = rand.New(rand.NewPCG(c.Seed, 0xc))
 	for ctx.Err() == nil {
-		c.hand(ctx)
+		c.handIn(ctx)
 		pause.For(ctx, time.Duration(c.r.Int64N(int64(c.Pause)+1)))
 	}
 	c.drop()
@@ -59,10 +59,10 @@
 }
 
 // course of the next request.
-func (c *Client) course() *Course {
+func (c *Client) newHistory() *Course {
 	lane := c.Lanes[c.r.IntN(len(c.Lanes))]
-	c.numbers++
-	x := &Course{ID: fmt.Sprintf("%s-%d", c.Name, c.numbers), Node: c.Node, Lane: lane, Number: c.numbers}
+	c.lastNumber++
+	x := &Course{ID: fmt.Sprintf("%s-%d", c.Name, c.lastNumber), Node: c.Node, Lane: lane, Number: c.lastNumber}
 	if lane.Ordered {
 		x.Key = c.Name
 	}
@@ -70,7 +70,7 @@
 }
 
 // request as it goes over the wire.
-func (c *Client) request(x *Course) string {
+func (c *Client) encodeRequest(x *Course) string {
 	var b strings.Builder
 	dest := len(c.Name) // any that stays the same for a key
 	for _, ch := range c.Name {
@@ -94,14 +94,14 @@
 
 // hand hands in one message. One that crossed the close of a resting connection goes out
 // once more on a new one.
-func (c *Client) hand(ctx context.Context) {
+func (c *Client) handIn(ctx context.Context) {
 	for range 2 {
 		fresh := c.conn == nil
 		if fresh && !c.dial(ctx) {
 			return
 		}
-		x := c.course()
-		reply := c.ask(x, fresh)
+		x := c.newHistory()
+		reply := c.exchange(x, fresh)
 		c.Platform.Record.Replied(x.ID, reply)
 		if !reply.Complete || reply.End != "" {
 			c.drop()
@@ -113,7 +113,7 @@
 }
 
 func (c *Client) dial(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, clientWaits)
+	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", c.Addr)
 	if err != nil {
@@ -124,8 +124,8 @@
 }
 
 // ask sends a request and reads its response.
-func (c *Client) ask(x *Course, fresh bool) Reply {
-	text := c.request(x)
+func (c *Client) exchange(x *Course, fresh bool) Reply {
+	text := c.encodeRequest(x)
 	x.Sent = time.Now()
 	x.Due = x.Sent.Add(c.Left)
 	c.Platform.Record.Sent(x)
@@ -139,13 +139,13 @@
 		return Reply{At: time.Now(), End: "left", Fresh: fresh}
 	}
 	if err != nil {
-		return Reply{At: time.Now(), End: endOf(err), Fresh: fresh}
+		return Reply{At: time.Now(), End: connectionEnd(err), Fresh: fresh}
 	}
 	ends := c.Ends != nil && c.Ends()
 	if tcp, ok := c.conn.(*net.TCPConn); ok && ends {
 		_ = tcp.CloseWrite()
 	}
-	_ = c.conn.SetReadDeadline(time.Now().Add(clientWaits))
+	_ = c.conn.SetReadDeadline(time.Now().Add(clientTimeout))
 	reply := c.read()
 	if ends {
 		c.drop()
@@ -165,7 +165,7 @@
 	}
 	reply := Reply{At: time.Now(), Text: got.String()}
 	if err != nil {
-		reply.End = endOf(err)
+		reply.End = connectionEnd(err)
 		return reply
 	}
 	reply.Status, reply.Complete = r.StatusCode, true
@@ -178,7 +178,7 @@
 }
 
 // endOf tells how a connection ended.
-func endOf(err error) string {
+func connectionEnd(err error) string {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return "timeout"
--- a/internal/emulator/course.go
+++ b/internal/emulator/course.go
@@ -53,7 +53,7 @@
 	Wait   time.Duration
 	Waited time.Duration // how long the relay said that it waits for the answer; 0 for nothing said
 
-	conn *faulty // that carried it
+	conn *faultyConn // that carried it
 }
 
 // Notice is one notice of a message.
@@ -112,43 +112,47 @@
 
 // Record keeps what passed. It is safe for concurrent use.
 type Record struct {
-	mu      sync.Mutex
-	began   time.Time // the first request
-	courses map[string]*Course
-	order   map[string][]string // ids by node, lane and key, in the order of their effects
-	lives   []*Life
-	drains  []drain
-	shut    []span
-	folder  []span
-	writes  []span
-	strange []string // calls and notices of messages that nobody sent
+	mu           sync.Mutex
+	began        time.Time // the first request
+	histories    map[string]*Course
+	effectOrder  map[string][]string // ids by node, lane and key, in the order of their effects
+	processes    []*Life
+	hostStates   []hostState
+	closePeriods []nodePeriod
+	diskFaults   []nodePeriod
+	writeFaults  []nodePeriod
+	unknown      []string // calls and notices of messages that nobody sent
 }
 
 // span is a time of one relay.
-type span struct {
+type nodePeriod struct {
 	node     int
 	from, to time.Time
 }
 
 // MayShut notes a time, from now on, in which a relay may shut new connections unread: it has no
 // room for them, or the system gives it none.
-func (r *Record) MayShut(node int, length time.Duration) { r.note(&r.shut, node, length) }
+func (r *Record) MayShut(node int, length time.Duration) { r.addPeriod(&r.closePeriods, node, length) }
 
 // FolderFails notes a time, from now on, in which writes to the folder of a relay may fail.
-func (r *Record) FolderFails(node int, length time.Duration) { r.note(&r.folder, node, length) }
+func (r *Record) FolderFails(node int, length time.Duration) {
+	r.addPeriod(&r.diskFaults, node, length)
+}
 
 // WritesFail notes a time, from now on, in which a relay can write to no socket.
-func (r *Record) WritesFail(node int, length time.Duration) { r.note(&r.writes, node, length) }
+func (r *Record) WritesFail(node int, length time.Duration) {
+	r.addPeriod(&r.writeFaults, node, length)
+}
 
-func (r *Record) note(spans *[]span, node int, length time.Duration) {
+func (r *Record) addPeriod(spans *[]nodePeriod, node int, length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	*spans = append(*spans, span{node, now, now.Add(length)})
+	*spans = append(*spans, nodePeriod{node, now, now.Add(length)})
 }
 
 // covers tells whether spans of a node, in the order of their beginnings, lie over all of a time.
-func covers(spans []span, node int, from, to time.Time) bool {
+func covers(spans []nodePeriod, node int, from, to time.Time) bool {
 	for _, s := range spans {
 		if s.node == node && s.from.Before(from) && s.to.After(from) {
 			from = s.to
@@ -158,16 +162,16 @@
 }
 
 // within tells whether one of some spans of a node shares a moment with a time.
-func within(spans []span, node int, from, to time.Time) bool {
-	return slices.ContainsFunc(spans, func(s span) bool { return s.node == node && s.from.Before(to) && s.to.After(from) })
+func overlaps(spans []nodePeriod, node int, from, to time.Time) bool {
+	return slices.ContainsFunc(spans, func(s nodePeriod) bool { return s.node == node && s.from.Before(to) && s.to.After(from) })
 }
 
 // drain is what one relay was told of one host.
-type drain struct {
-	node  int
-	host  string
-	at    time.Time // written to the relay
-	wants bool      // the host wants new work
+type hostState struct {
+	node        int
+	host        string
+	at          time.Time // written to the relay
+	acceptsWork bool      // the host wants new work
 }
 
 // Listed notes which hosts want new work, or want none, by a list that was written to a relay.
@@ -176,14 +180,14 @@
 	defer r.mu.Unlock()
 	for _, t := range targets {
 		if (t.State == "up") == wants {
-			r.drains = append(r.drains, drain{node, t.UID, at, wants})
+			r.hostStates = append(r.hostStates, hostState{node, t.UID, at, wants})
 		}
 	}
 }
 
 // NewRecord makes an empty one.
 func NewRecord() *Record {
-	return &Record{courses: map[string]*Course{}, order: map[string][]string{}}
+	return &Record{histories: map[string]*Course{}, effectOrder: map[string][]string{}}
 }
 
 // Sent notes a request before its first byte.
@@ -194,7 +198,7 @@
 		r.began = c.Sent
 	}
 	c.began = r.began
-	r.courses[c.ID] = c
+	r.histories[c.ID] = c
 }
 
 // Read notes that a relay said that it had read a request whole; one that nobody sent is
@@ -202,7 +206,7 @@
 func (r *Record) Read(id string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if x := r.courses[id]; x != nil {
+	if x := r.histories[id]; x != nil {
 		x.Read = at
 	}
 }
@@ -211,7 +215,7 @@
 func (r *Record) Responded(id string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if x := r.courses[id]; x != nil {
+	if x := r.histories[id]; x != nil {
 		x.Handed = at
 	}
 }
@@ -220,16 +224,16 @@
 func (r *Record) Replied(id string, reply Reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.courses[id].Reply = reply
+	r.histories[id].Reply = reply
 }
 
 // Called notes a call that was read to its last byte, and returns its number there.
 func (r *Record) Called(id string, c Call) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	x := r.courses[id]
+	x := r.histories[id]
 	if x == nil {
-		r.strange = append(r.strange, "call of "+id)
+		r.unknown = append(r.unknown, "call of "+id)
 		return -1
 	}
 	c.conn.node.Store(int64(x.Node))
@@ -241,14 +245,14 @@
 func (r *Record) Ran(id string, number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	x := r.courses[id]
+	x := r.histories[id]
 	if x == nil || number < 0 {
 		return
 	}
 	x.Calls[number].Ran = true
 	if x.Lane.Ordered {
 		key := fmt.Sprintf("%d %s %s", x.Node, x.Lane.Name, x.Key)
-		r.order[key] = append(r.order[key], id)
+		r.effectOrder[key] = append(r.effectOrder[key], id)
 	}
 }
 
@@ -257,7 +261,7 @@
 func (r *Record) Answers(id string, number, status int, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if x := r.courses[id]; x != nil && number >= 0 {
+	if x := r.histories[id]; x != nil && number >= 0 {
 		x.Calls[number].Status, x.Calls[number].Wait, x.Calls[number].Begun = status, wait, time.Now()
 	}
 }
@@ -266,7 +270,7 @@
 func (r *Record) Answered(id string, number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if x := r.courses[id]; x != nil && number >= 0 {
+	if x := r.histories[id]; x != nil && number >= 0 {
 		x.Calls[number].Told = time.Now()
 	}
 }
@@ -275,7 +279,7 @@
 func (r *Record) Over(id string, number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if x := r.courses[id]; x != nil && number >= 0 {
+	if x := r.histories[id]; x != nil && number >= 0 {
 		x.Calls[number].Over = time.Now()
 	}
 }
@@ -284,9 +288,9 @@
 func (r *Record) Noticed(id string, result string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	x := r.courses[id]
+	x := r.histories[id]
 	if x == nil {
-		r.strange = append(r.strange, "notice of "+id)
+		r.unknown = append(r.unknown, "notice of "+id)
 		return
 	}
 	x.Notices = append(x.Notices, Notice{time.Now(), result})
@@ -297,7 +301,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := &Life{Node: node, Started: time.Now()}
-	r.lives = append(r.lives, l)
+	r.processes = append(r.processes, l)
 	return l
 }
 
@@ -312,7 +316,7 @@
 func (r *Record) Open() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, c := range r.courses {
+	for _, c := range r.histories {
 		if c.taken() && !c.delivered() && len(c.Notices) == 0 {
 			n++
 		}
@@ -321,7 +325,7 @@
 }
 
 // over tells whether a message had been called, or had ended, by a moment.
-func (c *Course) over(by time.Time) bool {
+func (c *Course) triedBy(by time.Time) bool {
 	return len(c.Calls) > 0 && c.Calls[0].At.Before(by) || len(c.Notices) > 0 && c.Notices[0].At.Before(by)
 }
 
@@ -362,14 +366,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	by = map[string]int{}
-	for _, c := range r.courses {
+	for _, c := range r.histories {
 		what := c.Reply.End
 		if c.Reply.Complete {
 			what = fmt.Sprint(c.Reply.Status)
 		}
 		by[what]++
 	}
-	return len(r.courses), by
+	return len(r.histories), by
 }
 
 // Service counts what became of the messages that clients handed in.
@@ -388,7 +392,7 @@
 	defer r.mu.Unlock()
 	total := time.Duration(0)
 	defer func() { s.After = total / time.Duration(max(1, s.Delivered)) }()
-	for _, c := range r.courses {
+	for _, c := range r.histories {
 		s.Calls += len(c.Calls)
 		if !c.taken() {
 			continue
@@ -405,12 +409,12 @@
 }
 
 // clientsCome is how long new connections keep coming after SIGTERM (PROTOCOL).
-const clientsCome = 400 * time.Millisecond
+const newConnectionsFor = 400 * time.Millisecond
 
 // leavesAt tells whether a request was sent while its relay leaves and clients still come; under mu.
-func (r *Record) leavesAt(c *Course) bool {
-	for _, l := range r.lives {
-		if l.Node == c.Node && !l.Told.IsZero() && c.Sent.After(l.Told) && c.Sent.Before(l.Told.Add(clientsCome)) {
+func (r *Record) sentWhileLeaving(c *Course) bool {
+	for _, l := range r.processes {
+		if l.Node == c.Node && !l.Told.IsZero() && c.Sent.After(l.Told) && c.Sent.Before(l.Told.Add(newConnectionsFor)) {
 			return true
 		}
 	}
@@ -419,8 +423,8 @@
 
 // endsNear tells whether a process of a node ended within a second of a moment, which excuses
 // what happened then; under mu.
-func (r *Record) endsNear(node int, at time.Time) bool {
-	return slices.ContainsFunc(r.lives, func(l *Life) bool {
+func (r *Record) processEndedNear(node int, at time.Time) bool {
+	return slices.ContainsFunc(r.processes, func(l *Life) bool {
 		return l.Node == node && !l.Ended.IsZero() && l.Ended.After(at.Add(-time.Second)) && l.Killed.Before(at.Add(time.Second))
 	})
 }
@@ -430,7 +434,7 @@
 func (r *Record) Plant(what string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, c := range r.courses {
+	for _, c := range r.histories {
 		switch {
 		case what == "answer-cut" && c.taken() && len(c.Calls) > 0:
 			c.Reply = Reply{At: c.Reply.At, Text: "HTTP/1.1 2", End: "eof"}
@@ -438,12 +442,12 @@
 			c.Calls = append(c.Calls, Call{At: c.Reply.At.Add(2 * time.Second), Host: "planted", Status: 200, Ran: true})
 		case what == "record-after-answer" && c.taken() && c.delivered():
 			c.Calls, c.Notices = nil, nil
-		case what == "unanswered" && c.taken() && !c.Read.IsZero() && len(c.Calls) > 0 && !r.endsNear(c.Node, c.Sent):
-			c.Reply = Reply{At: c.Sent.Add(clientWaits), End: "timeout"}
-		case what == "reset-while-leaving" && c.Reply.Complete && c.Reply.Fresh && r.leavesAt(c):
+		case what == "unanswered" && c.taken() && !c.Read.IsZero() && len(c.Calls) > 0 && !r.processEndedNear(c.Node, c.Sent):
+			c.Reply = Reply{At: c.Sent.Add(clientTimeout), End: "timeout"}
+		case what == "reset-while-leaving" && c.Reply.Complete && c.Reply.Fresh && r.sentWhileLeaving(c):
 			c.Reply = Reply{At: c.Reply.At, End: "reset", Fresh: true}
 		case what == "served-and-refused" && c.taken() && c.delivered() && len(c.Notices) == 0 && c.Calls[len(c.Calls)-1].Waited > time.Second/4 &&
-			!r.endsNear(c.Node, c.Calls[len(c.Calls)-1].At):
+			!r.processEndedNear(c.Node, c.Calls[len(c.Calls)-1].At):
 			c.Notices = []Notice{{At: c.Calls[len(c.Calls)-1].Told.Add(time.Second), Result: "bounced"}}
 		case what == "second-effect" && c.Lane.Effect == AtMostOnce && c.delivered():
 			c.Calls = append(c.Calls, c.Calls[0])
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -16,40 +16,40 @@
 
 // Network is the way to one server, with faults of its own. It sees bytes, not messages.
 type Network struct {
-	mu     sync.Mutex
-	hold   bool // bytes come up to LongestHold later
-	resets bool // connections are reset: under a request, an answer, or at rest
-	copies bool // some of what the server writes comes a second time
-	r      *rand.Rand
+	mu      sync.Mutex
+	delays  bool // bytes come up to LongestHold later
+	resets  bool // connections are reset: under a request, an answer, or at rest
+	repeats bool // some of what the server writes comes a second time
+	r       *rand.Rand
 
-	accepted int      // connections
-	copied   []copied // in the order of their times
+	accepted int             // connections
+	repeated []repeatedWrite // in the order of their times
 }
 
 // copied is a second copy that was written.
-type copied struct {
+type repeatedWrite struct {
 	at   time.Time
-	conn *faulty
+	conn *faultyConn
 	node int // of the relay at the other end
 }
 
 // Hold has bytes come late, Reset has connections reset, Repeat has what the server writes
 // come a second time.
-func (n *Network) Hold(on bool)   { n.set(&n.hold, on) }
-func (n *Network) Reset(on bool)  { n.set(&n.resets, on) }
-func (n *Network) Repeat(on bool) { n.set(&n.copies, on) }
+func (n *Network) Hold(on bool)   { n.setFlag(&n.delays, on) }
+func (n *Network) Reset(on bool)  { n.setFlag(&n.resets, on) }
+func (n *Network) Repeat(on bool) { n.setFlag(&n.repeats, on) }
 
-func (n *Network) set(what *bool, on bool) {
+func (n *Network) setFlag(what *bool, on bool) {
 	n.mu.Lock()
 	*what = on
 	n.mu.Unlock()
 }
 
 // draw is what becomes of some bytes.
-func (n *Network) draw() (hold time.Duration, reset bool) {
+func (n *Network) drawFault() (hold time.Duration, reset bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.hold {
+	if n.delays {
 		hold = time.Duration(n.r.Int64N(int64(LongestHold)))
 	}
 	return hold, n.resets && n.r.IntN(3) == 0
@@ -61,45 +61,45 @@
 	// LongestRepeat is how much later a second copy comes at most.
 	LongestRepeat = 2 * time.Second
 	// repeatTogether is the grid to which some copies wait, so that several come at once.
-	repeatTogether = 250 * time.Millisecond
+	repeatGrid = 250 * time.Millisecond
 )
 
 // repeatWithin are the spans within which a copy follows, each as likely as the others.
-var repeatWithin = [...]time.Duration{15 * time.Millisecond, 300 * time.Millisecond, LongestRepeat}
+var repeatDelays = [...]time.Duration{15 * time.Millisecond, 300 * time.Millisecond, LongestRepeat}
 
 // drawRepeat decides whether a second copy of a write follows, and after which time.
 func (n *Network) drawRepeat(now time.Time) (after time.Duration, repeats bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.copies || n.r.Float64() >= repeatShare {
+	if !n.repeats || n.r.Float64() >= repeatShare {
 		return 0, false
 	}
-	after = time.Duration(n.r.Int64N(int64(repeatWithin[n.r.IntN(len(repeatWithin))])))
+	after = time.Duration(n.r.Int64N(int64(repeatDelays[n.r.IntN(len(repeatDelays))])))
 	if n.r.IntN(4) == 0 {
-		after = now.Add(after).Truncate(repeatTogether).Add(repeatTogether).Sub(now)
+		after = now.Add(after).Truncate(repeatGrid).Add(repeatGrid).Sub(now)
 	}
 	return min(after, LongestRepeat), true
 }
 
 // noteCopy notes a second copy.
-func (n *Network) noteCopy(f *faulty) {
+func (n *Network) recordRepeat(f *faultyConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.copied = append(n.copied, copied{time.Now(), f, int(f.node.Load())})
+	n.repeated = append(n.repeated, repeatedWrite{time.Now(), f, int(f.node.Load())})
 }
 
 // copiedTo tells whether a second copy was written to a relay between two moments.
-func (n *Network) copiedTo(node int, from, to time.Time) bool {
+func (n *Network) repeatedTo(node int, from, to time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.ContainsFunc(n.copied, func(x copied) bool { return x.node == node && x.at.After(from) && x.at.Before(to) })
+	return slices.ContainsFunc(n.repeated, func(x repeatedWrite) bool { return x.node == node && x.at.After(from) && x.at.Before(to) })
 }
 
 // copiedOn tells whether one was written on a connection between two moments.
-func (f *faulty) copiedOn(from, to time.Time) bool {
+func (f *faultyConn) repeatedWithin(from, to time.Time) bool {
 	f.network.mu.Lock()
 	defer f.network.mu.Unlock()
-	return slices.ContainsFunc(f.network.copied, func(x copied) bool { return x.conn == f && x.at.After(from) && x.at.Before(to) })
+	return slices.ContainsFunc(f.network.repeated, func(x repeatedWrite) bool { return x.conn == f && x.at.After(from) && x.at.Before(to) })
 }
 
 // Accepted counts connections.
@@ -123,11 +123,11 @@
 	l.network.mu.Lock()
 	l.network.accepted++
 	l.network.mu.Unlock()
-	return &faulty{Conn: c, network: l.network}, nil
+	return &faultyConn{Conn: c, network: l.network}, nil
 }
 
 // faulty is one connection.
-type faulty struct {
+type faultyConn struct {
 	net.Conn
 	network *Network
 	node    atomic.Int64 // of the relay at the other end, once a call of it has come
@@ -135,18 +135,18 @@
 }
 
 // breaks notes that the server's side ends the connection.
-func (f *faulty) breaks() { f.broken.CompareAndSwap(0, time.Now().UnixNano()) }
+func (f *faultyConn) markBroken() { f.broken.CompareAndSwap(0, time.Now().UnixNano()) }
 
 // brokeBefore tells whether the server's side ended the connection behind a moment and before a notice.
-func (f *faulty) brokeBefore(behind, notice time.Time) bool {
+func (f *faultyConn) brokeBetween(behind, notice time.Time) bool {
 	at := f.broken.Load()
 	return at != 0 && at > behind.UnixNano() && at < notice.Add(LongestHold).UnixNano()
 }
 
-func (f *faulty) Read(b []byte) (int, error) {
+func (f *faultyConn) Read(b []byte) (int, error) {
 	n, err := f.Conn.Read(b)
 	if err == nil {
-		err = f.pass()
+		err = f.injectFaults()
 	}
 	if err != nil {
 		n = 0
@@ -154,15 +154,15 @@
 	return n, err
 }
 
-func (f *faulty) Write(b []byte) (int, error) {
-	if err := f.pass(); err != nil {
+func (f *faultyConn) Write(b []byte) (int, error) {
+	if err := f.injectFaults(); err != nil {
 		return 0, err
 	}
 	n, err := f.Conn.Write(b)
 	if after, repeats := f.network.drawRepeat(time.Now()); repeats && err == nil {
 		again := bytes.Clone(b)
 		time.AfterFunc(after, func() {
-			f.network.noteCopy(f)
+			f.network.recordRepeat(f)
 			_, _ = f.Conn.Write(again)
 		})
 	}
@@ -170,13 +170,13 @@
 }
 
 // pass holds bytes up, or resets the connection.
-func (f *faulty) pass() error {
-	hold, reset := f.network.draw()
+func (f *faultyConn) injectFaults() error {
+	hold, reset := f.network.drawFault()
 	time.Sleep(hold)
 	if !reset {
 		return nil
 	}
-	f.breaks()
+	f.markBroken()
 	if tcp, ok := f.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -112,7 +112,7 @@
 	node     int
 	platform *Platform
 	mu       sync.Mutex
-	now      *server // the address that counts
+	current  *server // the address that counts
 	silent   bool    // lists do not come, open watches stand still
 	mute     bool    // notices are not answered
 }
@@ -130,7 +130,7 @@
 }
 
 // oldAddress is how long an agent's old address keeps its connections (DAYS).
-const oldAddress = 1500 * time.Millisecond
+const oldAddressGrace = 1500 * time.Millisecond
 
 // Move opens a further address, which counts from now on; the old one takes no new
 // connection and ends those it has after a while.
@@ -143,12 +143,12 @@
 		return err
 	}
 	a.mu.Lock()
-	old := a.now
-	a.now = s
+	old := a.current
+	a.current = s
 	a.mu.Unlock()
 	if old != nil {
 		_ = old.listener.Close()
-		time.AfterFunc(oldAddress, func() { _ = old.http.Close() })
+		time.AfterFunc(oldAddressGrace, func() { _ = old.http.Close() })
 	}
 	return nil
 }
@@ -157,27 +157,27 @@
 func (a *Agent) Addr() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.now.addr()
+	return a.current.addr()
 }
 
 // Silent has the watch bring nothing, Mute has notices stay without an answer.
-func (a *Agent) Silent(on bool) { a.set(&a.silent, on) }
-func (a *Agent) Mute(on bool)   { a.set(&a.mute, on) }
+func (a *Agent) Silent(on bool) { a.setFlag(&a.silent, on) }
+func (a *Agent) Mute(on bool)   { a.setFlag(&a.mute, on) }
 
-func (a *Agent) set(what *bool, on bool) {
+func (a *Agent) setFlag(what *bool, on bool) {
 	a.mu.Lock()
 	*what = on
 	a.mu.Unlock()
 }
 
-func (a *Agent) is(what *bool) bool {
+func (a *Agent) flag(what *bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return *what
 }
 
 // alive is how often an unchanged watch brings an empty line.
-const alive = 2 * time.Second
+const emptyLineInterval = 2 * time.Second
 
 func (a *Agent) watch(w http.ResponseWriter, r *http.Request) {
 	last := int64(-1)
@@ -191,15 +191,15 @@
 			line, _ = json.Marshal(list)
 			line = append(line, '\n')
 		}
-		if !a.is(&a.silent) {
+		if !a.flag(&a.silent) {
 			last = list.Rev
 			at := time.Now() // the relay may act on it before the write returns
 			_, err := w.Write(line)
 			if errors.Join(err, http.NewResponseController(w).Flush()) == nil {
-				a.told(r.Context(), at, list.Targets)
+				a.recordList(r.Context(), at, list.Targets)
 			}
 		}
-		timer := time.NewTimer(alive / 8)
+		timer := time.NewTimer(emptyLineInterval / 8)
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -211,13 +211,13 @@
 
 // stands is how long a watch has to stand after a list was written for the relay to have it
 // for sure: a write to a connection that the relay has left succeeds as well.
-const stands = 100 * time.Millisecond
+const listReceivedAfter = 100 * time.Millisecond
 
 // told notes that a list was written to the relay: hosts that want work at once, those that
 // want none once it is sure that the relay knows.
-func (a *Agent) told(watch context.Context, at time.Time, targets []agent.Target) {
+func (a *Agent) recordList(watch context.Context, at time.Time, targets []agent.Target) {
 	a.platform.Record.Listed(a.node, at, targets, true)
-	time.AfterFunc(stands, func() {
+	time.AfterFunc(listReceivedAfter, func() {
 		if watch.Err() == nil {
 			a.platform.Record.Listed(a.node, at, targets, false)
 		}
@@ -241,7 +241,7 @@
 	for _, n := range all {
 		a.platform.Record.Noticed(n.Ref, n.Result)
 	}
-	if a.is(&a.mute) {
+	if a.flag(&a.mute) {
 		<-r.Context().Done()
 		return
 	}
@@ -281,7 +281,7 @@
 }
 
 // fate is what becomes of one call.
-type fate struct {
+type outcome struct {
 	status int // 0: no answer
 	ran    bool
 	cut    bool // the connection ends: without an answer, or within it
@@ -292,12 +292,12 @@
 }
 
 // hostTime is the longest that a host which is well takes.
-const hostTime = 20 * time.Millisecond
+const maxHostDelay = 20 * time.Millisecond
 
-func (h *Host) draw() fate {
+func (h *Host) drawOutcome() outcome {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	f := fate{status: 200, ran: true, pause: time.Duration(h.r.Int64N(int64(hostTime)))}
+	f := outcome{status: 200, ran: true, pause: time.Duration(h.r.Int64N(int64(maxHostDelay)))}
 	x := h.r.Float64()
 	switch h.mood {
 	case Failing:
@@ -333,9 +333,9 @@
 
 // item is one message of a call.
 type item struct {
-	ID     string `json:"id"`
-	number int
-	fate   fate
+	ID        string `json:"id"`
+	callIndex int
+	outcome   outcome
 }
 
 func (h *Host) serve(w http.ResponseWriter, r *http.Request) {
@@ -354,27 +354,27 @@
 	}
 	rec := h.platform.Record
 	waited, _ := strconv.ParseInt(r.Header.Get("X-Remaining-Ms"), 10, 32) // 0 where nothing is said
-	conn, _ := r.Context().Value(connKey{}).(*faulty)
+	conn, _ := r.Context().Value(connKey{}).(*faultyConn)
 	for _, x := range items {
-		x.number = rec.Called(x.ID, Call{At: time.Now(), Host: h.UID, Waited: time.Duration(waited) * time.Millisecond, conn: conn})
-		x.fate = h.draw()
+		x.callIndex = rec.Called(x.ID, Call{At: time.Now(), Host: h.UID, Waited: time.Duration(waited) * time.Millisecond, conn: conn})
+		x.outcome = h.drawOutcome()
 	}
 	defer func() {
 		for _, x := range items {
-			rec.Over(x.ID, x.number)
+			rec.Over(x.ID, x.callIndex)
 		}
 	}()
-	first := items[0].fate
+	first := items[0].outcome
 	if !pause.For(r.Context(), first.pause) && !first.ran {
 		return // called off before it ran
 	}
 	for _, x := range items {
-		if x.fate.ran {
-			rec.Ran(x.ID, x.number)
+		if x.outcome.ran {
+			rec.Ran(x.ID, x.callIndex)
 		}
 	}
 	if first.blank {
-		h.blank(w)
+		h.answerBlank(w)
 		return
 	}
 	if first.status == 0 && !first.cut {
@@ -382,11 +382,11 @@
 		return
 	}
 	if first.cut {
-		h.end(w, first.status)
+		h.disconnect(w, first.status)
 		return
 	}
 	if first.forget {
-		defer h.forget(w)
+		defer h.closeAfterAnswer(w)
 	}
 	if several {
 		h.answerAll(w, items)
@@ -399,10 +399,10 @@
 		w.Header().Set("X-RateLimit-Wait-Ms", strconv.FormatInt(first.wait.Milliseconds(), 10))
 	}
 	w.Header().Set("Content-Length", "0")
-	rec.Answers(items[0].ID, items[0].number, first.status, first.wait)
+	rec.Answers(items[0].ID, items[0].callIndex, first.status, first.wait)
 	w.WriteHeader(first.status)
 	if http.NewResponseController(w).Flush() == nil {
-		rec.Answered(items[0].ID, items[0].number)
+		rec.Answered(items[0].ID, items[0].callIndex)
 	}
 }
 
@@ -415,18 +415,18 @@
 	var ends []end
 	wait := time.Duration(0)
 	for _, x := range items {
-		wait = max(wait, x.fate.wait)
+		wait = max(wait, x.outcome.wait)
 	}
 	if wait > 0 {
 		w.Header().Set("X-RateLimit-Wait-Ms", strconv.FormatInt(wait.Milliseconds(), 10))
 	}
 	for _, x := range items {
-		if x.fate.status == 0 {
-			x.fate.status = 500
+		if x.outcome.status == 0 {
+			x.outcome.status = 500
 		}
-		state := map[int]string{200: "delivered", 500: "failed", 429: "refused", 503: "refused"}[x.fate.status]
+		state := map[int]string{200: "delivered", 500: "failed", 429: "refused", 503: "refused"}[x.outcome.status]
 		ends = append(ends, end{x.ID, state})
-		h.platform.Record.Answers(x.ID, x.number, x.fate.status, x.fate.wait)
+		h.platform.Record.Answers(x.ID, x.callIndex, x.outcome.status, x.outcome.wait)
 	}
 	text, _ := json.Marshal(ends)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -434,26 +434,26 @@
 		return
 	}
 	for _, x := range items {
-		h.platform.Record.Answered(x.ID, x.number)
+		h.platform.Record.Answered(x.ID, x.callIndex)
 	}
 }
 
 // end ends a connection under its request, within a begun answer if there is one to be.
-func (h *Host) end(w http.ResponseWriter, status int) {
+func (h *Host) disconnect(w http.ResponseWriter, status int) {
 	conn, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	if f, ok := conn.(*faulty); ok {
-		f.breaks()
+	if f, ok := conn.(*faultyConn); ok {
+		f.markBroken()
 	}
 	if status != 0 {
 		_, _ = buf.WriteString("HTTP/1.1 2")
 		_ = buf.Flush()
 		return
 	}
-	if f, ok := conn.(*faulty); ok {
+	if f, ok := conn.(*faultyConn); ok {
 		if tcp, ok := f.Conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0) // a reset
 		}
@@ -461,10 +461,10 @@
 }
 
 // blank answers with a header that has no status.
-func (h *Host) blank(w http.ResponseWriter) {
+func (h *Host) answerBlank(w http.ResponseWriter) {
 	if conn, buf, err := http.NewResponseController(w).Hijack(); err == nil {
-		if f, ok := conn.(*faulty); ok {
-			f.breaks()
+		if f, ok := conn.(*faultyConn); ok {
+			f.markBroken()
 		}
 		_, _ = buf.WriteString("HTTP/1.1 \r\n\r\n")
 		_ = buf.Flush()
@@ -473,11 +473,11 @@
 }
 
 // forget closes the connection behind its answer.
-func (h *Host) forget(w http.ResponseWriter) {
+func (h *Host) closeAfterAnswer(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).Flush()
 	if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
-		if f, ok := conn.(*faulty); ok {
-			f.breaks()
+		if f, ok := conn.(*faultyConn); ok {
+			f.markBroken()
 		}
 		_ = conn.Close()
 	}
--- a/internal/emulator/trace.go
+++ b/internal/emulator/trace.go
@@ -15,7 +15,7 @@
 	now, mono := time.Now(), trace.Now()
 	out := json.NewEncoder(w)
 	var failed error
-	for _, c := range r.courses {
+	for _, c := range r.histories {
 		step := func(name string, at time.Time, values map[string]any) {
 			if at.IsZero() || failed != nil {
 				return
--- a/internal/shim/call.go
+++ b/internal/shim/call.go
@@ -11,25 +11,25 @@
 )
 
 // longestStall is how long a write may be held up.
-const longestStall = 150 * time.Millisecond
+const maxStall = 150 * time.Millisecond
 
 // call decides what becomes of a system call that is about to be made.
-func (t *tracer) call(pid int) {
+func (t *tracer) syscallEntry(pid int) {
 	var regs unix.PtraceRegs
 	if unix.PtraceGetRegs(pid, &regs) != nil {
 		return // killed meanwhile
 	}
 	if regs.Orig_rax == unix.SYS_CLOCK_GETTIME {
-		t.clock(pid, &regs)
+		t.clockGettime(pid, &regs)
 		return
 	}
-	if t.p.any.Load() == 0 {
-		t.polls = t.polls || regs.Orig_rax == unix.SYS_EPOLL_CTL
+	if t.process.activeKinds.Load() == 0 {
+		t.pollerReady = t.pollerReady || regs.Orig_rax == unix.SYS_EPOLL_CTL
 		return
 	}
-	if t.p.is(DiskDown) && t.changesState(pid, &regs) {
-		t.instead(pid, &regs, -int64(unix.EIO))
-		t.p.hit(DiskDown)
+	if t.process.isActive(DiskDown) && t.modifiesState(pid, &regs) {
+		t.skipWith(pid, &regs, -int64(unix.EIO))
+		t.process.countHit(DiskDown)
 		return
 	}
 	switch regs.Orig_rax {
@@ -40,17 +40,17 @@
 	case unix.SYS_PWRITE64:
 		t.writeFile(pid, &regs)
 	case unix.SYS_FTRUNCATE:
-		t.fail(pid, &regs, TruncFails, t.inState(pid, regs.Rdi), unix.EIO)
+		t.fail(pid, &regs, TruncFails, t.fdInState(pid, regs.Rdi), unix.EIO)
 	case unix.SYS_OPENAT:
-		t.fail(pid, &regs, OpenFails, t.names(pid, regs.Rsi), unix.EIO)
+		t.fail(pid, &regs, OpenFails, t.pathInState(pid, regs.Rsi), unix.EIO)
 	case unix.SYS_RENAMEAT:
-		t.fail(pid, &regs, OpenFails, t.names(pid, regs.Rsi), unix.EIO)
+		t.fail(pid, &regs, OpenFails, t.pathInState(pid, regs.Rsi), unix.EIO)
 	case unix.SYS_UNLINKAT:
-		t.fail(pid, &regs, UnlinkFails, t.names(pid, regs.Rsi), unix.EIO)
+		t.fail(pid, &regs, UnlinkFails, t.pathInState(pid, regs.Rsi), unix.EIO)
 	case unix.SYS_ACCEPT4:
-		if t.p.is(AcceptDown) {
-			t.instead(pid, &regs, -int64(unix.ENFILE))
-			t.p.hit(AcceptDown)
+		if t.process.isActive(AcceptDown) {
+			t.skipWith(pid, &regs, -int64(unix.ENFILE))
+			t.process.countHit(AcceptDown)
 		} else if !t.fail(pid, &regs, AcceptFails, true, unix.ECONNABORTED, unix.ENFILE) {
 			t.fail(pid, &regs, AcceptNoRoom, true, unix.EMFILE, unix.ENOBUFS, unix.EPROTO)
 		}
@@ -60,65 +60,65 @@
 		t.fail(pid, &regs, ConnectFails, true, unix.EADDRNOTAVAIL, unix.ENETUNREACH)
 	case unix.SYS_EPOLL_CTL:
 		// Go's runtime has no way on where the first one of a process fails.
-		t.fail(pid, &regs, PollNoMemory, t.polls && regs.Rsi != unix.EPOLL_CTL_DEL, unix.ENOMEM)
-		t.polls = true
+		t.fail(pid, &regs, PollNoMemory, t.pollerReady && regs.Rsi != unix.EPOLL_CTL_DEL, unix.ENOMEM)
+		t.pollerReady = true
 	case unix.SYS_EPOLL_PWAIT:
 		t.fail(pid, &regs, PollInterrupted, true, unix.EINTR)
 	case unix.SYS_SETSOCKOPT, unix.SYS_GETSOCKOPT:
 		t.fail(pid, &regs, SockoptFails, true, unix.ENOBUFS, unix.ENOMEM)
 	case unix.SYS_PREAD64, unix.SYS_GETDENTS64:
-		t.fail(pid, &regs, FileReadFails, t.inState(pid, regs.Rdi), unix.EIO)
+		t.fail(pid, &regs, FileReadFails, t.fdInState(pid, regs.Rdi), unix.EIO)
 	}
 }
 
 // changesState tells whether a call would change the state folder.
-func (t *tracer) changesState(pid int, regs *unix.PtraceRegs) bool {
+func (t *tracer) modifiesState(pid int, regs *unix.PtraceRegs) bool {
 	switch regs.Orig_rax {
 	case unix.SYS_WRITE, unix.SYS_PWRITE64, unix.SYS_FTRUNCATE:
-		return t.inState(pid, regs.Rdi)
+		return t.fdInState(pid, regs.Rdi)
 	case unix.SYS_OPENAT, unix.SYS_RENAMEAT, unix.SYS_UNLINKAT:
-		return t.names(pid, regs.Rsi)
+		return t.pathInState(pid, regs.Rsi)
 	}
 	return false
 }
 
 // fail has a call fail, with an even chance, where a kind is active and the call is one of it.
 func (t *tracer) fail(pid int, regs *unix.PtraceRegs, k Kind, concerned bool, errnos ...unix.Errno) bool {
-	if !t.p.is(k) || !concerned || t.r.IntN(2) == 0 {
+	if !t.process.isActive(k) || !concerned || t.random.IntN(2) == 0 {
 		return false
 	}
-	t.instead(pid, regs, -int64(errnos[t.r.IntN(len(errnos))]))
-	t.p.hit(k)
+	t.skipWith(pid, regs, -int64(errnos[t.random.IntN(len(errnos))]))
+	t.process.countHit(k)
 	return true
 }
 
 // instead has a call return something without being made.
-func (t *tracer) instead(pid int, regs *unix.PtraceRegs, result int64) {
+func (t *tracer) skipWith(pid int, regs *unix.PtraceRegs, result int64) {
 	regs.Orig_rax = ^uint64(0)
 	regs.Rax = uint64(result)
 	_ = unix.PtraceSetRegs(pid, regs)
 }
 
 // cut shortens a call's length.
-func (t *tracer) cut(pid int, regs *unix.PtraceRegs, k Kind) {
+func (t *tracer) shorten(pid int, regs *unix.PtraceRegs, k Kind) {
 	if regs.Rdx < 2 {
 		return
 	}
-	regs.Rdx = 1 + t.r.Uint64N(min(regs.Rdx-1, 40))
+	regs.Rdx = 1 + t.random.Uint64N(min(regs.Rdx-1, 40))
 	_ = unix.PtraceSetRegs(pid, regs)
-	t.p.hit(k)
+	t.process.countHit(k)
 }
 
 func (t *tracer) read(pid int, regs *unix.PtraceRegs) {
 	if !isSocket(pid, regs.Rdi) {
-		t.fail(pid, regs, FileReadFails, t.inState(pid, regs.Rdi), unix.EIO)
+		t.fail(pid, regs, FileReadFails, t.fdInState(pid, regs.Rdi), unix.EIO)
 		return
 	}
 	if t.fail(pid, regs, Interrupted, true, unix.EINTR) || t.fail(pid, regs, ReadNoMemory, true, unix.ENOMEM, unix.ENOBUFS) {
 		return
 	}
-	if t.p.is(ShortRead) {
-		t.cut(pid, regs, ShortRead)
+	if t.process.isActive(ShortRead) {
+		t.shorten(pid, regs, ShortRead)
 	}
 }
 
@@ -127,47 +127,47 @@
 		t.writeFile(pid, regs)
 		return
 	}
-	if t.p.is(Stall) { // once, for while it lasts nothing else of the program goes on
-		t.p.Set(Stall, false)
-		t.p.hit(Stall)
-		time.Sleep(time.Duration(t.r.Int64N(int64(longestStall))))
+	if t.process.isActive(Stall) { // once, for while it lasts nothing else of the program goes on
+		t.process.Set(Stall, false)
+		t.process.countHit(Stall)
+		time.Sleep(time.Duration(t.random.Int64N(int64(maxStall))))
 	}
-	if t.p.is(WriteDown) {
-		t.instead(pid, regs, -int64(unix.ENOBUFS))
-		t.p.hit(WriteDown)
+	if t.process.isActive(WriteDown) {
+		t.skipWith(pid, regs, -int64(unix.ENOBUFS))
+		t.process.countHit(WriteDown)
 		return
 	}
 	if t.fail(pid, regs, Interrupted, true, unix.EINTR) || t.fail(pid, regs, WriteNoMemory, true, unix.ENOBUFS, unix.ENOMEM) {
 		return
 	}
-	if t.p.is(ShortWrite) {
-		t.cut(pid, regs, ShortWrite)
+	if t.process.isActive(ShortWrite) {
+		t.shorten(pid, regs, ShortWrite)
 	}
 }
 
 func (t *tracer) writeFile(pid int, regs *unix.PtraceRegs) {
-	if !t.inState(pid, regs.Rdi) {
+	if !t.fdInState(pid, regs.Rdi) {
 		return
 	}
 	if t.torn[pid] {
 		delete(t.torn, pid)
-		t.instead(pid, regs, -int64(unix.ENOSPC))
+		t.skipWith(pid, regs, -int64(unix.ENOSPC))
 		return
 	}
 	if t.fail(pid, regs, DiskFull, true, unix.ENOSPC, unix.EDQUOT) || t.fail(pid, regs, DiskError, true, unix.EIO) {
 		return
 	}
-	if t.p.is(WriteTorn) && regs.Rdx > 1 && t.r.IntN(2) == 0 {
+	if t.process.isActive(WriteTorn) && regs.Rdx > 1 && t.random.IntN(2) == 0 {
 		t.torn[pid] = true
-		regs.Rdx = 1 + t.r.Uint64N(regs.Rdx-1)
+		regs.Rdx = 1 + t.random.Uint64N(regs.Rdx-1)
 		_ = unix.PtraceSetRegs(pid, regs)
-		t.p.hit(WriteTorn)
+		t.process.countHit(WriteTorn)
 	}
 }
 
 // clock answers for the wall clock.
-func (t *tracer) clock(pid int, regs *unix.PtraceRegs) {
-	offset := t.p.wall.Load()
+func (t *tracer) clockGettime(pid int, regs *unix.PtraceRegs) {
+	offset := t.process.wallOffset.Load()
 	if offset == 0 {
 		return
 	}
@@ -178,28 +178,28 @@
 	if _, err := unix.PtracePokeData(pid, uintptr(regs.Rsi), b[:]); err != nil {
 		return
 	}
-	t.instead(pid, regs, 0)
-	t.p.hit(WallClock)
+	t.skipWith(pid, regs, 0)
+	t.process.countHit(WallClock)
 }
 
 func isSocket(pid int, fd uint64) bool {
-	return strings.HasPrefix(target(pid, fd), "socket:")
+	return strings.HasPrefix(fdTarget(pid, fd), "socket:")
 }
 
-func target(pid int, fd uint64) string {
+func fdTarget(pid int, fd uint64) string {
 	name, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", pid, int32(fd)))
 	return name
 }
 
 // inState tells whether a descriptor is that of the state folder or of a file in it.
-func (t *tracer) inState(pid int, fd uint64) bool {
-	name := target(pid, fd)
-	return t.p.opt.State != "" && (name == t.p.opt.State || strings.HasPrefix(name, t.p.opt.State+"/"))
+func (t *tracer) fdInState(pid int, fd uint64) bool {
+	name := fdTarget(pid, fd)
+	return t.process.opt.State != "" && (name == t.process.opt.State || strings.HasPrefix(name, t.process.opt.State+"/"))
 }
 
 // names tells whether a path in the program's memory lies in the state folder.
-func (t *tracer) names(pid int, at uint64) bool {
-	b := make([]byte, len(t.p.opt.State)+1)
+func (t *tracer) pathInState(pid int, at uint64) bool {
+	b := make([]byte, len(t.process.opt.State)+1)
 	n, err := unix.PtracePeekData(pid, uintptr(at), b)
-	return err == nil && n == len(b) && t.p.opt.State != "" && strings.HasPrefix(string(b), t.p.opt.State)
+	return err == nil && n == len(b) && t.process.opt.State != "" && strings.HasPrefix(string(b), t.process.opt.State)
 }
--- a/internal/shim/exec.go
+++ b/internal/shim/exec.go
@@ -14,7 +14,7 @@
 )
 
 // traced are the system calls that the tracer is asked about.
-var traced = []uint32{unix.SYS_READ, unix.SYS_WRITE, unix.SYS_PWRITE64, unix.SYS_FTRUNCATE, unix.SYS_OPENAT, unix.SYS_RENAMEAT,
+var tracedCalls = []uint32{unix.SYS_READ, unix.SYS_WRITE, unix.SYS_PWRITE64, unix.SYS_FTRUNCATE, unix.SYS_OPENAT, unix.SYS_RENAMEAT,
 	unix.SYS_UNLINKAT, unix.SYS_ACCEPT4, unix.SYS_SOCKET, unix.SYS_CONNECT, unix.SYS_EPOLL_CTL, unix.SYS_SETSOCKOPT,
 	unix.SYS_GETSOCKOPT, unix.SYS_PREAD64, unix.SYS_GETDENTS64}
 
@@ -30,7 +30,7 @@
 
 // filter asks the tracer about the traced calls, and about clock_gettime of the wall clock.
 func filter() []unix.SockFilter {
-	traced := traced
+	traced := tracedCalls
 	if os.Getenv(pollVariable) != "" {
 		traced = append(slices.Clone(traced), unix.SYS_EPOLL_PWAIT)
 	}
--- a/internal/shim/shim.go
+++ b/internal/shim/shim.go
@@ -81,9 +81,9 @@
 	done chan struct{}
 	exit syscall.WaitStatus
 
-	active sync.Map // Kind to bool
-	any    atomic.Int32
-	wall   atomic.Int64 // offset of the wall clock in ns
+	active      sync.Map // Kind to bool
+	activeKinds atomic.Int32
+	wallOffset  atomic.Int64 // offset of the wall clock in ns
 
 	mu   sync.Mutex
 	hits map[Kind]int
@@ -104,15 +104,15 @@
 func (p *Process) Set(k Kind, on bool) {
 	if was, _ := p.active.Swap(k, on); was != on && (was != nil || on) {
 		if on {
-			p.any.Add(1)
+			p.activeKinds.Add(1)
 		} else {
-			p.any.Add(-1)
+			p.activeKinds.Add(-1)
 		}
 	}
 }
 
 // SetWall steps the wall clock to an offset from the machine's.
-func (p *Process) SetWall(offset time.Duration) { p.wall.Store(int64(offset)) }
+func (p *Process) SetWall(offset time.Duration) { p.wallOffset.Store(int64(offset)) }
 
 // Hits are how often faults were injected, by kind.
 func (p *Process) Hits() map[Kind]int {
@@ -159,12 +159,12 @@
 // Exit is how it ended, once Done is closed.
 func (p *Process) Exit() syscall.WaitStatus { return p.exit }
 
-func (p *Process) is(k Kind) bool {
+func (p *Process) isActive(k Kind) bool {
 	on, _ := p.active.Load(k)
 	return on == true
 }
 
-func (p *Process) hit(k Kind) {
+func (p *Process) countHit(k Kind) {
 	p.mu.Lock()
 	p.hits[k]++
 	p.mu.Unlock()
@@ -172,16 +172,16 @@
 
 // tracer is the thread that traces a process; ptrace(2) allows no other.
 type tracer struct {
-	p     *Process
-	r     *rand.Rand
-	known map[int]bool // threads
-	torn  map[int]bool // threads whose next write to the folder fails
-	polls bool         // the program's runtime has its poller
+	process     *Process
+	random      *rand.Rand
+	threads     map[int]bool // threads
+	torn        map[int]bool // threads whose next write to the folder fails
+	pollerReady bool         // the program's runtime has its poller
 }
 
 const (
 	waitNoThread = 0x20000000 // __WNOTHREAD: only children of this thread
-	options      = unix.PTRACE_O_TRACESECCOMP | unix.PTRACE_O_TRACECLONE | unix.PTRACE_O_TRACEEXEC | unix.PTRACE_O_EXITKILL
+	traceOptions = unix.PTRACE_O_TRACESECCOMP | unix.PTRACE_O_TRACECLONE | unix.PTRACE_O_TRACEEXEC | unix.PTRACE_O_EXITKILL
 )
 
 // run starts the program and traces it until it has ended.
@@ -200,20 +200,20 @@
 	p.Pid = cmd.Process.Pid
 	var ws unix.WaitStatus
 	_, err := unix.Wait4(p.Pid, &ws, unix.WALL, nil)
-	if err = errors.Join(err, unix.PtraceSetOptions(p.Pid, options), unix.PtraceCont(p.Pid, 0)); err != nil {
+	if err = errors.Join(err, unix.PtraceSetOptions(p.Pid, traceOptions), unix.PtraceCont(p.Pid, 0)); err != nil {
 		_ = cmd.Process.Kill()
 		started <- err
 		return
 	}
 	started <- nil
-	t := &tracer{p: p, r: rand.New(rand.NewPCG(p.opt.Seed, 0x5)), known: map[int]bool{p.Pid: true}, torn: map[int]bool{}}
-	p.exit = t.loop()
+	t := &tracer{process: p, random: rand.New(rand.NewPCG(p.opt.Seed, 0x5)), threads: map[int]bool{p.Pid: true}, torn: map[int]bool{}}
+	p.exit = t.waitLoop()
 	_ = cmd.Wait() // for what it wrote; it has been waited for
 	close(p.done)
 }
 
 // loop follows all threads until the process has ended.
-func (t *tracer) loop() syscall.WaitStatus {
+func (t *tracer) waitLoop() syscall.WaitStatus {
 	for {
 		var ws unix.WaitStatus
 		pid, err := unix.Wait4(-1, &ws, unix.WALL|waitNoThread, nil)
@@ -223,7 +223,7 @@
 		case err != nil:
 			return syscall.WaitStatus(ws)
 		case ws.Exited() || ws.Signaled():
-			if pid == t.p.Pid {
+			if pid == t.process.Pid {
 				return syscall.WaitStatus(ws)
 			}
 		case ws.Stopped():
@@ -238,17 +238,17 @@
 	if ws.StopSignal() == unix.SIGTRAP {
 		switch int(ws >> 16) {
 		case unix.PTRACE_EVENT_SECCOMP:
-			t.call(pid)
+			t.syscallEntry(pid)
 			signal = 0
 		case unix.PTRACE_EVENT_EXEC:
-			t.polls = false
+			t.pollerReady = false
 			hideVDSO(pid)
 			signal = 0
 		case unix.PTRACE_EVENT_CLONE:
 			signal = 0
 		}
-	} else if ws.StopSignal() == unix.SIGSTOP && !t.known[pid] {
-		t.known[pid] = true // a new thread
+	} else if ws.StopSignal() == unix.SIGSTOP && !t.threads[pid] {
+		t.threads[pid] = true // a new thread
 		signal = 0
 	}
 	_ = unix.PtraceCont(pid, signal) // it may have been killed meanwhile
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -27,56 +27,56 @@
 	addr   string
 	agent  *emulator.Agent
 
-	mu      sync.Mutex
-	process *shim.Process
-	life    *emulator.Life
-	log     *tail
-	starts  int
-	busy    bool // within a restart
-	bad     []string
-	hits    map[shim.Kind]int
-	rude    bool   // clients leave within requests
-	ending  bool   // clients end their sending behind requests
-	known   string // address of discovery in the configuration
+	mu               sync.Mutex
+	process          *shim.Process
+	processRun       *emulator.Life
+	log              *logTail
+	starts           int
+	restarting       bool // within a restart
+	problems         []string
+	hits             map[shim.Kind]int
+	clientsAbandon   bool   // clients leave within requests
+	clientsHalfClose bool   // clients end their sending behind requests
+	discovery        string // address of discovery in the configuration
 }
 
 // tail keeps what is of interest in a log, bounded, and hands on the steps of requests.
-type tail struct {
+type logTail struct {
 	step func(trace.Step) // may be nil
 
-	mu    sync.Mutex
-	lines []string
-	rest  []byte
+	mu      sync.Mutex
+	lines   []string
+	partial []byte
 }
 
 // mostLines of a log are kept.
-const mostLines = 200
+const maxLines = 200
 
 // Write takes in what a process says; it never fails.
-func (t *tail) Write(b []byte) (int, error) {
+func (t *logTail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.rest = append(t.rest, b...)
+	t.partial = append(t.partial, b...)
 	for {
-		line, rest, found := bytes.Cut(t.rest, []byte("\n"))
+		line, rest, found := bytes.Cut(t.partial, []byte("\n"))
 		if !found {
 			return len(b), nil
 		}
-		t.rest = rest
+		t.partial = rest
 		if step, is := trace.Parse(line); is {
 			if t.step != nil {
 				t.step(step)
 			}
 			continue
 		}
-		if t.lines = append(t.lines, string(line)); len(t.lines) > mostLines {
+		if t.lines = append(t.lines, string(line)); len(t.lines) > maxLines {
 			t.lines = t.lines[1:]
 		}
 	}
 }
 
 // violations are the lines that say that a rule was broken, or that the program was.
-func (t *tail) violations() (bad []string) {
+func (t *logTail) violations() (bad []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, line := range t.lines {
@@ -90,14 +90,14 @@
 	return bad
 }
 
-func (n *node) config() string { return filepath.Join(n.dir, "config.json") }
-func (n *node) state() string  { return filepath.Join(n.dir, "state") }
+func (n *node) configPath() string { return filepath.Join(n.dir, "config.json") }
+func (n *node) stateDir() string   { return filepath.Join(n.dir, "state") }
 
 // configure writes the configuration file.
 func (n *node) configure() error {
 	at := n.agent.Addr()
 	n.mu.Lock()
-	n.known = at
+	n.discovery = at
 	n.mu.Unlock()
 	known := n.run.platform.List()
 	n.run.platform.Record.Listed(n.number, time.Now(), known.Targets, true)
@@ -107,10 +107,10 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(n.config()+".new", text, 0o600); err != nil {
+	if err := os.WriteFile(n.configPath()+".new", text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(n.config()+".new", n.config())
+	return os.Rename(n.configPath()+".new", n.configPath())
 }
 
 // start begins a process and waits until it is ready.
@@ -120,7 +120,7 @@
 	}
 	n.mu.Lock()
 	n.starts++
-	n.log = &tail{step: n.run.step}
+	n.log = &logTail{step: n.run.step}
 	seed := n.run.opt.Seed*1_000_000 + uint64(n.number*1000+n.starts)
 	n.mu.Unlock()
 	life := n.run.platform.Record.Begun(n.number)
@@ -133,28 +133,28 @@
 		// It stays open until the last byte of the process was copied, and then for the collector.
 		log = io.MultiWriter(n.log, file)
 	}
-	env := append(os.Environ(), "ROUTER_CONFIG="+n.config(), "ROUTER_STATE="+n.state(), "GOTRACEBACK=single", "BASALTCROSS_TRACE="+n.run.traced())
+	env := append(os.Environ(), "ROUTER_CONFIG="+n.configPath(), "ROUTER_STATE="+n.stateDir(), "GOTRACEBACK=single", "BASALTCROSS_TRACE="+n.run.traceSteps())
 	if n.run.opt.Plant == PlantTrust {
 		env = append(env, "BASALTCROSS_TRUST_PEERS=1")
 	}
-	p, err := shim.Start(shim.Options{Path: n.run.opt.Shim, Args: []string{"shim-exec", n.run.opt.Program, "node"}, Dir: n.dir, State: n.state(), Env: env,
-		Stderr: log, Seed: seed, Poll: n.run.draws(Kind(shim.PollInterrupted))})
+	p, err := shim.Start(shim.Options{Path: n.run.opt.Shim, Args: []string{"shim-exec", n.run.opt.Program, "node"}, Dir: n.dir, State: n.stateDir(), Env: env,
+		Stderr: log, Seed: seed, Poll: n.run.includes(Kind(shim.PollInterrupted))})
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
-	n.process, n.life = p, life
+	n.process, n.processRun = p, life
 	n.mu.Unlock()
 	n.run.reapply(n)
 	return n.awaitReady(p, life)
 }
 
 // readyWithin is how long a start may take before the soak gives up.
-const readyWithin = 30 * time.Second
+const startTimeout = 30 * time.Second
 
 func (n *node) awaitReady(p *shim.Process, life *emulator.Life) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		select {
 		case <-p.Done():
 			return fmt.Errorf("node %d ended at its start: %v: %s", n.number, p.Exit(), strings.Join(n.log.lines, " | "))
@@ -170,7 +170,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("node %d is not ready after %s: %s", n.number, readyWithin, strings.Join(n.log.lines, " | "))
+	return fmt.Errorf("node %d is not ready after %s: %s", n.number, startTimeout, strings.Join(n.log.lines, " | "))
 }
 
 const (
@@ -181,14 +181,14 @@
 // restart ends the process in one of the ways, and starts it again.
 func (n *node) restart(how Kind) error {
 	n.mu.Lock()
-	if n.busy || n.process == nil {
+	if n.restarting || n.process == nil {
 		n.mu.Unlock()
 		return nil
 	}
-	n.busy = true
-	p, life := n.process, n.life
+	n.restarting = true
+	p, life := n.process, n.processRun
 	n.mu.Unlock()
-	n.run.hit(how)
+	n.run.countHit(how)
 	n.run.platform.Record.Note(func() { life.Told = time.Now() })
 	if how != Kill {
 		p.Signal(syscall.SIGTERM)
@@ -201,17 +201,17 @@
 			time.Sleep(earliestKill)
 		}
 	}
-	n.used(p, life)
+	n.checkCPU(p, life)
 	n.run.platform.Record.Note(func() { life.Killed = time.Now() })
 	p.Signal(syscall.SIGKILL)
 	<-p.Done()
-	n.ended(p, life, how != Kill)
+	n.recordEnd(p, life, how != Kill)
 	time.Sleep(downTime)
 	err := n.start()
-	time.Sleep(firstSecond)
+	time.Sleep(reloadDelay)
 	n.mu.Lock()
-	moved := n.known != n.agent.Addr()
-	n.busy = false
+	moved := n.discovery != n.agent.Addr()
+	n.restarting = false
 	n.mu.Unlock()
 	if err == nil && moved {
 		err = n.reload()
@@ -220,13 +220,13 @@
 }
 
 // firstSecond of a process brings no SIGHUP (DAYS).
-const firstSecond = time.Second
+const reloadDelay = time.Second
 
 // reload has the process read the configuration again; one that restarts does so later.
 func (n *node) reload() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.busy || n.process == nil {
+	if n.restarting || n.process == nil {
 		return nil
 	}
 	p := n.process
@@ -240,34 +240,34 @@
 const (
 	// spinning is the share of a core above which a process has spun: it carries a hundred
 	// messages a second.
-	spinning = 0.6
+	maxCPUShare = 0.6
 	// judged is how long a process must have lived for that.
-	judged = 2 * time.Second
+	minCPURun = 2 * time.Second
 )
 
 // used looks at the processor time of a process.
-func (n *node) used(p *shim.Process, life *emulator.Life) {
+func (n *node) checkCPU(p *shim.Process, life *emulator.Life) {
 	lived := time.Since(life.Started)
 	share := p.CPU().Seconds() / lived.Seconds()
 	n.run.mu.Lock()
 	n.run.busiest = max(n.run.busiest, share)
 	n.run.mu.Unlock()
-	if lived > judged && share > spinning {
+	if lived > minCPURun && share > maxCPUShare {
 		n.mu.Lock()
-		n.bad = append(n.bad, fmt.Sprintf("node %d used %.0f%% of a core over %s", n.number, 100*share, lived.Round(time.Millisecond)))
+		n.problems = append(n.problems, fmt.Sprintf("node %d used %.0f%% of a core over %s", n.number, 100*share, lived.Round(time.Millisecond)))
 		n.mu.Unlock()
 	}
 }
 
 // ended books what a process left.
-func (n *node) ended(p *shim.Process, life *emulator.Life, told bool) {
+func (n *node) recordEnd(p *shim.Process, life *emulator.Life, told bool) {
 	n.run.platform.Record.Note(func() { life.Ended = time.Now() })
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.bad = append(n.bad, n.log.violations()...)
+	n.problems = append(n.problems, n.log.violations()...)
 	exit := p.Exit()
 	if exit.Signaled() && exit.Signal() != syscall.SIGKILL || exit.Exited() && (!told || exit.ExitStatus() != 0) {
-		n.bad = append(n.bad, fmt.Sprintf("node %d ended with %v: %s", n.number, exit, strings.Join(n.log.lines, " | ")))
+		n.problems = append(n.problems, fmt.Sprintf("node %d ended with %v: %s", n.number, exit, strings.Join(n.log.lines, " | ")))
 	}
 	for k, hits := range p.Hits() {
 		n.hits[k] += hits
@@ -275,7 +275,7 @@
 }
 
 // crowd opens idle connections for a while.
-func (n *node) crowd(length time.Duration) {
+func (n *node) openIdleConns(length time.Duration) {
 	var conns []net.Conn
 	for range 300 {
 		if c, err := net.DialTimeout("tcp", n.addr, 100*time.Millisecond); err == nil {
@@ -288,16 +288,16 @@
 	}
 }
 
-func (n *node) ends() bool {
+func (n *node) halfCloses() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ending
+	return n.clientsHalfClose
 }
 
-func (n *node) isRude() bool {
+func (n *node) abandonsRequests() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rude
+	return n.clientsAbandon
 }
 
 // settings are those of a small site with a class of each effect.
@@ -323,7 +323,7 @@
 )
 
 // lanes are the same classes for the clients.
-func lanes() []emulator.Lane {
+func clientClasses() []emulator.Lane {
 	return []emulator.Lane{{Name: "notice", Effect: emulator.Idempotent}, {Name: "charge", Effect: emulator.AtMostOnce, Ordered: true},
 		{Name: "order", Effect: emulator.Deduplicated, Window: window}}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -96,7 +96,7 @@
 }
 
 // kindsOfHosts alternate between one message a call and several.
-var kindsOfHosts = []string{"small", "small", "large"}
+var hostKinds = []string{"small", "small", "large"}
 
 // Run plays one seed.
 func Run(ctx context.Context, opt Options) (*Result, error) {
@@ -119,7 +119,7 @@
 	defer os.RemoveAll(dir)
 	var kinds []string
 	for i := range opt.Hosts {
-		kinds = append(kinds, kindsOfHosts[i%len(kindsOfHosts)])
+		kinds = append(kinds, hostKinds[i%len(hostKinds)])
 	}
 	platform, err := emulator.New(opt.Seed, kinds...)
 	if err != nil {
@@ -137,15 +137,15 @@
 	var clients sync.WaitGroup
 	for _, n := range r.nodes {
 		for i := range opt.Clients {
-			c := &emulator.Client{Platform: platform, Node: n.number, Addr: n.addr, Name: fmt.Sprintf("c%d-%d", n.number, i), Lanes: lanes(),
-				Left: lifetime, Pause: 40 * time.Millisecond, Seed: opt.Seed*10_000 + uint64(n.number*100+i), Rude: n.isRude, Ends: n.ends}
+			c := &emulator.Client{Platform: platform, Node: n.number, Addr: n.addr, Name: fmt.Sprintf("c%d-%d", n.number, i), Lanes: clientClasses(),
+				Left: lifetime, Pause: 40 * time.Millisecond, Seed: opt.Seed*10_000 + uint64(n.number*100+i), Rude: n.abandonsRequests, Ends: n.halfCloses}
 			clients.Go(func() { c.Run(load) })
 		}
 	}
 	r.play(ctx)
 	stop()
 	clients.Wait()
-	r.settle(ctx)
+	r.awaitOpen(ctx)
 	stopLag()
 	r.plant()
 	return r.result(), errors.Join(r.writeTrace(), ctx.Err())
@@ -177,7 +177,7 @@
 			return err
 		}
 		n := &node{run: r, number: i, dir: filepath.Join(dir, fmt.Sprint("n", i)), addr: addr, agent: agent, hits: map[shim.Kind]int{}}
-		if err := os.MkdirAll(n.state(), 0o700); err != nil {
+		if err := os.MkdirAll(n.stateDir(), 0o700); err != nil {
 			return err
 		}
 		r.nodes = append(r.nodes, n)
@@ -236,7 +236,7 @@
 		if !pause.For(ctx, time.Until(began.Add(f.At))) {
 			break
 		}
-		all.Go(func() { r.fault(ctx, f) })
+		all.Go(func() { r.playFault(ctx, f) })
 	}
 	pause.For(ctx, time.Until(began.Add(r.opt.Duration)))
 	all.Wait()
@@ -253,28 +253,28 @@
 }
 
 // judgedSteps are those that the audit needs.
-const judgedSteps = "read,response"
+const auditedSteps = "read,response"
 
 // traced are the steps that the nodes log: each line is one more call that stops a node.
-func (r *run) traced() string {
+func (r *run) traceSteps() string {
 	if r.opt.Trace != "" {
 		return "1"
 	}
-	return judgedSteps
+	return auditedSteps
 }
 
 // draws tells whether a kind is among the faults of the run.
-func (r *run) draws(k Kind) bool {
+func (r *run) includes(k Kind) bool {
 	return slices.ContainsFunc(r.opt.Faults, func(f Fault) bool { return f.Kind == k })
 }
 
-func (r *run) hit(k Kind) {
+func (r *run) countHit(k Kind) {
 	r.mu.Lock()
 	r.hits[k]++
 	r.mu.Unlock()
 }
 
-func (r *run) failed(err error) {
+func (r *run) recordError(err error) {
 	if err != nil {
 		r.mu.Lock()
 		r.errs = append(r.errs, err.Error())
@@ -283,40 +283,40 @@
 }
 
 // fault plays one, from its begin to its end.
-func (r *run) fault(ctx context.Context, f Fault) {
+func (r *run) playFault(ctx context.Context, f Fault) {
 	switch f.Kind {
 	case Kill, Term, TermTwice:
-		r.failed(r.nodes[f.Where].restart(f.Kind))
+		r.recordError(r.nodes[f.Where].restart(f.Kind))
 		return
 	case Reload:
-		r.reload(r.nodes[f.Where])
+		r.moveDiscovery(r.nodes[f.Where])
 		return
 	case Crowd:
-		r.hit(f.Kind)
+		r.countHit(f.Kind)
 		r.platform.Record.MayShut(f.Where, f.For)
-		r.nodes[f.Where].crowd(f.For)
+		r.nodes[f.Where].openIdleConns(f.For)
 		return
 	}
 	if f.Kind == Kind(shim.PollNoMemory) { // a connection that was accepted and cannot be polled is closed
 		r.platform.Record.MayShut(f.Where, f.For)
 	}
-	if f.Kind.ofDisk() {
+	if f.Kind.isDiskFault() {
 		r.platform.Record.FolderFails(f.Where, f.For)
 	}
 	if f.Kind == Kind(shim.WriteDown) {
 		r.platform.Record.WritesFail(f.Where, f.For)
 	}
-	if r.cover(f, 1) == 1 {
-		r.set(f.Kind, f.Where, true)
+	if r.adjustActive(f, 1) == 1 {
+		r.setFault(f.Kind, f.Where, true)
 	}
 	pause.For(ctx, f.For)
-	if r.cover(f, -1) == 0 {
-		r.set(f.Kind, f.Where, false)
+	if r.adjustActive(f, -1) == 0 {
+		r.setFault(f.Kind, f.Where, false)
 	}
 }
 
 // cover counts the faults of one kind that lie over one place.
-func (r *run) cover(f Fault, by int) int {
+func (r *run) adjustActive(f Fault, by int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.active[f.Kind] == nil {
@@ -327,9 +327,9 @@
 }
 
 // set has a kind begin or end at one place.
-func (r *run) set(k Kind, where int, on bool) {
-	if !isShim(k) && on {
-		r.hit(k)
+func (r *run) setFault(k Kind, where int, on bool) {
+	if !isSyscallFault(k) && on {
+		r.countHit(k)
 	}
 	moods := map[Kind]emulator.Mood{HostFails: emulator.Failing, HostFull: emulator.Full, HostHangs: emulator.Hanging, HostCuts: emulator.Cutting,
 		HostForgets: emulator.Forget, HostBlank: emulator.Blank}
@@ -369,22 +369,22 @@
 		n.agent.Mute(on)
 	case ClientsLeave:
 		n.mu.Lock()
-		n.rude = on
+		n.clientsAbandon = on
 		n.mu.Unlock()
 	case ClientsEnd:
 		n.mu.Lock()
-		n.ending = on
+		n.clientsHalfClose = on
 		n.mu.Unlock()
 	default:
 		n.mu.Lock()
 		p := n.process
 		n.mu.Unlock()
-		apply(p, shim.Kind(k), on)
+		setSyscallFault(p, shim.Kind(k), on)
 	}
 }
 
 // apply sets a fault of system calls.
-func apply(p *shim.Process, k shim.Kind, on bool) {
+func setSyscallFault(p *shim.Process, k shim.Kind, on bool) {
 	switch {
 	case p == nil:
 	case k != shim.WallClock:
@@ -401,13 +401,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k, places := range r.active {
-		if isShim(k) && places[n.number] > 0 {
-			apply(n.process, shim.Kind(k), true)
+		if isSyscallFault(k) && places[n.number] > 0 {
+			setSyscallFault(n.process, shim.Kind(k), true)
 		}
 	}
 }
 
-func isShim(k Kind) bool {
+func isSyscallFault(k Kind) bool {
 	for _, s := range shim.Kinds {
 		if Kind(s) == k {
 			return true
@@ -417,23 +417,23 @@
 }
 
 // reload moves a node's discovery.
-func (r *run) reload(n *node) {
-	r.hit(Reload)
+func (r *run) moveDiscovery(n *node) {
+	r.countHit(Reload)
 	if err := n.agent.Move(); err != nil {
-		r.failed(err)
+		r.recordError(err)
 		return
 	}
-	r.failed(n.reload())
+	r.recordError(n.reload())
 }
 
 // settle waits until what was taken has ended, at most as long as that is owed.
-func (r *run) settle(ctx context.Context) {
+func (r *run) awaitOpen(ctx context.Context) {
 	r.mu.Lock()
 	for k, places := range r.active {
 		for where := range places {
 			places[where] = 0
-			if isShim(k) {
-				apply(r.nodes[where].process, shim.Kind(k), false)
+			if isSyscallFault(k) {
+				setSyscallFault(r.nodes[where].process, shim.Kind(k), false)
 			}
 		}
 	}
@@ -472,7 +472,7 @@
 	res := &Result{Known: r.opt.Known, Seed: r.opt.Seed, Hits: r.hits, Lag: r.lag, Faults: r.opt.Faults, Violations: r.errs}
 	for _, n := range r.nodes {
 		n.mu.Lock()
-		p, life := n.process, n.life
+		p, life := n.process, n.processRun
 		n.mu.Unlock()
 		if p == nil {
 			continue
@@ -480,15 +480,15 @@
 		select {
 		case <-p.Done(): // by itself
 		default:
-			n.used(p, life)
+			n.checkCPU(p, life)
 			p.Signal(9)
 			<-p.Done()
 		}
-		n.ended(p, life, false)
+		n.recordEnd(p, life, false)
 		for k, hits := range n.hits {
 			res.Hits[Kind(k)] += hits
 		}
-		for _, line := range n.bad {
+		for _, line := range n.problems {
 			res.Violations = append(res.Violations, strings.TrimSpace(line))
 		}
 	}
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -102,8 +102,8 @@
 
 const (
 	// few kinds of moments are drawn for every other seed.
-	few     = 5
-	restart = 6 * time.Second // a planned one takes no longer
+	fewKindsCount = 5
+	maxRestart    = 6 * time.Second // a planned one takes no longer
 	// wallStep is how far the wall clock is set.
 	wallStep = time.Hour
 )
@@ -112,7 +112,7 @@
 // kinds that lie over them; of every other seed, of a few kinds. Further faults, of kinds and
 // lengths that came later, are drawn apart: the others of a seed stay what they were.
 func Draw(seed uint64, nodes, hosts int, length time.Duration, kinds []Kind) []Fault {
-	first, further, ofPeers := bySeries(kinds)
+	first, further, ofPeers := splitBySeries(kinds)
 	all := drawFirst(rand.New(rand.NewPCG(seed, firstSeries)), nodes, hosts, length, first, seed%2 == 0)
 	all = append(all, drawFurther(rand.New(rand.NewPCG(seed, furtherSeries)), nodes, length, kinds, further)...)
 	all = append(all, drawPeers(rand.New(rand.NewPCG(seed, peerSeries)), nodes, hosts, length, ofPeers)...)
@@ -135,7 +135,7 @@
 	Kind(shim.FileReadFails), Kind(shim.DiskDown), Kind(shim.AcceptDown), Kind(shim.WriteDown)}
 
 // bySeries tells kinds of the first series from further ones and from those of peers.
-func bySeries(kinds []Kind) (first, further, ofPeers []Kind) {
+func splitBySeries(kinds []Kind) (first, further, ofPeers []Kind) {
 	for _, k := range kinds {
 		switch {
 		case slices.Contains(furtherKinds, k):
@@ -153,7 +153,7 @@
 func drawPeers(r *rand.Rand, nodes, hosts int, length time.Duration, kinds []Kind) (all []Fault) {
 	for _, k := range kinds {
 		places := nodes
-		if k.atHost() {
+		if k.strikesHost() {
 			places = hosts
 		}
 		for where := range places {
@@ -166,15 +166,15 @@
 }
 
 func drawFirst(r *rand.Rand, nodes, hosts int, length time.Duration, kinds []Kind, fewKinds bool) (all []Fault) {
-	restarts, moments := split(kinds)
-	if fewKinds && len(moments) > few { // a few kinds, which meet each other often
+	restarts, moments := splitRestarts(kinds)
+	if fewKinds && len(moments) > fewKindsCount { // a few kinds, which meet each other often
 		r.Shuffle(len(moments), func(i, j int) { moments[i], moments[j] = moments[j], moments[i] })
-		moments = moments[:few]
+		moments = moments[:fewKindsCount]
 	}
-	ofHosts := slices.DeleteFunc(slices.Clone(moments), func(k Kind) bool { return !k.atHost() })
-	ofNodes := slices.DeleteFunc(slices.Clone(moments), Kind.atHost)
+	ofHosts := slices.DeleteFunc(slices.Clone(moments), func(k Kind) bool { return !k.strikesHost() })
+	ofNodes := slices.DeleteFunc(slices.Clone(moments), Kind.strikesHost)
 	for node := range nodes {
-		for at := between(r, time.Second, restart); len(restarts) > 0 && at < length-restart/2; at += between(r, restart, 2*restart) {
+		for at := between(r, time.Second, maxRestart); len(restarts) > 0 && at < length-maxRestart/2; at += between(r, maxRestart, 2*maxRestart) {
 			all = append(all, Fault{restarts[r.IntN(len(restarts))], node, at, 0})
 		}
 		all = append(all, drawMoments(r, node, length, ofNodes)...)
@@ -188,7 +188,7 @@
 // drawFurther makes moments of the further kinds, and failures of the folder that outlast
 // what a client waits.
 func drawFurther(r *rand.Rand, nodes int, length time.Duration, kinds, further []Kind) (all []Fault) {
-	ofDisk := slices.DeleteFunc(slices.Clone(kinds), func(k Kind) bool { return !k.ofDisk() })
+	ofDisk := slices.DeleteFunc(slices.Clone(kinds), func(k Kind) bool { return !k.isDiskFault() })
 	for node := range nodes {
 		for at := between(r, 0, time.Second); len(further) > 0 && at < length; at += between(r, 200*time.Millisecond, 1500*time.Millisecond) {
 			all = append(all, Fault{further[r.IntN(len(further))], node, at, between(r, 30*time.Millisecond, 280*time.Millisecond)})
@@ -216,7 +216,7 @@
 	for at := between(r, 0, time.Second); len(kinds) > 0 && at < length; at += between(r, 50*time.Millisecond, 350*time.Millisecond) {
 		k := kinds[r.IntN(len(kinds))]
 		f := Fault{k, where, at, between(r, 30*time.Millisecond, 280*time.Millisecond)}
-		if longer(k) {
+		if lastsLonger(k) {
 			f.For = between(r, 300*time.Millisecond, 1500*time.Millisecond)
 		}
 		all = append(all, withTornRest(r, f, kinds)...)
@@ -225,7 +225,7 @@
 }
 
 // split tells faults that end a process from the others.
-func split(kinds []Kind) (restarts, moments []Kind) {
+func splitRestarts(kinds []Kind) (restarts, moments []Kind) {
 	for _, k := range kinds {
 		if k == Kill || k == Term || k == TermTwice {
 			restarts = append(restarts, k)
@@ -237,13 +237,13 @@
 }
 
 // atHost tells kinds that strike a host, for all nodes; the others strike one node.
-func (k Kind) atHost() bool { return strings.HasPrefix(string(k), "host_") }
+func (k Kind) strikesHost() bool { return strings.HasPrefix(string(k), "host_") }
 
 // ofDisk tells kinds that have the folder of a node fail.
-func (k Kind) ofDisk() bool { return strings.HasPrefix(string(k), "disk_") }
+func (k Kind) isDiskFault() bool { return strings.HasPrefix(string(k), "disk_") }
 
 // longer tells kinds that last for longer than a moment.
-func longer(k Kind) bool {
+func lastsLonger(k Kind) bool {
 	switch k {
 	case AgentSilent, NoticesMute, HostHangs, HostFull, HostDrains, Crowd, Kind(shim.WallClock):
 		return true
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -44,7 +44,7 @@
 }
 
 // plants are the invariants that planted violations break.
-var plants = map[Plant]string{
+var plantedInvariants = map[Plant]string{
 	PlantCut:     "a response is complete",
 	PlantForward: "a refused request is not forwarded",
 	PlantForget:  "what was taken is delivered or ends in time",
@@ -67,9 +67,9 @@
 			}
 			var out bytes.Buffer
 			res.print(&out)
-			found := slices.ContainsFunc(res.Findings, func(f *emulator.Finding) bool { return f.Invariant == plants[plant] && f.Broken == 1 })
+			found := slices.ContainsFunc(res.Findings, func(f *emulator.Finding) bool { return f.Invariant == plantedInvariants[plant] && f.Broken == 1 })
 			if !found || len(res.Violations) > 0 {
-				t.Errorf("%q is not found\n%s", plants[plant], out.String())
+				t.Errorf("%q is not found\n%s", plantedInvariants[plant], out.String())
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 // build makes the program, once: a tracer that runs meanwhile would wait for the compiler too.
 func build(t *testing.T) string {
 	t.Helper()
-	program, err := built()
+	program, err := buildOnce()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,10 +95,10 @@
 }
 
 // folder holds what tests share.
-var folder string
+var sharedDir string
 
-var built = sync.OnceValues(func() (string, error) {
-	program := filepath.Join(folder, "basaltcross")
+var buildOnce = sync.OnceValues(func() (string, error) {
+	program := filepath.Join(sharedDir, "basaltcross")
 	cmd := exec.Command("go", "build", "-o", program, "basaltcross.example/basaltcross/cmd/basaltcross")
 	cmd.Stderr = os.Stderr
 	return program, cmd.Run()
@@ -106,17 +106,17 @@
 
 func TestMain(m *testing.M) {
 	var err error
-	if folder, err = os.MkdirTemp("", "soak-test"); err != nil {
+	if sharedDir, err = os.MkdirTemp("", "soak-test"); err != nil {
 		panic(err)
 	}
 	status := m.Run()
-	_ = os.RemoveAll(folder)
+	_ = os.RemoveAll(sharedDir)
 	os.Exit(status)
 }
 
 // What a program writes beside its log of lines is found: a violation, a panic.
 func TestTail(t *testing.T) {
-	var tail tail
+	var tail logTail
 	for _, text := range []string{"{\"cause\":\"count\"}\n{\"cause\":", "\"violation\",\"id\":\"m\"}\npanic: x\n", "goroutine 1\n"} {
 		_, _ = tail.Write([]byte(text))
 	}
