--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -16,11 +16,11 @@
 
 // Network is the way to one server, with faults of its own. It sees bytes, not messages.
 type Network struct {
-	mu      sync.Mutex
-	delays  bool // bytes come up to LongestHold later
-	resets  bool // connections are reset: under a request, an answer, or at rest
-	repeats bool // some of what the server writes comes a second time
-	r       *rand.Rand
+	mu        sync.Mutex
+	delays    bool // bytes come up to LongestHold later
+	resets    bool // connections are reset: under a request, an answer, or at rest
+	repeating bool // some of what the server writes comes a second time
+	r         *rand.Rand
 
 	accepted int             // connections
 	repeated []repeatedWrite // in the order of their times
@@ -37,7 +37,7 @@
 // come a second time.
 func (n *Network) Hold(on bool)   { n.setFlag(&n.delays, on) }
 func (n *Network) Reset(on bool)  { n.setFlag(&n.resets, on) }
-func (n *Network) Repeat(on bool) { n.setFlag(&n.repeats, on) }
+func (n *Network) Repeat(on bool) { n.setFlag(&n.repeating, on) }
 
 func (n *Network) setFlag(what *bool, on bool) {
 	n.mu.Lock()
@@ -71,7 +71,7 @@
 func (n *Network) drawRepeat(now time.Time) (after time.Duration, repeats bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.repeats || n.r.Float64() >= repeatShare {
+	if !n.repeating || n.r.Float64() >= repeatShare {
 		return 0, false
 	}
 	after = time.Duration(n.r.Int64N(int64(repeatDelays[n.r.IntN(len(repeatDelays))])))
--- a/internal/shim/call.go
+++ b/internal/shim/call.go
@@ -10,20 +10,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// longestStall is how long a write may be held up.
+// maxStall bounds the delay that the Stall fault adds to a write.
 const maxStall = 150 * time.Millisecond
 
-// call decides what becomes of a system call that is about to be made.
+// syscallEntry decides at a system call's entry whether a fault is injected into it.
 func (t *tracer) syscallEntry(pid int) {
 	var regs unix.PtraceRegs
 	if unix.PtraceGetRegs(pid, &regs) != nil {
-		return // killed meanwhile
+		return // the process has been killed since
 	}
 	if regs.Orig_rax == unix.SYS_CLOCK_GETTIME {
 		t.clockGettime(pid, &regs)
 		return
 	}
-	if t.process.activeKinds.Load() == 0 {
+	if t.process.any.Load() == 0 {
 		t.pollerReady = t.pollerReady || regs.Orig_rax == unix.SYS_EPOLL_CTL
 		return
 	}
@@ -59,7 +59,7 @@
 	case unix.SYS_CONNECT:
 		t.fail(pid, &regs, ConnectFails, true, unix.EADDRNOTAVAIL, unix.ENETUNREACH)
 	case unix.SYS_EPOLL_CTL:
-		// Go's runtime has no way on where the first one of a process fails.
+		// The first epoll_ctl of a process never fails: Go's runtime cannot recover from that.
 		t.fail(pid, &regs, PollNoMemory, t.pollerReady && regs.Rsi != unix.EPOLL_CTL_DEL, unix.ENOMEM)
 		t.pollerReady = true
 	case unix.SYS_EPOLL_PWAIT:
@@ -71,7 +71,7 @@
 	}
 }
 
-// changesState tells whether a call would change the state folder.
+// modifiesState reports whether a system call would modify the state directory.
 func (t *tracer) modifiesState(pid int, regs *unix.PtraceRegs) bool {
 	switch regs.Orig_rax {
 	case unix.SYS_WRITE, unix.SYS_PWRITE64, unix.SYS_FTRUNCATE:
@@ -82,7 +82,8 @@
 	return false
 }
 
-// fail has a call fail, with an even chance, where a kind is active and the call is one of it.
+// fail makes a system call fail with probability 1/2 and one of errnos, if the kind of fault is active and
+// applies to the call. It reports whether the call fails.
 func (t *tracer) fail(pid int, regs *unix.PtraceRegs, k Kind, concerned bool, errnos ...unix.Errno) bool {
 	if !t.process.isActive(k) || !concerned || t.random.IntN(2) == 0 {
 		return false
@@ -92,14 +93,14 @@
 	return true
 }
 
-// instead has a call return something without being made.
+// skipWith skips the system call and makes it return result.
 func (t *tracer) skipWith(pid int, regs *unix.PtraceRegs, result int64) {
 	regs.Orig_rax = ^uint64(0)
 	regs.Rax = uint64(result)
 	_ = unix.PtraceSetRegs(pid, regs)
 }
 
-// cut shortens a call's length.
+// shorten reduces the length argument of a read or write.
 func (t *tracer) shorten(pid int, regs *unix.PtraceRegs, k Kind) {
 	if regs.Rdx < 2 {
 		return
@@ -114,7 +115,8 @@
 		t.fail(pid, regs, FileReadFails, t.fdInState(pid, regs.Rdi), unix.EIO)
 		return
 	}
-	if t.fail(pid, regs, Interrupted, true, unix.EINTR) || t.fail(pid, regs, ReadNoMemory, true, unix.ENOMEM, unix.ENOBUFS) {
+	if t.fail(pid, regs, Interrupted, true, unix.EINTR) ||
+		t.fail(pid, regs, ReadNoMemory, true, unix.ENOMEM, unix.ENOBUFS) {
 		return
 	}
 	if t.process.isActive(ShortRead) {
@@ -127,7 +129,7 @@
 		t.writeFile(pid, regs)
 		return
 	}
-	if t.process.isActive(Stall) { // once, for while it lasts nothing else of the program goes on
+	if t.process.isActive(Stall) { // only once per activation: the tracer serves no other thread meanwhile
 		t.process.Set(Stall, false)
 		t.process.countHit(Stall)
 		time.Sleep(time.Duration(t.random.Int64N(int64(maxStall))))
@@ -137,7 +139,8 @@
 		t.process.countHit(WriteDown)
 		return
 	}
-	if t.fail(pid, regs, Interrupted, true, unix.EINTR) || t.fail(pid, regs, WriteNoMemory, true, unix.ENOBUFS, unix.ENOMEM) {
+	if t.fail(pid, regs, Interrupted, true, unix.EINTR) ||
+		t.fail(pid, regs, WriteNoMemory, true, unix.ENOBUFS, unix.ENOMEM) {
 		return
 	}
 	if t.process.isActive(ShortWrite) {
@@ -165,7 +168,7 @@
 	}
 }
 
-// clock answers for the wall clock.
+// clockGettime answers clock_gettime with the offset wall clock.
 func (t *tracer) clockGettime(pid int, regs *unix.PtraceRegs) {
 	offset := t.process.wallOffset.Load()
 	if offset == 0 {
@@ -191,13 +194,14 @@
 	return name
 }
 
-// inState tells whether a descriptor is that of the state folder or of a file in it.
+// fdInState reports whether a descriptor refers to the state directory or a file in it.
 func (t *tracer) fdInState(pid int, fd uint64) bool {
 	name := fdTarget(pid, fd)
 	return t.process.opt.State != "" && (name == t.process.opt.State || strings.HasPrefix(name, t.process.opt.State+"/"))
 }
 
-// names tells whether a path in the program's memory lies in the state folder.
+// pathInState reports whether the path at an address in the traced program's memory lies in the state
+// directory.
 func (t *tracer) pathInState(pid int, at uint64) bool {
 	b := make([]byte, len(t.process.opt.State)+1)
 	n, err := unix.PtracePeekData(pid, uintptr(at), b)
--- a/internal/shim/exec.go
+++ b/internal/shim/exec.go
@@ -13,22 +13,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// traced are the system calls that the tracer is asked about.
-var tracedCalls = []uint32{unix.SYS_READ, unix.SYS_WRITE, unix.SYS_PWRITE64, unix.SYS_FTRUNCATE, unix.SYS_OPENAT, unix.SYS_RENAMEAT,
-	unix.SYS_UNLINKAT, unix.SYS_ACCEPT4, unix.SYS_SOCKET, unix.SYS_CONNECT, unix.SYS_EPOLL_CTL, unix.SYS_SETSOCKOPT,
-	unix.SYS_GETSOCKOPT, unix.SYS_PREAD64, unix.SYS_GETDENTS64}
+// tracedCalls are the system calls that stop in the tracer.
+var tracedCalls = []uint32{unix.SYS_READ, unix.SYS_WRITE, unix.SYS_PWRITE64, unix.SYS_FTRUNCATE, unix.SYS_OPENAT,
+	unix.SYS_RENAMEAT, unix.SYS_UNLINKAT, unix.SYS_ACCEPT4, unix.SYS_SOCKET, unix.SYS_CONNECT, unix.SYS_EPOLL_CTL,
+	unix.SYS_SETSOCKOPT, unix.SYS_GETSOCKOPT, unix.SYS_PREAD64, unix.SYS_GETDENTS64}
 
-// Offsets in struct seccomp_data.
+// Offsets in struct seccomp_data, in bytes.
 const (
 	offsetNumber = 0
 	offsetArg0   = 16
 )
 
-// pollVariable names the variable of the environment that has the tracer asked about waits for
-// events too.
+// pollVariable is the environment variable that makes waits for events stop in the tracer too.
 const pollVariable = "BASALTCROSS_SHIM_POLL"
 
-// filter asks the tracer about the traced calls, and about clock_gettime of the wall clock.
+// filter builds the seccomp program that stops the traced calls, and clock_gettime of the wall clock, in the
+// tracer and allows all others.
 func filter() []unix.SockFilter {
 	traced := tracedCalls
 	if os.Getenv(pollVariable) != "" {
@@ -53,11 +53,11 @@
 		ret(unix.SECCOMP_RET_TRACE))
 }
 
-// Exec asks for the tracer's attention and becomes the program named by the first argument.
+// Exec installs the seccomp filter and replaces this process by the program named by the first argument.
 // It returns only on an error.
 func Exec(args []string) error {
 	if len(args) == 0 {
-		return errors.New("shim: no program")
+		return errors.New("shim: no program to run was given")
 	}
 	runtime.LockOSThread()
 	program := filter()
@@ -65,8 +65,9 @@
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("shim: %w", err)
 	}
-	// Of this thread alone: the others end at the exec.
-	if err := unix.Prctl(unix.PR_SET_SECCOMP, unix.SECCOMP_MODE_FILTER, uintptr(unsafe.Pointer(&fprog)), 0, 0); err != nil {
+	// The filter applies to this thread only; exec ends the others.
+	if err := unix.Prctl(unix.PR_SET_SECCOMP, unix.SECCOMP_MODE_FILTER,
+		uintptr(unsafe.Pointer(&fprog)), 0, 0); err != nil {
 		return fmt.Errorf("shim: %w", err)
 	}
 	return fmt.Errorf("shim: %s: %w", args[0], syscall.Exec(args[0], args, os.Environ()))
@@ -79,7 +80,8 @@
 	auxVDSO   = 33 // AT_SYSINFO_EHDR
 )
 
-// hideVDSO has a program that has just been loaded read its clocks by system calls.
+// hideVDSO removes the vDSO from the auxiliary vector of a program that has just been loaded, so that it reads
+// its clocks by system calls, which the tracer sees.
 func hideVDSO(pid int) {
 	var regs unix.PtraceRegs
 	if unix.PtraceGetRegs(pid, &regs) != nil {
@@ -90,8 +92,8 @@
 		_, _ = unix.PtracePeekData(pid, uintptr(at), b[:])
 		return binary.LittleEndian.Uint64(b[:])
 	}
-	at := regs.Rsp + 8*(word(regs.Rsp)+2) // behind the arguments and their end
-	for word(at) != 0 {                   // the environment
+	at := regs.Rsp + 8*(word(regs.Rsp)+2) // past the arguments and their null terminator
+	for word(at) != 0 {                   // skip the environment
 		at += 8
 	}
 	for at += 8; word(at) != auxNull; at += 16 {
--- a/internal/shim/shim.go
+++ b/internal/shim/shim.go
@@ -1,7 +1,9 @@
-// Package shim runs a program under ptrace(2) and has its system calls fail for moments, in
-// ways that Linux documents: short reads and writes, errors of sockets and of a folder,
-// interrupted waits, a pause before a write, a wall clock that was set. It needs no
-// privileges, and only what it starts is touched. Linux on amd64 only.
+// Package shim runs a program under ptrace(2) and injects faults into its system calls, all of them
+// documented by Linux: short reads and writes, errors of sockets and of files in one directory,
+// interrupted waits, a delay before a write, a stepped wall clock. It needs no privileges and affects
+// only the processes that it starts. It runs on Linux on amd64 only.
+//
+// Which faults are active at which time is up to the caller; see package soak.
 package shim
 
 import (
@@ -24,72 +26,73 @@
 	"golang.org/x/sys/unix"
 )
 
-// Kind of a fault.
+// Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults. Those of files concern the state folder alone.
+// The kinds of faults. File faults apply to the state directory only.
 const (
-	ShortWrite   Kind = "short_write"    // a socket takes a part
-	ShortRead    Kind = "short_read"     // a socket gives a part
-	Interrupted  Kind = "eintr"          // read or write was interrupted
+	ShortWrite   Kind = "short_write"    // a write to a socket is accepted in part
+	ShortRead    Kind = "short_read"     // a read from a socket returns part of what was asked for
+	Interrupted  Kind = "eintr"          // a read or write on a socket fails with EINTR
 	PollNoMemory Kind = "epoll_enomem"   // epoll_ctl ADD and MOD fail with ENOMEM
-	AcceptFails  Kind = "accept"         // ECONNABORTED, ENFILE
-	SocketFails  Kind = "socket"         // ENFILE, ENOBUFS
-	ConnectFails Kind = "connect"        // EADDRNOTAVAIL, ENETUNREACH
+	AcceptFails  Kind = "accept"         // accept fails with ECONNABORTED, ENFILE
+	SocketFails  Kind = "socket"         // socket fails with ENFILE, ENOBUFS
+	ConnectFails Kind = "connect"        // connect fails with EADDRNOTAVAIL, ENETUNREACH
 	AcceptNoRoom Kind = "accept_no_room" // accept fails with EMFILE, ENOBUFS, EPROTO
-	WriteTorn    Kind = "disk_torn"      // a part of a record is written, then ENOSPC
+	WriteTorn    Kind = "disk_torn"      // part of a record is written, the next write fails with ENOSPC
 	DiskFull     Kind = "disk_enospc"    // writes fail with ENOSPC, EDQUOT
 	DiskError    Kind = "disk_eio"       // writes fail with EIO
 	TruncFails   Kind = "disk_ftruncate" // ftruncate fails with EIO
 	OpenFails    Kind = "disk_open"      // opening, creating and renaming files fails with EIO
 	UnlinkFails  Kind = "disk_unlink"    // removing a file fails with EIO
-	Stall        Kind = "stall"          // up to 0.15 s pass before a write to a socket
-	WallClock    Kind = "wall_clock"     // the wall clock is off by a step
+	Stall        Kind = "stall"          // a write to a socket is delayed by up to 150 ms
+	WallClock    Kind = "wall_clock"     // the wall clock is off by a fixed offset
 
-	PollInterrupted Kind = "epoll_eintr"   // epoll_pwait was interrupted
+	PollInterrupted Kind = "epoll_eintr"   // epoll_pwait fails with EINTR
 	ReadNoMemory    Kind = "read_enomem"   // read from a socket fails with ENOMEM, ENOBUFS
 	WriteNoMemory   Kind = "write_enobufs" // write to a socket fails with ENOBUFS, ENOMEM
 	SockoptFails    Kind = "sockopt"       // setsockopt and getsockopt fail with ENOBUFS, ENOMEM
-	DiskDown        Kind = "disk_down"     // all that changes the folder fails with EIO, each time
-	WriteDown       Kind = "write_down"    // write to a socket fails with ENOBUFS, each time
-	AcceptDown      Kind = "accept_down"   // accept fails with ENFILE, each time
-	FileReadFails   Kind = "disk_read"     // reading a file or the folder fails with EIO
+	DiskDown        Kind = "disk_down"     // every change to the state directory fails with EIO
+	WriteDown       Kind = "write_down"    // every write to a socket fails with ENOBUFS
+	AcceptDown      Kind = "accept_down"   // every accept fails with ENFILE
+	FileReadFails   Kind = "disk_read"     // reading a file or the directory fails with EIO
 )
 
-// Kinds are all of them.
-var Kinds = []Kind{ShortWrite, ShortRead, Interrupted, PollNoMemory, AcceptFails, SocketFails, ConnectFails, AcceptNoRoom, WriteTorn,
-	DiskFull, DiskError, TruncFails, OpenFails, UnlinkFails, Stall, WallClock, PollInterrupted, ReadNoMemory, WriteNoMemory, SockoptFails,
-	FileReadFails, DiskDown, AcceptDown, WriteDown}
+// Kinds lists all kinds of faults.
+var Kinds = []Kind{ShortWrite, ShortRead, Interrupted, PollNoMemory, AcceptFails, SocketFails, ConnectFails,
+	AcceptNoRoom, WriteTorn, DiskFull, DiskError, TruncFails, OpenFails, UnlinkFails, Stall, WallClock,
+	PollInterrupted, ReadNoMemory, WriteNoMemory, SockoptFails, FileReadFails, DiskDown, AcceptDown, WriteDown}
 
-// Options of a Process.
+// Options configures a Process.
 type Options struct {
-	Path   string   // of the program that calls Exec
-	Args   []string // by which it does, with the program to run and its arguments
+	Path   string   // executable that calls Exec
+	Args   []string // arguments that make it call Exec, then the program to run and its arguments
 	Env    []string
 	Dir    string
-	State  string // the folder whose files may fail
+	State  string // directory that file faults apply to
 	Stderr io.Writer
 	Seed   uint64
-	// Poll: waits for events may be interrupted. A program waits often, and each wait is stopped.
+	// Poll also traces waits for events, for PollInterrupted. It slows the program down: every wait stops in
+	// the tracer, and programs wait often.
 	Poll bool
 }
 
-// Process is a program under the shim.
+// Process is a traced program.
 type Process struct {
 	opt  Options
 	Pid  int
 	done chan struct{}
 	exit syscall.WaitStatus
 
-	active      sync.Map // Kind to bool
-	activeKinds atomic.Int32
-	wallOffset  atomic.Int64 // offset of the wall clock in ns
+	active     sync.Map     // Kind to bool: whether the fault is active
+	any        atomic.Int32 // number of active kinds
+	wallOffset atomic.Int64 // offset of the wall clock, in nanoseconds
 
 	mu   sync.Mutex
 	hits map[Kind]int
 }
 
-// Start runs a program. It is ended with the process that started it.
+// Start starts a program under the tracer. The program is killed when the calling process ends.
 func Start(opt Options) (*Process, error) {
 	p := &Process{opt: opt, done: make(chan struct{}), hits: map[Kind]int{}}
 	started := make(chan error, 1)
@@ -100,21 +103,21 @@
 	return p, nil
 }
 
-// Set begins or ends a fault.
+// Set activates or deactivates a kind of fault.
 func (p *Process) Set(k Kind, on bool) {
 	if was, _ := p.active.Swap(k, on); was != on && (was != nil || on) {
 		if on {
-			p.activeKinds.Add(1)
+			p.any.Add(1)
 		} else {
-			p.activeKinds.Add(-1)
+			p.any.Add(-1)
 		}
 	}
 }
 
-// SetWall steps the wall clock to an offset from the machine's.
+// SetWall sets the program's wall clock to an offset from the machine's.
 func (p *Process) SetWall(offset time.Duration) { p.wallOffset.Store(int64(offset)) }
 
-// Hits are how often faults were injected, by kind.
+// Hits returns the number of injected faults, by kind.
 func (p *Process) Hits() map[Kind]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,13 +128,13 @@
 	return all
 }
 
-// CPU is the processor time that the process has used, 0 once it has ended.
+// CPU returns the processor time that the process has used, 0 once it has ended.
 func (p *Process) CPU() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid))
 	if err != nil {
 		return 0
 	}
-	// Behind the name, which stands in parentheses: state and ten numbers, then user and system time.
+	// After the name in parentheses come the state, ten numbers, then user and system time in clock ticks.
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 	if len(fields) < 13 {
 		return 0
@@ -141,10 +144,10 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// clockTick is the unit of times in /proc on Linux.
+// clockTick is the unit of times in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-// Signal sends a signal; one to a process that has ended does nothing.
+// Signal sends a signal to the process. It does nothing once the process has ended.
 func (p *Process) Signal(sig syscall.Signal) {
 	select {
 	case <-p.done:
@@ -153,10 +156,10 @@
 	}
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Exit is how it ended, once Done is closed.
+// Exit returns the exit status. It is valid once Done is closed.
 func (p *Process) Exit() syscall.WaitStatus { return p.exit }
 
 func (p *Process) isActive(k Kind) bool {
@@ -170,23 +173,24 @@
 	p.mu.Unlock()
 }
 
-// tracer is the thread that traces a process; ptrace(2) allows no other.
+// tracer holds the state of the one thread that traces a process: ptrace(2) accepts requests from no other.
 type tracer struct {
 	process     *Process
 	random      *rand.Rand
-	threads     map[int]bool // threads
-	torn        map[int]bool // threads whose next write to the folder fails
-	pollerReady bool         // the program's runtime has its poller
+	threads     map[int]bool // threads of the process seen so far
+	torn        map[int]bool // threads whose next write to the state directory fails
+	pollerReady bool         // the program's runtime has set up its poller
 }
 
 const (
-	waitNoThread = 0x20000000 // __WNOTHREAD: only children of this thread
-	traceOptions = unix.PTRACE_O_TRACESECCOMP | unix.PTRACE_O_TRACECLONE | unix.PTRACE_O_TRACEEXEC | unix.PTRACE_O_EXITKILL
+	waitNoThread = 0x20000000 // __WNOTHREAD: wait for children of this thread only
+	traceOptions = unix.PTRACE_O_TRACESECCOMP | unix.PTRACE_O_TRACECLONE |
+		unix.PTRACE_O_TRACEEXEC | unix.PTRACE_O_EXITKILL
 )
 
 // run starts the program and traces it until it has ended.
 func (p *Process) run(started chan<- error) {
-	runtime.LockOSThread() // and never unlocked: the thread goes with its tracees
+	runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
 	cmd := exec.Command(p.opt.Path, p.opt.Args...)
 	cmd.Env, cmd.Dir, cmd.Stderr = p.opt.Env, p.opt.Dir, p.opt.Stderr
 	if p.opt.Poll {
@@ -206,13 +210,14 @@
 		return
 	}
 	started <- nil
-	t := &tracer{process: p, random: rand.New(rand.NewPCG(p.opt.Seed, 0x5)), threads: map[int]bool{p.Pid: true}, torn: map[int]bool{}}
+	t := &tracer{process: p, random: rand.New(rand.NewPCG(p.opt.Seed, 0x5)),
+		threads: map[int]bool{p.Pid: true}, torn: map[int]bool{}}
 	p.exit = t.waitLoop()
-	_ = cmd.Wait() // for what it wrote; it has been waited for
+	_ = cmd.Wait() // waits for the copy of its stderr; the process itself has been reaped
 	close(p.done)
 }
 
-// loop follows all threads until the process has ended.
+// waitLoop handles the stops of all threads until the process has ended, and returns its exit status.
 func (t *tracer) waitLoop() syscall.WaitStatus {
 	for {
 		var ws unix.WaitStatus
@@ -232,7 +237,7 @@
 	}
 }
 
-// stopped handles one stop of a thread and lets it go on.
+// stopped handles one stop of a thread and resumes it.
 func (t *tracer) stopped(pid int, ws unix.WaitStatus) {
 	signal := int(ws.StopSignal())
 	if ws.StopSignal() == unix.SIGTRAP {
@@ -251,5 +256,5 @@
 		t.threads[pid] = true // a new thread
 		signal = 0
 	}
-	_ = unix.PtraceCont(pid, signal) // it may have been killed meanwhile
+	_ = unix.PtraceCont(pid, signal) // fails if the thread has been killed since
 }
--- a/internal/shim/shim_test.go
+++ b/internal/shim/shim_test.go
@@ -13,7 +13,7 @@
 
 const playProgram = "BASALTCROSS_SHIM_TEST"
 
-// TestMain lets the test's binary be the program under the shim.
+// TestMain makes the test binary serve as the traced program too.
 func TestMain(m *testing.M) {
 	switch os.Getenv(playProgram) {
 	case "exec":
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// play does what the shim may have fail, and tells what it saw.
+// play makes the system calls that faults are injected into, and prints their results to stderr.
 func play() {
 	file, err := os.Create(os.Getenv("STATE") + "/file")
 	if err == nil {
@@ -42,7 +42,7 @@
 	}
 	n, err := syscall.Write(pair[0], make([]byte, 100))
 	fmt.Fprintf(os.Stderr, "socket: %d %v\n", n, err)
-	if n > 0 { // else there is nothing to be read
+	if n > 0 { // otherwise there is nothing to read
 		n, err = syscall.Read(pair[1], make([]byte, 100))
 		fmt.Fprintf(os.Stderr, "read: %d %v\n", n, err)
 	}
@@ -54,13 +54,15 @@
 	fmt.Fprintf(os.Stderr, "dial: %v\n", err)
 }
 
-// Each injected fault is seen by the program, and none of those that are not active.
+// TestFaultsReachTheProgram guards against faults that are counted as injected but not seen by the program, and
+// against faults that occur while their kind is not active.
 func TestFaultsReachTheProgram(t *testing.T) {
 	for _, c := range []struct {
 		kind Kind
-		want string // in what some play of the program says
+		want string // text in the output of at least one run
 	}{
-		{WriteTorn, "no space left"}, {DiskError, "input/output error"}, {DiskDown, "input/output error"}, {ShortWrite, "socket: "}, {SocketFails, "dial: dial tcp 127.0.0.1:1: socket:"},
+		{WriteTorn, "no space left"}, {DiskError, "input/output error"}, {DiskDown, "input/output error"},
+		{ShortWrite, "socket: "}, {SocketFails, "dial: dial tcp 127.0.0.1:1: socket:"},
 		{ReadNoMemory, "read: -1"}, {WriteNoMemory, "socket: -1"}, {SockoptFails, "option: "}, {FileReadFails, "content: 0"},
 		{WallClock, "wall: "}, {"", ""},
 	} {
@@ -68,7 +70,8 @@
 		for seed := uint64(0); seed < 20 && !seen; seed++ {
 			var out bytes.Buffer
 			state := t.TempDir()
-			p, err := Start(Options{Path: os.Args[0], Env: append(os.Environ(), playProgram+"=exec", "STATE="+state), State: state,
+			p, err := Start(Options{Path: os.Args[0],
+				Env: append(os.Environ(), playProgram+"=exec", "STATE="+state), State: state,
 				Stderr: &out, Seed: seed})
 			if err != nil {
 				t.Fatal(err)
@@ -80,13 +83,13 @@
 			}
 			<-p.Done()
 			if !p.Exit().Exited() || p.Exit().ExitStatus() != 0 {
-				t.Fatalf("%s: ended with %v: %s", c.kind, p.Exit(), out.String())
+				t.Fatalf("%s: program ended with %v: %s", c.kind, p.Exit(), out.String())
 			}
 			text := out.String()
 			switch c.kind {
 			case ShortWrite:
 				seen = !strings.Contains(text, "socket: 100 <nil>")
-			case SockoptFails: // of the program's own socket, or within the dial
+			case SockoptFails: // on the program's own socket, or within the dial
 				seen = !strings.Contains(text, "option: <nil>") || strings.Contains(text, "sockopt:")
 			case WallClock:
 				var wall int64
@@ -98,11 +101,11 @@
 				seen = strings.Contains(text, c.want)
 			}
 			if seen != (p.Hits()[c.kind] > 0) && c.kind != "" {
-				t.Errorf("%s: seen %v, hits %v: %s", c.kind, seen, p.Hits(), text)
+				t.Errorf("%s: seen by the program: %v, injected: %v: %s", c.kind, seen, p.Hits(), text)
 			}
 		}
 		if !seen {
-			t.Errorf("%s: never seen", c.kind)
+			t.Errorf("%s: the program never saw the fault", c.kind)
 		}
 	}
 }
