--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Limits of the protocol, as the audit holds them.
+// Tolerances of the audit: limits of the protocol, and allowances for real sockets and processes.
 const (
-	noticeGrace   = 300 * time.Millisecond  // a notice may come so long after its message's time
-	restartGrace  = 1500 * time.Millisecond // and none is overdue until so long after a relay is ready again
-	waitGrace     = 100 * time.Millisecond  // calls that arrive so soon after the wait was told pass
-	socketGrace   = 50 * time.Millisecond   // every time limit is longer by this on sockets
-	maxRelayPause = 150 * time.Millisecond  // a relay may be held up so long between its clock and a write
-	maxWriteRetry = 16 * time.Millisecond   // a relay tries a socket that took nothing again after this at the latest
-	transitGrace  = 2 * LongestHold         // bytes may be so long, in both directions or in two pieces
+	noticeGrace   = 300 * time.Millisecond  // a notice may arrive this long after the message's deadline
+	restartGrace  = 1500 * time.Millisecond // after a restart, no notice is overdue until this long after readiness
+	waitGrace     = 100 * time.Millisecond  // a call may still arrive this long after the host asked for a wait
+	socketGrace   = 50 * time.Millisecond   // every time limit is extended by this on sockets
+	maxRelayPause = 150 * time.Millisecond  // a relay may be delayed this long between reading its clock and a write
+	maxWriteRetry = 16 * time.Millisecond   // a relay retries a write that failed for lack of buffers within this time
+	transitGrace  = 2 * LongestHold         // bytes may be this late: delayed in both directions, or in two pieces
 )
 
-// doubtedFor is how long an answer may turn out to be another's.
+// doubtPeriod is how long after an answer a relay may find that it belongs to another call.
 const doubtPeriod = 5 * time.Second
 
-// soon after an answer a process has not given its call up by itself.
+// giveUpMargin is the time after an answer within which a process does not give up the call on its own.
 const giveUpMargin = 300 * time.Millisecond
 
-// DrainGrace is that of the settings that the audit holds.
+// DrainGrace is the drain grace period that the settings of the audited relays must have.
 const DrainGrace = 500 * time.Millisecond
 
-// Finding is one invariant and what was found of it.
+// Finding counts the checks and violations of one invariant.
 type Finding struct {
 	Invariant string   `json:"invariant"`
 	Checked   int      `json:"checked"`
@@ -35,7 +35,7 @@
 	Examples  []string `json:"examples,omitempty"`
 }
 
-// mostExamples of a finding are kept.
+// maxExamples bounds the examples kept in a finding.
 const maxExamples = 5
 
 func (f *Finding) check(ok bool, example func() string) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Audit holds a record against the rules. lag is how late the emulator's own timers were at
-// most: every time that it took itself may be wrong by so much. now is when the record ends.
+// Audit checks the record against all invariants. lag is the largest delay measured for the emulator's own timers:
+// every time that it took itself may be off by that much. now is the end of the record.
 func (r *Record) Audit(lag time.Duration, now time.Time) []*Finding {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +79,7 @@
 	return a.findings
 }
 
-// networks are those of the hosts that were called; under mu.
+// networks returns the networks of the hosts that were called. The caller holds mu.
 func (r *Record) networks() (all []*Network) {
 	for _, c := range r.histories {
 		for _, x := range c.Calls {
@@ -91,6 +91,7 @@
 	return all
 }
 
+// audit is one pass over a record.
 type audit struct {
 	record   *Record
 	lag      time.Duration
@@ -99,6 +100,7 @@
 	networks []*Network // of the hosts that were called
 }
 
+// finding returns the finding of an invariant, new at its first use.
 func (a *audit) finding(invariant string) *Finding {
 	for _, f := range a.findings {
 		if f.Invariant == invariant {
@@ -110,7 +112,8 @@
 	return f
 }
 
-// killed tells whether a process of a node ended between two moments.
+// processEnding reports whether a process of a node was ending at some time between two times. It counts as
+// ending from SIGKILL until its end is observed.
 func (a *audit) processEnding(node int, from, to time.Time) bool {
 	return slices.ContainsFunc(a.record.processes, func(l *Life) bool {
 		if l.Node != node || l.Ended.IsZero() {
@@ -124,7 +127,7 @@
 	})
 }
 
-// replies: a response is complete, or there is none at all and nothing came of the request.
+// checkReplies checks that a response is complete, or that there is none and the request was not read.
 func (a *audit) checkReplies(c *Course) {
 	died := a.processEnding(c.Node, c.Sent, c.Reply.At)
 	a.finding("a response is complete").check(c.Reply.Complete || c.Reply.Text == "" || died, c.String)
@@ -137,49 +140,54 @@
 	}
 }
 
-// answered: a request that the relay read whole hears its answer while its client waits. What
-// the relay read only when that was over is not its doing, nor is what it had handed in time to
-// a socket that took nothing from then on.
+// checkAnswered checks that a request that the relay read whole is answered while its client waits. The relay is
+// not to blame for a request that it could read only after that, nor for a response written in time to a socket
+// that accepted nothing from then on.
 func (a *audit) checkAnswered(c *Course) {
 	until := c.Sent.Add(clientTimeout)
 	if c.Read.IsZero() || c.Reply.At.IsZero() || c.Read.After(until.Add(-socketGrace)) {
 		return
 	}
-	if !c.Handed.IsZero() && c.Handed.Before(until) && covers(a.record.writeFaults, c.Node, c.Handed, until.Add(-maxWriteRetry)) {
+	if !c.Handed.IsZero() && c.Handed.Before(until) &&
+		covers(a.record.writeFaults, c.Node, c.Handed, until.Add(-maxWriteRetry)) {
 		return
 	}
 	died := a.processEnding(c.Node, c.Sent, until)
-	a.finding("a request that was read is answered in time").check(c.Reply.Complete || c.Reply.End != "timeout" || died, c.String)
+	a.finding("a request that was read is answered in time").
+		check(c.Reply.Complete || c.Reply.End != "timeout" || died, c.String)
 }
 
-// welcomed: a connection that comes up while clients still come to a relay that leaves is
-// accepted and answered, however long it stood in the listener's queue.
+// checkNewConnection checks that a connection opened soon after its relay's SIGTERM, while clients still connect
+// to it, is accepted and answered, however long it was in the listener's queue.
 func (a *audit) checkNewConnection(c *Course) {
-	if !c.Reply.Fresh || c.Reply.End == "left" || !a.record.sentWhileLeaving(c) || a.processEnding(c.Node, c.Sent, c.Sent.Add(clientTimeout)) {
+	if !c.Reply.Fresh || c.Reply.End == "left" || !a.record.sentWhileLeaving(c) ||
+		a.processEnding(c.Node, c.Sent, c.Sent.Add(clientTimeout)) {
 		return
 	}
 	if overlaps(a.record.closePeriods, c.Node, c.Sent.Add(-a.lag-clientTimeout), c.Reply.At.Add(a.lag)) {
 		return
 	}
-	a.finding("a new connection is answered while the relay leaves").check(c.Reply.Complete || c.Reply.Text != "" || c.Reply.End == "timeout", c.String)
+	a.finding("a new connection is answered while the relay leaves").
+		check(c.Reply.Complete || c.Reply.Text != "" || c.Reply.End == "timeout", c.String)
 }
 
-// refusals: what was answered 429 or 503 is never forwarded from then on.
+// checkRefusal checks that a message answered with 429 or 503 is not forwarded after that.
 func (a *audit) checkRefusal(c *Course) {
 	if !c.Reply.Complete || c.Reply.Status != 429 && c.Reply.Status != 503 {
 		return
 	}
 	late := c.Reply.At.Add(maxRelayPause + transitGrace + socketGrace + a.lag)
-	a.finding("a refused request is not forwarded").check(!slices.ContainsFunc(c.Calls, func(x Call) bool { return x.At.After(late) }), c.String)
+	a.finding("a refused request is not forwarded").
+		check(!slices.ContainsFunc(c.Calls, func(x Call) bool { return x.At.After(late) }), c.String)
 }
 
-// owed: what was taken is delivered, or ends by a notice in time.
+// checkTaken checks that an accepted message is delivered, or ends by a notice in time.
 func (a *audit) checkTaken(c *Course) {
 	if !c.taken() {
 		return
 	}
 	by := c.Due.Add(noticeGrace + transitGrace + a.lag)
-	for _, l := range a.record.processes { // no notice is overdue around a restart
+	for _, l := range a.record.processes { // a restart extends the time limit of notices
 		if l.Node != c.Node || l.Told.IsZero() || l.Told.After(by) {
 			continue
 		}
@@ -198,12 +206,14 @@
 		a.finding("what was taken is delivered or ends in time").Checked++
 		return
 	}
-	a.finding("what was taken is delivered or ends in time").check(slices.ContainsFunc(c.Notices, func(n Notice) bool { return !n.At.After(by) }), c.String)
+	a.finding("what was taken is delivered or ends in time").
+		check(slices.ContainsFunc(c.Notices, func(n Notice) bool { return !n.At.After(by) }), c.String)
 }
 
-// repeats: no second effect where that does harm, none after the window, none in parallel.
+// checkRepeats checks that an at-most-once message is not repeated, that a deduplicated one is not repeated after
+// its window, and that calls of one message do not overlap.
 func (a *audit) checkRepeats(c *Course) {
-	var first time.Time // the first call that may have run
+	var first time.Time // first call that may have taken effect
 	for i, x := range c.Calls {
 		if i > 0 {
 			before := c.Calls[i-1]
@@ -228,7 +238,8 @@
 	}
 }
 
-// ended: no call begins for a message that has ended, or whose time is over.
+// checkEnded checks that no call begins for a message that has ended or is past its deadline, and that a message
+// that may have taken effect, or was delivered before a restart, is not reported as refused.
 func (a *audit) checkEnded(c *Course) {
 	late := maxRelayPause + transitGrace + socketGrace + a.lag
 	for _, x := range c.Calls {
@@ -238,20 +249,23 @@
 		}
 	}
 	if c.Lane.Effect == AtMostOnce {
-		a.finding("what may have run is not told as refused").check(!c.mayHaveRun() || len(c.Notices) == 0 || c.Notices[0].Result != "bounced", c.String)
+		a.finding("what may have run is not told as refused").
+			check(!c.mayHaveRun() || len(c.Notices) == 0 || c.Notices[0].Result != "bounced", c.String)
 	}
 	if len(c.Notices) > 0 && c.Notices[0].Result == "bounced" {
 		a.finding("a message delivered before a restart has no refusal").check(!a.refusedAfterDelivery(c), c.String)
 	}
 }
 
-// served: a message whose host answered 200, while the relay waited for it and long before the
-// message's time, is not told as refused or failed, but by a later process where the folder failed
-// when the end had to be recorded. Where a second copy of an answer came to its relay before the
-// notice, that can't know whose the answer was: a message may be told as dead, and
-// one whose repeat does no harm as refused. So may be told as dead one whose host ended the connection
-// soon behind its answer: that may have been a copy, and the host at work on the call. A notice for a
-// message that is over does no harm (PROTOCOL).
+// checkServed checks that a message is not reported as refused or failed if its host answered 200 while the
+// relay waited for the answer and long before the message's deadline. There are two exceptions.
+//
+// A later process may report it, if the state directory failed when the end had to be recorded.
+//
+// If a second copy of an answer reached the relay before the notice, the relay cannot know which call the answer
+// belongs to. It may then report a message as dead, and one that may be repeated without harm as refused. The
+// same holds for reporting as dead a message whose host closed the connection soon after its answer: the answer
+// may have been a copy, and the host still at work on the call. A notice for a message that is over does no harm.
 func (a *audit) checkServed(c *Course) {
 	for _, x := range c.Calls {
 		if x.Status != 200 || x.Told.IsZero() || x.Told.Add(giveUpMargin+clientTimeout).After(c.Due) {
@@ -272,14 +286,17 @@
 	}
 }
 
-// doubtful tells whether a relay could not know that an answer was its call's own.
+// doubtful reports whether the relay could not know that an answer belonged to its call.
 func (a *audit) doubtful(c *Course, x *Call, told Notice) bool {
-	late := told.At.After(x.Told.Add(doubtPeriod)) && !a.endedBetween(c.Node, x.Told, told.At) // the next process may tell it
+	// After a restart the next process may send the notice later.
+	late := told.At.After(x.Told.Add(doubtPeriod)) && !a.endedBetween(c.Node, x.Told, told.At)
 	if x.conn == nil || told.Result != "dead" && c.Lane.Effect == AtMostOnce || late {
 		return false
 	}
-	from, to := x.At.Add(-LongestHold-giveUpMargin), told.At.Add(LongestHold) // reads may fail for a while
-	if x.conn.repeatedWithin(x.At.Add(-doubtPeriod), to) || told.Result == "dead" && x.conn.brokeBetween(x.Begun, told.At) {
+	// Reads may fail for a while, so a copy written earlier may be read now.
+	from, to := x.At.Add(-LongestHold-giveUpMargin), told.At.Add(LongestHold)
+	if x.conn.repeatedWithin(x.At.Add(-doubtPeriod), to) ||
+		told.Result == "dead" && x.conn.brokeBetween(x.Begun, told.At) {
 		return true
 	}
 	for _, network := range a.networks {
@@ -290,24 +307,27 @@
 	return false
 }
 
-// endedBetween tells whether a process of a node ended between two moments.
+// endedBetween reports whether a process of a node ended between two times.
 func (a *audit) endedBetween(node int, from, to time.Time) bool {
-	return slices.ContainsFunc(a.record.processes, func(l *Life) bool { return l.Node == node && l.Ended.After(from) && l.Ended.Before(to) })
+	return slices.ContainsFunc(a.record.processes, func(l *Life) bool {
+		return l.Node == node && l.Ended.After(from) && l.Ended.Before(to)
+	})
 }
 
-// forgotten tells whether a message was answered 200 in time with its one call, and refused
-// by a later process. Within one process a call may be given up while its answer is on its way.
+// refusedAfterDelivery reports whether a message's only call was answered 200 in time and a later process
+// reported the message as refused. Within one process a call may be given up while its answer is in transit.
 func (a *audit) refusedAfterDelivery(c *Course) bool {
 	if len(c.Calls) != 1 || c.Calls[0].Status != 200 || c.Calls[0].Told.IsZero() {
 		return false
 	}
 	call := c.Calls[0]
 	return call.Told.Add(giveUpMargin).Before(c.Due) && slices.ContainsFunc(a.record.processes, func(l *Life) bool {
-		return l.Node == c.Node && l.Ended.After(call.Told) && l.Ended.Before(c.Notices[0].At) && l.Killed.Before(call.Told.Add(giveUpMargin))
+		return l.Node == c.Node && l.Ended.After(call.Told) && l.Ended.Before(c.Notices[0].At) &&
+			l.Killed.Before(call.Told.Add(giveUpMargin))
 	})
 }
 
-// orders: messages of one key take effect in the order in which they were handed in.
+// checkOrder checks that messages of one key take effect in the order in which they were handed in.
 func (a *audit) checkOrder() {
 	f := a.finding("messages of one key keep their order")
 	for _, ids := range a.record.effectOrder {
@@ -320,17 +340,18 @@
 	}
 }
 
-// waits: a relay that was told to wait sends nothing to that host until then; a restart ends
-// the wait.
+// checkWaits checks that a relay sends nothing to a host during a wait that the host asked for. A restart ends the
+// wait.
 func (a *audit) checkWaits() {
 	f := a.finding("a told wait is kept")
 	type told struct{ from, until time.Time }
-	all := map[string][]told{} // by node and host
+	all := map[string][]told{} // keyed by node and host
 	where := func(c *Course, x Call) string { return fmt.Sprint(c.Node, " ", x.Host) }
 	for _, c := range a.record.histories {
 		for _, x := range c.Calls {
 			if x.Wait > 0 && !x.Told.IsZero() {
-				all[where(c, x)] = append(all[where(c, x)], told{x.Told.Add(waitGrace + LongestHold + a.lag), x.Begun.Add(x.Wait - a.lag)})
+				all[where(c, x)] = append(all[where(c, x)],
+					told{x.Told.Add(waitGrace + LongestHold + a.lag), x.Begun.Add(x.Wait - a.lag)})
 			}
 		}
 	}
@@ -344,8 +365,8 @@
 	}
 }
 
-// drained: no new work reaches a host later than the grace after the relay was told that it
-// wants none.
+// checkDrained checks that a host gets no new work once the drain grace period is over, counted from when the
+// relay was told that the host is draining.
 func (a *audit) checkDrained() {
 	f := a.finding("no work for a host that drains")
 	slices.SortStableFunc(a.record.hostStates, func(x, y hostState) int { return x.at.Compare(y.at) })
@@ -363,14 +384,14 @@
 				wants = d.acceptsWork
 			}
 			f.check(wants || !x.At.After(since.Add(grace)), func() string {
-				return fmt.Sprintf("%s told %s before %s", x.Host, x.At.Sub(since).Round(time.Millisecond), c)
+				return fmt.Sprintf("%s was listed as draining %s before %s", x.Host, x.At.Sub(since).Round(time.Millisecond), c)
 			})
 		}
 	}
 }
 
-// untried: of what restarts found taken on, with no call and half of its time left, not over
-// half is given up early with no call (STANDING).
+// checkUntried checks that, of the accepted messages that a restart finds without a call and with at least half
+// of their time left, at most half are ended early without a call.
 func (a *audit) checkUntried() {
 	found, given := 0, 0
 	for _, l := range a.record.processes {
@@ -390,11 +411,11 @@
 		}
 	}
 	a.finding("restarts try what they find untried").check(2*given <= found, func() string {
-		return fmt.Sprintf("%d of %d given up early with no call", given, found)
+		return fmt.Sprintf("%d of %d messages ended early without a call", given, found)
 	})
 }
 
-// next is the process that followed one, nil if none was ready.
+// nextProcess returns the first later process of the same node that became ready, nil for none.
 func (a *audit) nextProcess(l *Life) *Life {
 	for _, n := range a.record.processes {
 		if n.Node == l.Node && n.Started.After(l.Started) && !n.Ready.IsZero() {
@@ -404,6 +425,7 @@
 	return nil
 }
 
+// checkUnknown checks that all calls and notices belong to messages that a client sent.
 func (a *audit) checkUnknown() {
 	f := a.finding("nothing is sent that nobody handed in")
 	f.check(len(a.record.unknown) == 0, func() string { return strings.Join(a.record.unknown, ", ") })
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -18,21 +18,21 @@
 	"basaltcross.example/basaltcross/internal/pause"
 )
 
-// clientWaits is how long a client waits for its answer (PROTOCOL).
+// clientTimeout is how long a client waits for a connection and for its response.
 const clientTimeout = 400 * time.Millisecond
 
-// Client hands messages in to one node, one after the other, and keeps its connection.
+// Client hands messages in to one node, one after the other, and keeps its connection open between them.
 type Client struct {
 	Platform *Platform
 	Node     int
 	Addr     string
-	Name     string // unique
+	Name     string // unique; also the key of messages of ordered classes
 	Lanes    []Lane
-	Left     time.Duration // of each message's time
-	Pause    time.Duration // the longest between two requests
+	Left     time.Duration // time to live of each message
+	Pause    time.Duration // upper bound of the pause between two requests
 	Seed     uint64
-	Rude     func() bool // whether the next request is left half sent; may be nil
-	Ends     func() bool // whether the client ends its sending behind the next request; may be nil
+	Rude     func() bool // reports whether to close the connection within the next request; may be nil
+	Ends     func() bool // reports whether to half-close the connection after the next request; may be nil
 
 	conn       net.Conn
 	reader     *bufio.Reader
@@ -41,7 +41,7 @@
 	r          *rand.Rand
 }
 
-// Run hands in until ctx ends.
+// Run hands in messages until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	c.r = rand.New(rand.NewPCG(c.Seed, 0xc))
 	for ctx.Err() == nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// course of the next request.
+// newHistory returns the history of the next request, with its ID, class and key.
 func (c *Client) newHistory() *Course {
 	lane := c.Lanes[c.r.IntN(len(c.Lanes))]
 	c.lastNumber++
@@ -69,10 +69,10 @@
 	return x
 }
 
-// request as it goes over the wire.
+// encodeRequest returns a request as it is sent.
 func (c *Client) encodeRequest(x *Course) string {
 	var b strings.Builder
-	dest := len(c.Name) // any that stays the same for a key
+	dest := len(c.Name) // any number that is the same for all messages of a key
 	for _, ch := range c.Name {
 		dest += int(ch)
 	}
@@ -80,7 +80,8 @@
 		dest += x.Number
 	}
 	body := strings.Repeat("x", c.r.IntN(900))
-	fmt.Fprintf(&b, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: %d\r\nX-Addressing: dest=%d\r\n",
+	fmt.Fprintf(&b,
+		"POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: %d\r\nX-Addressing: dest=%d\r\n",
 		x.ID, x.Lane.Name, c.Left.Milliseconds(), dest%len(c.Platform.Hosts))
 	if x.Lane.Effect == Deduplicated {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", x.ID)
@@ -92,8 +93,8 @@
 	return b.String()
 }
 
-// hand hands in one message. One that crossed the close of a resting connection goes out
-// once more on a new one.
+// handIn hands in one message. If an idle connection turns out to be closed, a further message goes out on a
+// new one.
 func (c *Client) handIn(ctx context.Context) {
 	for range 2 {
 		fresh := c.conn == nil
@@ -123,7 +124,7 @@
 	return true
 }
 
-// ask sends a request and reads its response.
+// exchange sends a request and reads its response. fresh is whether it is the first on its connection.
 func (c *Client) exchange(x *Course, fresh bool) Reply {
 	text := c.encodeRequest(x)
 	x.Sent = time.Now()
@@ -154,7 +155,7 @@
 	return reply
 }
 
-// read reads one response, byte by byte as it comes.
+// read reads one response, and keeps what was read of it.
 func (c *Client) read() Reply {
 	var got strings.Builder
 	tee := bufio.NewReaderSize(io.TeeReader(c.reader, &got), 16)
@@ -177,7 +178,7 @@
 	return reply
 }
 
-// endOf tells how a connection ended.
+// connectionEnd returns how a connection ended, as Reply.End names it.
 func connectionEnd(err error) string {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/emulator/course.go
+++ b/internal/emulator/course.go
@@ -1,7 +1,8 @@
-// Package emulator is the users' platform on loopback: agents that push lists and take
-// notices, hosts with limits and failures, clients that keep their connections. It keeps the
-// course of each request over all of them, which an audit holds against the rules. Its
-// faults are those of peers and networks; those of system calls are package shim's.
+// Package emulator emulates the users' platform on loopback: agents that serve the list of hosts and take
+// notices, hosts with limits and failures, clients that keep their connections open. It records the history
+// of each request over all of them, and audits the record against invariants.
+//
+// It injects faults of peers and networks. Faults of system calls are injected by package shim.
 package emulator
 
 import (
@@ -13,10 +14,10 @@
 	"basaltcross.example/basaltcross/internal/agent"
 )
 
-// Effect is what a second effect of a message does, as the settings name it.
+// Effect says whether a message may take effect twice, in the terms of the settings.
 type Effect string
 
-// The effects of the settings.
+// The effects that the settings know.
 const (
 	Idempotent   Effect = "idempotent"
 	Deduplicated Effect = "deduplicated"
@@ -28,63 +29,65 @@
 	Name    string
 	Effect  Effect
 	Ordered bool
-	Window  time.Duration
+	Window  time.Duration // time in which hosts deduplicate repeats
 }
 
-// Reply is what a client read in answer to a request.
+// Reply is the response that a client read.
 type Reply struct {
 	At       time.Time
 	Status   int    // 0 for none
-	Complete bool   // to its last byte
-	Text     string // what was read, where it was not complete
-	End      string // how the connection ended before that: "", "eof", "reset", "timeout"
-	Fresh    bool   // the first request on its connection
+	Complete bool   // read to its last byte
+	Text     string // bytes read
+	End      string // how the connection ended, empty if it stays open: "eof", "reset", "timeout", "close", "more", "left", "error: ..."
+	Fresh    bool   // whether the request was the first on its connection
 }
 
-// Call is one call of a message that a host read to its last byte.
+// Call is one message's part in a call that a host read to its last byte.
 type Call struct {
 	At     time.Time
 	Host   string
-	Status int       // what the host answered; 0 for nothing
-	Ran    bool      // it took effect
-	Begun  time.Time // when the answer was begun, zero for never
-	Told   time.Time // when it had been written, zero for never
-	Over   time.Time // when it was answered or its connection had ended
-	Wait   time.Duration
-	Waited time.Duration // how long the relay said that it waits for the answer; 0 for nothing said
+	Status int           // status that the host answered, 0 for none
+	Ran    bool          // whether the message took effect
+	Begun  time.Time     // start of the answer, zero for none
+	Told   time.Time     // end of the write of the answer, zero for none
+	Over   time.Time     // end of the call: by its answer or the end of its connection
+	Wait   time.Duration // that the host asked the relay to keep, 0 for none
+	Waited time.Duration // time that the relay said it waits for the answer, 0 if it said none
 
-	conn *faultyConn // that carried it
+	conn *faultyConn // connection that carried the call
 }
 
-// Notice is one notice of a message.
+// Notice is a notice that the agent received.
 type Notice struct {
 	At     time.Time
 	Result string
 }
 
-// Course is that of one request, over all processes.
+// Course is the history of one request over all processes.
 type Course struct {
 	ID      string
 	Node    int
 	Lane    Lane
 	Key     string
-	Number  int // of its key
+	Number  int // sequence number among the messages of its key
 	Sent    time.Time
-	Read    time.Time // the relay said that it had read the request whole; zero for never
-	Handed  time.Time // the relay said that it had handed its response to the socket; zero for never
-	Due     time.Time
+	Read    time.Time // time the relay logged that it had read the whole request, zero for never
+	Handed  time.Time // time the relay logged that it had written its response to the socket, zero for never
+	Due     time.Time // deadline of the message
 	Reply   Reply
 	Calls   []Call
 	Notices []Notice
 
-	began time.Time // of the record
+	began time.Time // start of the load
 }
 
-// String tells the course, with times since its sending.
+// String returns the history, with times since the request was sent.
 func (c *Course) String() string {
 	since := func(t time.Time) string { return t.Sub(c.Sent).Round(time.Millisecond).String() }
-	s := fmt.Sprintf("%s node %d lane %s key %q number %d, sent %s after the load began, due %s; reply %d complete %v end %q at %s", c.ID,
-		c.Node, c.Lane.Name, c.Key, c.Number, c.Sent.Sub(c.began).Round(time.Millisecond), since(c.Due), c.Reply.Status, c.Reply.Complete, c.Reply.End, since(c.Reply.At))
+	s := fmt.Sprintf(
+		"%s node %d class %s key %q number %d, sent %s after the load began, due %s; reply %d complete %v end %q at %s",
+		c.ID, c.Node, c.Lane.Name, c.Key, c.Number, c.Sent.Sub(c.began).Round(time.Millisecond), since(c.Due),
+		c.Reply.Status, c.Reply.Complete, c.Reply.End, since(c.Reply.At))
 	if !c.Read.IsZero() {
 		s += "; read at " + since(c.Read)
 	}
@@ -92,7 +95,7 @@
 		s += fmt.Sprintf(" %q", c.Reply.Text)
 	}
 	for _, x := range c.Calls {
-		s += fmt.Sprintf("; call at %s of %s: %d ran %v", since(x.At), x.Host, x.Status, x.Ran)
+		s += fmt.Sprintf("; call at %s to %s: status %d, took effect: %v", since(x.At), x.Host, x.Status, x.Ran)
 	}
 	for _, x := range c.Notices {
 		s += fmt.Sprintf("; notice %s at %s", x.Result, since(x.At))
@@ -100,46 +103,46 @@
 	return s
 }
 
-// Life is one run of a node's process.
+// Life is one process of a node.
 type Life struct {
 	Node    int
 	Started time.Time
-	Ready   time.Time // zero for never
-	Told    time.Time // it was told to end, or killed; zero for never
-	Killed  time.Time // zero for never
-	Ended   time.Time // seen to have ended
+	Ready   time.Time // first successful readiness check, zero for never
+	Told    time.Time // SIGTERM sent, or killed; zero for never
+	Killed  time.Time // SIGKILL sent, zero for never
+	Ended   time.Time // end of the process observed, zero while it runs
 }
 
-// Record keeps what passed. It is safe for concurrent use.
+// Record records requests, calls, notices and processes. It is safe for concurrent use.
 type Record struct {
 	mu           sync.Mutex
-	began        time.Time // the first request
+	began        time.Time // time of the first request
 	histories    map[string]*Course
-	effectOrder  map[string][]string // ids by node, lane and key, in the order of their effects
+	effectOrder  map[string][]string // request IDs by node, class and key, in the order of their effects
 	processes    []*Life
 	hostStates   []hostState
-	closePeriods []nodePeriod
-	diskFaults   []nodePeriod
-	writeFaults  []nodePeriod
-	unknown      []string // calls and notices of messages that nobody sent
+	closePeriods []nodePeriod // when new connections may be closed unread
+	diskFaults   []nodePeriod // when writes to the state directory may fail
+	writeFaults  []nodePeriod // when no write to a socket succeeds
+	unknown      []string     // calls and notices of messages that no client sent
 }
 
-// span is a time of one relay.
+// nodePeriod is a period of time on one node.
 type nodePeriod struct {
 	node     int
 	from, to time.Time
 }
 
-// MayShut notes a time, from now on, in which a relay may shut new connections unread: it has no
-// room for them, or the system gives it none.
+// MayShut records that, from now on for length, a relay may close new connections unread, because it or the
+// system is out of resources for them.
 func (r *Record) MayShut(node int, length time.Duration) { r.addPeriod(&r.closePeriods, node, length) }
 
-// FolderFails notes a time, from now on, in which writes to the folder of a relay may fail.
+// FolderFails records that, from now on for length, writes to the state directory of a relay may fail.
 func (r *Record) FolderFails(node int, length time.Duration) {
 	r.addPeriod(&r.diskFaults, node, length)
 }
 
-// WritesFail notes a time, from now on, in which a relay can write to no socket.
+// WritesFail records that, from now on for length, a relay cannot write to any socket.
 func (r *Record) WritesFail(node int, length time.Duration) {
 	r.addPeriod(&r.writeFaults, node, length)
 }
@@ -151,7 +154,8 @@
 	*spans = append(*spans, nodePeriod{node, now, now.Add(length)})
 }
 
-// covers tells whether spans of a node, in the order of their beginnings, lie over all of a time.
+// covers reports whether the periods of a node together cover all of a time range. The periods must be in the
+// order of their starts.
 func covers(spans []nodePeriod, node int, from, to time.Time) bool {
 	for _, s := range spans {
 		if s.node == node && s.from.Before(from) && s.to.After(from) {
@@ -161,20 +165,23 @@
 	return from.After(to)
 }
 
-// within tells whether one of some spans of a node shares a moment with a time.
+// overlaps reports whether a period of a node overlaps a time range.
 func overlaps(spans []nodePeriod, node int, from, to time.Time) bool {
-	return slices.ContainsFunc(spans, func(s nodePeriod) bool { return s.node == node && s.from.Before(to) && s.to.After(from) })
+	return slices.ContainsFunc(spans, func(s nodePeriod) bool {
+		return s.node == node && s.from.Before(to) && s.to.After(from)
+	})
 }
 
-// drain is what one relay was told of one host.
+// hostState is the state of a host as it was written to one relay.
 type hostState struct {
 	node        int
 	host        string
-	at          time.Time // written to the relay
-	acceptsWork bool      // the host wants new work
+	at          time.Time // time it was written to the relay
+	acceptsWork bool      // whether the host accepts new work
 }
 
-// Listed notes which hosts want new work, or want none, by a list that was written to a relay.
+// Listed records the hosts of a list written to a relay: those that accept new work if wants is set, those that
+// accept none otherwise.
 func (r *Record) Listed(node int, at time.Time, targets []agent.Target, wants bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,12 +192,12 @@
 	}
 }
 
-// NewRecord makes an empty one.
+// NewRecord returns an empty record.
 func NewRecord() *Record {
 	return &Record{histories: map[string]*Course{}, effectOrder: map[string][]string{}}
 }
 
-// Sent notes a request before its first byte.
+// Sent records a request. It is called before the first byte is sent.
 func (r *Record) Sent(c *Course) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,8 +208,7 @@
 	r.histories[c.ID] = c
 }
 
-// Read notes that a relay said that it had read a request whole; one that nobody sent is
-// passed over.
+// Read records when a relay logged that it had read a whole request. An unknown request is ignored.
 func (r *Record) Read(id string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -211,7 +217,8 @@
 	}
 }
 
-// Responded notes that a relay said that it had handed its response to the socket.
+// Responded records when a relay logged that it had written its response to the socket. An unknown request is
+// ignored.
 func (r *Record) Responded(id string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,14 +227,15 @@
 	}
 }
 
-// Replied notes what came of it.
+// Replied records the response that the client read.
 func (r *Record) Replied(id string, reply Reply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.histories[id].Reply = reply
 }
 
-// Called notes a call that was read to its last byte, and returns its number there.
+// Called records a call that was read to its last byte. It returns the call's index in the message's history, -1
+// if the message is unknown.
 func (r *Record) Called(id string, c Call) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -241,7 +249,7 @@
 	return len(x.Calls) - 1
 }
 
-// Ran notes that a call took effect.
+// Ran records that a message took effect in a call.
 func (r *Record) Ran(id string, number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -256,8 +264,8 @@
 	}
 }
 
-// Answers notes what a host is about to write in answer to a call: from then on the relay
-// may know it, whatever becomes of the connection.
+// Answers records the answer that a host is about to write: from then on the relay may know it, whatever
+// happens to the connection.
 func (r *Record) Answers(id string, number, status int, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -266,7 +274,7 @@
 	}
 }
 
-// Answered notes that the answer was written.
+// Answered records that the answer was written.
 func (r *Record) Answered(id string, number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -275,7 +283,7 @@
 	}
 }
 
-// Over notes that a call is not out any more.
+// Over records that a call has ended.
 func (r *Record) Over(id string, number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -284,7 +292,7 @@
 	}
 }
 
-// Noticed notes a notice that was answered with 204.
+// Noticed records a notice that the agent received.
 func (r *Record) Noticed(id string, result string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -296,7 +304,7 @@
 	x.Notices = append(x.Notices, Notice{time.Now(), result})
 }
 
-// Begun notes a new process of a node.
+// Begun records a new process of a node.
 func (r *Record) Begun(node int) *Life {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -305,14 +313,14 @@
 	return l
 }
 
-// Note changes a life under the record's lock.
+// Note runs f under the record's lock, to modify a Life.
 func (r *Record) Note(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// Open counts the messages that were taken and have neither been delivered nor ended.
+// Open returns the number of messages that were accepted and have been neither delivered nor ended by a notice.
 func (r *Record) Open() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -324,17 +332,17 @@
 	return n
 }
 
-// over tells whether a message had been called, or had ended, by a moment.
+// triedBy reports whether the message had been sent in a call, or had ended by a notice, before a time.
 func (c *Course) triedBy(by time.Time) bool {
 	return len(c.Calls) > 0 && c.Calls[0].At.Before(by) || len(c.Notices) > 0 && c.Notices[0].At.Before(by)
 }
 
-// taken tells whether a client heard that the message was taken on.
+// taken reports whether the client was told that the message was accepted.
 func (c *Course) taken() bool {
 	return c.Reply.Complete && (c.Reply.Status == 202 || c.Reply.Status == 200)
 }
 
-// delivered tells whether a host answered 200 to a call.
+// delivered reports whether a host answered 200 to a call.
 func (c *Course) delivered() bool {
 	for _, x := range c.Calls {
 		if x.Status == 200 && !x.Told.IsZero() {
@@ -344,7 +352,7 @@
 	return false
 }
 
-// deliveredAfter is the time from the sending to the first 200 of a host.
+// deliveredAfter returns the time from the request to the first 200 of a host, 0 for none.
 func (c *Course) deliveredAfter() time.Duration {
 	for _, x := range c.Calls {
 		if x.Status == 200 && !x.Told.IsZero() {
@@ -354,14 +362,15 @@
 	return 0
 }
 
-// mayHaveRun tells whether a call was not refused, as far as its relay can know.
+// mayHaveRun reports whether the message may have taken effect, as far as its relay can know: some call was not
+// refused.
 func (c *Course) mayHaveRun() bool {
 	return slices.ContainsFunc(c.Calls, func(x Call) bool {
 		return x.Status != 429 && x.Status != 503 && x.Status != 504 && x.Status != 410
 	})
 }
 
-// Replies counts what clients read, by status or end.
+// Replies counts requests: all, and by the status of the response or the end of the connection.
 func (r *Record) Replies() (requests int, by map[string]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -376,17 +385,17 @@
 	return len(r.histories), by
 }
 
-// Service counts what became of the messages that clients handed in.
+// Service counts the outcomes of the messages that clients handed in.
 type Service struct {
-	Taken     int `json:"taken"`
-	Delivered int `json:"delivered"` // of those taken
-	Untried   int `json:"untried"`   // of those taken, ended by a notice with no call
-	Calls     int `json:"calls"`     // messages in calls
-	// After is the mean time from the sending of a message that was delivered to its host's answer.
+	Taken     int `json:"taken"`     // messages accepted
+	Delivered int `json:"delivered"` // accepted messages that a host answered 200
+	Untried   int `json:"untried"`   // accepted messages ended by a notice without a call
+	Calls     int `json:"calls"`     // messages sent in calls, repeats included
+	// After is the mean time from the request to the host's answer, over delivered messages.
 	After time.Duration `json:"after_ns"`
 }
 
-// Service counts until now.
+// Service counts the outcomes recorded so far.
 func (r *Record) Service() (s Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -408,10 +417,11 @@
 	return s
 }
 
-// clientsCome is how long new connections keep coming after SIGTERM (PROTOCOL).
+// newConnectionsFor is how long new connections keep arriving at a relay after SIGTERM.
 const newConnectionsFor = 400 * time.Millisecond
 
-// leavesAt tells whether a request was sent while its relay leaves and clients still come; under mu.
+// sentWhileLeaving reports whether a request was sent within newConnectionsFor of its relay's SIGTERM. The caller
+// holds mu.
 func (r *Record) sentWhileLeaving(c *Course) bool {
 	for _, l := range r.processes {
 		if l.Node == c.Node && !l.Told.IsZero() && c.Sent.After(l.Told) && c.Sent.Before(l.Told.Add(newConnectionsFor)) {
@@ -421,16 +431,17 @@
 	return false
 }
 
-// endsNear tells whether a process of a node ended within a second of a moment, which excuses
-// what happened then; under mu.
+// processEndedNear reports whether a process of a node ended within a second of a time, which excuses what
+// happened then. The caller holds mu.
 func (r *Record) processEndedNear(node int, at time.Time) bool {
 	return slices.ContainsFunc(r.processes, func(l *Life) bool {
-		return l.Node == node && !l.Ended.IsZero() && l.Ended.After(at.Add(-time.Second)) && l.Killed.Before(at.Add(time.Second))
+		return l.Node == node && !l.Ended.IsZero() && l.Ended.After(at.Add(-time.Second)) &&
+			l.Killed.Before(at.Add(time.Second))
 	})
 }
 
-// Plant puts one violation into the record, of the kind named, as a broken relay would
-// have left it. It reports whether there was a request to do it with.
+// Plant puts one violation of the named kind into the record, as a faulty relay would have left it. It reports
+// whether a request was found that the violation could be put into.
 func (r *Record) Plant(what string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -442,11 +453,13 @@
 			c.Calls = append(c.Calls, Call{At: c.Reply.At.Add(2 * time.Second), Host: "planted", Status: 200, Ran: true})
 		case what == "record-after-answer" && c.taken() && c.delivered():
 			c.Calls, c.Notices = nil, nil
-		case what == "unanswered" && c.taken() && !c.Read.IsZero() && len(c.Calls) > 0 && !r.processEndedNear(c.Node, c.Sent):
+		case what == "unanswered" && c.taken() && !c.Read.IsZero() && len(c.Calls) > 0 &&
+			!r.processEndedNear(c.Node, c.Sent):
 			c.Reply = Reply{At: c.Sent.Add(clientTimeout), End: "timeout"}
 		case what == "reset-while-leaving" && c.Reply.Complete && c.Reply.Fresh && r.sentWhileLeaving(c):
 			c.Reply = Reply{At: c.Reply.At, End: "reset", Fresh: true}
-		case what == "served-and-refused" && c.taken() && c.delivered() && len(c.Notices) == 0 && c.Calls[len(c.Calls)-1].Waited > time.Second/4 &&
+		case what == "served-and-refused" && c.taken() && c.delivered() && len(c.Notices) == 0 &&
+			c.Calls[len(c.Calls)-1].Waited > time.Second/4 &&
 			!r.processEndedNear(c.Node, c.Calls[len(c.Calls)-1].At):
 			c.Notices = []Notice{{At: c.Calls[len(c.Calls)-1].Told.Add(time.Second), Result: "bounced"}}
 		case what == "second-effect" && c.Lane.Effect == AtMostOnce && c.delivered():
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -10,33 +10,36 @@
 	"time"
 )
 
-// LongestHold is how long a network holds bytes up at most: what is sent on an open connection
-// is read at full speed (DAYS), and time limits on sockets are 50 ms longer (PROTOCOL).
+// LongestHold bounds the delay that a network adds to bytes: relays may rely on bytes sent on an open connection
+// being read at full speed, and are allowed 50 ms on sockets in excess of every time limit.
 const LongestHold = 40 * time.Millisecond
 
-// Network is the way to one server, with faults of its own. It sees bytes, not messages.
+// Network injects faults into the connections of one server. It works on bytes, not messages.
 type Network struct {
 	mu        sync.Mutex
-	delays    bool // bytes come up to LongestHold later
-	resets    bool // connections are reset: under a request, an answer, or at rest
-	repeating bool // some of what the server writes comes a second time
+	delays    bool // bytes arrive up to LongestHold later
+	resets    bool // connections are reset: during a request, an answer, or while idle
+	repeating bool // some of the server's writes arrive a second time
 	r         *rand.Rand
 
-	accepted int             // connections
-	repeated []repeatedWrite // in the order of their times
+	accepted int             // number of connections
+	repeated []repeatedWrite // second copies, in the order they were written
 }
 
-// copied is a second copy that was written.
+// repeatedWrite is the second copy of a write.
 type repeatedWrite struct {
 	at   time.Time
 	conn *faultyConn
-	node int // of the relay at the other end
+	node int // node number of the relay at the other end
 }
 
-// Hold has bytes come late, Reset has connections reset, Repeat has what the server writes
-// come a second time.
-func (n *Network) Hold(on bool)   { n.setFlag(&n.delays, on) }
-func (n *Network) Reset(on bool)  { n.setFlag(&n.resets, on) }
+// Hold delays bytes.
+func (n *Network) Hold(on bool) { n.setFlag(&n.delays, on) }
+
+// Reset resets connections.
+func (n *Network) Reset(on bool) { n.setFlag(&n.resets, on) }
+
+// Repeat makes some of the server's writes arrive a second time.
 func (n *Network) Repeat(on bool) { n.setFlag(&n.repeating, on) }
 
 func (n *Network) setFlag(what *bool, on bool) {
@@ -45,7 +48,7 @@
 	n.mu.Unlock()
 }
 
-// draw is what becomes of some bytes.
+// drawFault draws the faults of one read or write: a delay, and whether the connection is reset.
 func (n *Network) drawFault() (hold time.Duration, reset bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,18 +59,18 @@
 }
 
 const (
-	// repeatShare is the share of a server's writes that come twice while Repeat is on.
+	// repeatShare is the share of a server's writes that arrive twice while Repeat is on.
 	repeatShare = 0.08
-	// LongestRepeat is how much later a second copy comes at most.
+	// LongestRepeat bounds the time between a write and its second copy.
 	LongestRepeat = 2 * time.Second
-	// repeatTogether is the grid to which some copies wait, so that several come at once.
+	// repeatGrid is the grid of times that some copies are aligned to, so that several arrive at once.
 	repeatGrid = 250 * time.Millisecond
 )
 
-// repeatWithin are the spans within which a copy follows, each as likely as the others.
+// repeatDelays are the upper bounds that the delay of a copy is drawn from, with equal probability.
 var repeatDelays = [...]time.Duration{15 * time.Millisecond, 300 * time.Millisecond, LongestRepeat}
 
-// drawRepeat decides whether a second copy of a write follows, and after which time.
+// drawRepeat draws whether a second copy of a write follows, and after which delay.
 func (n *Network) drawRepeat(now time.Time) (after time.Duration, repeats bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,35 +84,39 @@
 	return min(after, LongestRepeat), true
 }
 
-// noteCopy notes a second copy.
+// recordRepeat records that a second copy was written.
 func (n *Network) recordRepeat(f *faultyConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.repeated = append(n.repeated, repeatedWrite{time.Now(), f, int(f.node.Load())})
 }
 
-// copiedTo tells whether a second copy was written to a relay between two moments.
+// repeatedTo reports whether a second copy was written to a relay between two times.
 func (n *Network) repeatedTo(node int, from, to time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.ContainsFunc(n.repeated, func(x repeatedWrite) bool { return x.node == node && x.at.After(from) && x.at.Before(to) })
+	return slices.ContainsFunc(n.repeated, func(x repeatedWrite) bool {
+		return x.node == node && x.at.After(from) && x.at.Before(to)
+	})
 }
 
-// copiedOn tells whether one was written on a connection between two moments.
+// repeatedWithin reports whether a second copy was written on the connection between two times.
 func (f *faultyConn) repeatedWithin(from, to time.Time) bool {
 	f.network.mu.Lock()
 	defer f.network.mu.Unlock()
-	return slices.ContainsFunc(f.network.repeated, func(x repeatedWrite) bool { return x.conn == f && x.at.After(from) && x.at.Before(to) })
+	return slices.ContainsFunc(f.network.repeated, func(x repeatedWrite) bool {
+		return x.conn == f && x.at.After(from) && x.at.Before(to)
+	})
 }
 
-// Accepted counts connections.
+// Accepted returns the number of connections accepted.
 func (n *Network) Accepted() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.accepted
 }
 
-// listener serves connections over a network.
+// listener injects the faults of a network into the connections it accepts.
 type listener struct {
 	net.Listener
 	network *Network
@@ -126,18 +133,19 @@
 	return &faultyConn{Conn: c, network: l.network}, nil
 }
 
-// faulty is one connection.
+// faultyConn is the server's side of a connection with the faults of a network.
 type faultyConn struct {
 	net.Conn
 	network *Network
-	node    atomic.Int64 // of the relay at the other end, once a call of it has come
-	broken  atomic.Int64 // when the server's side ended it, Unix time in nanoseconds; 0 for not
+	node    atomic.Int64 // node number of the relay at the other end, set by its first call
+	broken  atomic.Int64 // time the server's side closed the connection, Unix time in nanoseconds; 0 for never
 }
 
-// breaks notes that the server's side ends the connection.
+// markBroken records that the server's side closes the connection.
 func (f *faultyConn) markBroken() { f.broken.CompareAndSwap(0, time.Now().UnixNano()) }
 
-// brokeBefore tells whether the server's side ended the connection behind a moment and before a notice.
+// brokeBetween reports whether the server's side closed the connection after a time and before a notice. The
+// close may reach the relay up to LongestHold late.
 func (f *faultyConn) brokeBetween(behind, notice time.Time) bool {
 	at := f.broken.Load()
 	return at != 0 && at > behind.UnixNano() && at < notice.Add(LongestHold).UnixNano()
@@ -169,7 +177,7 @@
 	return n, err
 }
 
-// pass holds bytes up, or resets the connection.
+// injectFaults delays bytes or resets the connection.
 func (f *faultyConn) injectFaults() error {
 	hold, reset := f.network.drawFault()
 	time.Sleep(hold)
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -18,11 +18,11 @@
 	"basaltcross.example/basaltcross/internal/pause"
 )
 
-// Platform is agents, hosts and the record of what passes.
+// Platform is a set of agents and hosts, with a record of the traffic.
 type Platform struct {
 	Record *Record
 	Hosts  []*Host
-	IP     string // on which all of it listens, apart from other platforms on this machine
+	IP     string // loopback address all servers listen on; other platforms on this machine use others
 	seed   uint64
 
 	mu      sync.Mutex
@@ -32,10 +32,11 @@
 	servers []*server
 }
 
-// New starts a platform with a host for each kind; destinations count from 0.
+// New starts a platform with one host for each of kinds. Destinations are numbered from 0.
 func New(seed uint64, kinds ...string) (*Platform, error) {
 	ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
-	p := &Platform{IP: ip, seed: seed, Record: NewRecord(), changed: make(chan struct{}), list: agent.List{Rev: 1, All: true}}
+	p := &Platform{IP: ip, seed: seed, Record: NewRecord(), changed: make(chan struct{}),
+		list: agent.List{Rev: 1, All: true}}
 	for i, kind := range kinds {
 		h := &Host{platform: p, UID: fmt.Sprint("s-", i), r: rand.New(rand.NewPCG(seed, uint64(i))),
 			Network: &Network{r: rand.New(rand.NewPCG(seed, uint64(i+1000)))}}
@@ -44,7 +45,8 @@
 			return nil, err
 		}
 		p.Hosts = append(p.Hosts, h)
-		p.list.Targets = append(p.list.Targets, agent.Target{UID: h.UID, Endpoint: s.addr(), Zone: "z", Kind: kind, Dest: i, State: "up", Rate: 1})
+		p.list.Targets = append(p.list.Targets, agent.Target{UID: h.UID, Endpoint: s.addr(), Zone: "z",
+			Kind: kind, Dest: i, State: "up", Rate: 1})
 	}
 	return p, nil
 }
@@ -62,14 +64,14 @@
 	return s, nil
 }
 
-// connKey is that of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// server is one address that is served.
+// server is an HTTP server on one address.
 type server struct {
 	http     *http.Server
 	listener net.Listener
@@ -77,7 +79,7 @@
 
 func (s *server) addr() string { return s.listener.Addr().String() }
 
-// Close ends all servers.
+// Close closes all servers.
 func (p *Platform) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +88,7 @@
 	}
 }
 
-// List is the list as it stands.
+// List returns a copy of the current list of hosts.
 func (p *Platform) List() agent.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +97,7 @@
 	return l
 }
 
-// Change changes the list, and tells all agents.
+// Change modifies the list of hosts, increments its revision and wakes the open watches of all agents.
 func (p *Platform) Change(f func(l *agent.List)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,20 +108,21 @@
 	p.changed = make(chan struct{})
 }
 
-// Agent is the platform's agent on one relay's machine.
+// Agent is the platform's agent for one relay: it serves the list of hosts and takes notices.
 type Agent struct {
 	Network  *Network
 	node     int
 	platform *Platform
 	mu       sync.Mutex
-	current  *server // the address that counts
-	silent   bool    // lists do not come, open watches stand still
-	mute     bool    // notices are not answered
+	current  *server // server at the current address
+	silent   bool    // watches bring nothing
+	mute     bool    // notices stay unanswered
 }
 
-// Agent opens one, at an address of its own.
+// Agent starts an agent at an address of its own.
 func (p *Platform) Agent() (*Agent, error) {
-	a := &Agent{platform: p, node: len(p.agents), Network: &Network{r: rand.New(rand.NewPCG(p.seed, uint64(2000+len(p.agents))))}}
+	a := &Agent{platform: p, node: len(p.agents),
+		Network: &Network{r: rand.New(rand.NewPCG(p.seed, uint64(2000+len(p.agents))))}}
 	if err := a.Move(); err != nil {
 		return nil, err
 	}
@@ -129,11 +132,11 @@
 	return a, nil
 }
 
-// oldAddress is how long an agent's old address keeps its connections (DAYS).
+// oldAddressGrace is how long connections to an agent's old address stay open after a move.
 const oldAddressGrace = 1500 * time.Millisecond
 
-// Move opens a further address, which counts from now on; the old one takes no new
-// connection and ends those it has after a while.
+// Move moves the agent to a new address. The old one accepts no new connections and closes those it has after
+// oldAddressGrace.
 func (a *Agent) Move() error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", a.watch)
@@ -153,16 +156,18 @@
 	return nil
 }
 
-// Addr is the address that counts.
+// Addr returns the current address.
 func (a *Agent) Addr() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.current.addr()
 }
 
-// Silent has the watch bring nothing, Mute has notices stay without an answer.
+// Silent makes watches bring nothing.
 func (a *Agent) Silent(on bool) { a.setFlag(&a.silent, on) }
-func (a *Agent) Mute(on bool)   { a.setFlag(&a.mute, on) }
+
+// Mute leaves notices unanswered. They are recorded all the same.
+func (a *Agent) Mute(on bool) { a.setFlag(&a.mute, on) }
 
 func (a *Agent) setFlag(what *bool, on bool) {
 	a.mu.Lock()
@@ -176,8 +181,9 @@
 	return *what
 }
 
-// alive is how often an unchanged watch brings an empty line.
-const emptyLineInterval = 2 * time.Second
+// keepAliveTime is the time within which a watch writes a line: while the list is unchanged, it writes an empty
+// line every eighth of it.
+const keepAliveTime = 2 * time.Second
 
 func (a *Agent) watch(w http.ResponseWriter, r *http.Request) {
 	last := int64(-1)
@@ -193,13 +199,13 @@
 		}
 		if !a.flag(&a.silent) {
 			last = list.Rev
-			at := time.Now() // the relay may act on it before the write returns
+			at := time.Now() // taken before the write: the relay may act on the list before the write returns
 			_, err := w.Write(line)
 			if errors.Join(err, http.NewResponseController(w).Flush()) == nil {
 				a.recordList(r.Context(), at, list.Targets)
 			}
 		}
-		timer := time.NewTimer(emptyLineInterval / 8)
+		timer := time.NewTimer(keepAliveTime / 8)
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -209,12 +215,12 @@
 	}
 }
 
-// stands is how long a watch has to stand after a list was written for the relay to have it
-// for sure: a write to a connection that the relay has left succeeds as well.
+// listReceivedAfter is how long a watch must stay open after a list was written until the relay certainly has
+// the list: a write to a connection that the relay has closed succeeds too.
 const listReceivedAfter = 100 * time.Millisecond
 
-// told notes that a list was written to the relay: hosts that want work at once, those that
-// want none once it is sure that the relay knows.
+// recordList records that a list was written to the relay: hosts that accept work at once, draining ones only
+// once the relay certainly has the list.
 func (a *Agent) recordList(watch context.Context, at time.Time, targets []agent.Target) {
 	a.platform.Record.Listed(a.node, at, targets, true)
 	time.AfterFunc(listReceivedAfter, func() {
@@ -248,21 +254,21 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Mood is how a host behaves.
+// Mood is the behaviour of a host.
 type Mood int
 
-// The moods.
+// The behaviours of a host.
 const (
-	Well    Mood = iota // answers, fails and refuses a few by chance
-	Failing             // 500 to most
-	Full                // 429 with a wait to all
-	Hanging             // reads and does not answer
-	Cutting             // ends half of the connections under a request, with an answer begun or not
-	Forget              // closes every connection behind an answer, which does not say so
-	Blank               // answers some calls with a header that has no status
+	Well    Mood = iota // answers; fails 3 and refuses 5 of 100 messages at random
+	Failing             // answers 500 to 80 of 100 messages
+	Full                // answers 429 with a wait to all messages
+	Hanging             // reads calls and does not answer
+	Cutting             // closes half of the connections during a call, some within the answer
+	Forget              // closes every connection after an answer that does not announce it
+	Blank               // answers some calls with a status line without a status
 )
 
-// Host is one host. Refused messages never run.
+// Host is one host of a partner. A message that it refuses never takes effect.
 type Host struct {
 	UID      string
 	Network  *Network
@@ -273,25 +279,25 @@
 	r    *rand.Rand
 }
 
-// Set changes the mood.
+// Set sets the host's behaviour.
 func (h *Host) Set(m Mood) {
 	h.mu.Lock()
 	h.mood = m
 	h.mu.Unlock()
 }
 
-// fate is what becomes of one call.
+// outcome is the drawn result of one message in a call.
 type outcome struct {
-	status int // 0: no answer
-	ran    bool
-	cut    bool // the connection ends: without an answer, or within it
-	pause  time.Duration
-	wait   time.Duration
-	forget bool
-	blank  bool
+	status int           // 0 for no answer
+	ran    bool          // the message takes effect
+	cut    bool          // the connection is closed: before the answer, or within it if there is a status
+	pause  time.Duration // before the answer
+	wait   time.Duration // that the answer asks the relay to keep
+	forget bool          // the connection is closed after the answer
+	blank  bool          // the answer has no status
 }
 
-// hostTime is the longest that a host which is well takes.
+// maxHostDelay bounds the time that a host takes for an answer.
 const maxHostDelay = 20 * time.Millisecond
 
 func (h *Host) drawOutcome() outcome {
@@ -331,7 +337,7 @@
 	return f
 }
 
-// item is one message of a call.
+// item is one message in a call.
 type item struct {
 	ID        string `json:"id"`
 	callIndex int
@@ -341,7 +347,7 @@
 func (h *Host) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // not read whole: no call
+		return // not read to its last byte, so not a call
 	}
 	items := []*item{{ID: r.Header.Get("X-Txn")}}
 	several := r.URL.Path == "/hook/batch"
@@ -353,10 +359,11 @@
 		}
 	}
 	rec := h.platform.Record
-	waited, _ := strconv.ParseInt(r.Header.Get("X-Remaining-Ms"), 10, 32) // 0 where nothing is said
+	waited, _ := strconv.ParseInt(r.Header.Get("X-Remaining-Ms"), 10, 32) // 0 without the header
 	conn, _ := r.Context().Value(connKey{}).(*faultyConn)
 	for _, x := range items {
-		x.callIndex = rec.Called(x.ID, Call{At: time.Now(), Host: h.UID, Waited: time.Duration(waited) * time.Millisecond, conn: conn})
+		x.callIndex = rec.Called(x.ID, Call{At: time.Now(), Host: h.UID,
+			Waited: time.Duration(waited) * time.Millisecond, conn: conn})
 		x.outcome = h.drawOutcome()
 	}
 	defer func() {
@@ -366,7 +373,7 @@
 	}()
 	first := items[0].outcome
 	if !pause.For(r.Context(), first.pause) && !first.ran {
-		return // called off before it ran
+		return // cancelled before it took effect
 	}
 	for _, x := range items {
 		if x.outcome.ran {
@@ -406,7 +413,7 @@
 	}
 }
 
-// answerAll answers a call that carries several messages.
+// answerAll answers a call that carries several messages, each with a state of its own.
 func (h *Host) answerAll(w http.ResponseWriter, items []*item) {
 	type end struct {
 		ID    string `json:"id"`
@@ -438,7 +445,7 @@
 	}
 }
 
-// end ends a connection under its request, within a begun answer if there is one to be.
+// disconnect closes a connection during a call: within the answer if there is a status, by a reset otherwise.
 func (h *Host) disconnect(w http.ResponseWriter, status int) {
 	conn, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -455,12 +462,12 @@
 	}
 	if f, ok := conn.(*faultyConn); ok {
 		if tcp, ok := f.Conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a reset
+			_ = tcp.SetLinger(0) // close by a reset
 		}
 	}
 }
 
-// blank answers with a header that has no status.
+// answerBlank answers with a status line that has no status, and closes the connection.
 func (h *Host) answerBlank(w http.ResponseWriter) {
 	if conn, buf, err := http.NewResponseController(w).Hijack(); err == nil {
 		if f, ok := conn.(*faultyConn); ok {
@@ -472,7 +479,7 @@
 	}
 }
 
-// forget closes the connection behind its answer.
+// closeAfterAnswer closes the connection once the answer is flushed.
 func (h *Host) closeAfterAnswer(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).Flush()
 	if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
--- a/internal/emulator/trace.go
+++ b/internal/emulator/trace.go
@@ -8,7 +8,7 @@
 	"basaltcross.example/basaltcross/internal/trace"
 )
 
-// WriteTrace writes what passed as steps that package trace reads.
+// WriteTrace writes the record as steps in the format that package trace reads.
 func (r *Record) WriteTrace(w io.Writer) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -24,11 +24,14 @@
 			values["mono_us"] = mono - now.Sub(at).Microseconds()
 			failed = out.Encode(values)
 		}
-		step("sent", c.Sent, map[string]any{"node": c.Node, "lane": c.Lane.Name, "key": c.Key, "due_ms": c.Due.Sub(c.Sent).Milliseconds()})
-		step("replied", c.Reply.At, map[string]any{"status": c.Reply.Status, "complete": c.Reply.Complete, "end": c.Reply.End})
+		step("sent", c.Sent, map[string]any{"node": c.Node, "lane": c.Lane.Name,
+			"key": c.Key, "due_ms": c.Due.Sub(c.Sent).Milliseconds()})
+		step("replied", c.Reply.At, map[string]any{"status": c.Reply.Status,
+			"complete": c.Reply.Complete, "end": c.Reply.End})
 		for i, x := range c.Calls {
 			step("called", x.At, map[string]any{"attempt": i, "host": x.Host})
-			step("answered", x.Told, map[string]any{"attempt": i, "host": x.Host, "status": x.Status, "ran": x.Ran, "wait_ms": x.Wait.Milliseconds()})
+			step("answered", x.Told, map[string]any{"attempt": i, "host": x.Host,
+				"status": x.Status, "ran": x.Ran, "wait_ms": x.Wait.Milliseconds()})
 			step("over", x.Over, map[string]any{"attempt": i, "host": x.Host})
 		}
 		for _, n := range c.Notices {
