--- a/internal/emulator/course.go
+++ b/internal/emulator/course.go
@@ -38,8 +38,10 @@
 	Status   int    // 0 for none
 	Complete bool   // read to its last byte
 	Text     string // bytes read
-	End      string // how the connection ended, empty if it stays open: "eof", "reset", "timeout", "close", "more", "left", "error: ..."
-	Fresh    bool   // whether the request was the first on its connection
+	// End is how the connection ended, empty if it stays open: "eof", "reset", "timeout", "close", "more" (bytes
+	// beyond the response), "left" (by the client) or "error: ...".
+	End   string
+	Fresh bool // whether the request was the first on its connection
 }
 
 // Call is one message's part in a call that a host read to its last byte.
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -23,8 +23,8 @@
 type node struct {
 	run    *run
 	number int
-	dir    string
-	addr   string
+	dir    string // holds the configuration file and the state directory
+	addr   string // listen address
 	agent  *emulator.Agent
 
 	mu               sync.Mutex
@@ -32,27 +32,27 @@
 	processRun       *emulator.Life
 	log              *logTail
 	starts           int
-	restarting       bool // within a restart
+	restarting       bool // a restart is in progress
 	problems         []string
 	hits             map[shim.Kind]int
-	clientsAbandon   bool   // clients leave within requests
-	clientsHalfClose bool   // clients end their sending behind requests
-	discovery        string // address of discovery in the configuration
+	clientsAbandon   bool   // clients close their connections within requests
+	clientsHalfClose bool   // clients half-close their connections after requests
+	discovery        string // agent's address in the configuration file
 }
 
-// tail keeps what is of interest in a log, bounded, and hands on the steps of requests.
+// logTail keeps the last lines of a log, and passes the steps of requests on.
 type logTail struct {
-	step func(trace.Step) // may be nil
+	step func(trace.Step) // called for each step of a request; may be nil
 
 	mu      sync.Mutex
 	lines   []string
 	partial []byte
 }
 
-// mostLines of a log are kept.
+// maxLines bounds the lines of a log that are kept.
 const maxLines = 200
 
-// Write takes in what a process says; it never fails.
+// Write takes output of a process. It never fails.
 func (t *logTail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// violations are the lines that say that a rule was broken, or that the program was.
+// violations returns the lines that report a broken rule, and those of panics and fatal errors.
 func (t *logTail) violations() (bad []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,7 +93,7 @@
 func (n *node) configPath() string { return filepath.Join(n.dir, "config.json") }
 func (n *node) stateDir() string   { return filepath.Join(n.dir, "state") }
 
-// configure writes the configuration file.
+// configure writes the configuration file, with the agent's current address.
 func (n *node) configure() error {
 	at := n.agent.Addr()
 	n.mu.Lock()
@@ -102,8 +102,9 @@
 	known := n.run.platform.List()
 	n.run.platform.Record.Listed(n.number, time.Now(), known.Targets, true)
 	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", n.number), "listen": n.addr, "discovery": at,
-		"seed": fmt.Sprintf("%016x", n.run.opt.Seed*1000+uint64(n.number)), "known": known, "settings": settings(n.number, n.run.opt.Nodes),
-		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 512, "disk_mb": 0.5}})
+		"seed": fmt.Sprintf("%016x", n.run.opt.Seed*1000+uint64(n.number)), "known": known,
+		"settings": settings(n.number, n.run.opt.Nodes),
+		"limits":   map[string]any{"cores": 1, "memory_mb": 128, "sockets": 512, "disk_mb": 0.5}})
 	if err != nil {
 		return err
 	}
@@ -113,7 +114,7 @@
 	return os.Rename(n.configPath()+".new", n.configPath())
 }
 
-// start begins a process and waits until it is ready.
+// start starts a process and waits until it is ready.
 func (n *node) start() error {
 	if err := n.configure(); err != nil {
 		return err
@@ -126,18 +127,21 @@
 	life := n.run.platform.Record.Begun(n.number)
 	log := io.Writer(n.log)
 	if n.run.opt.Trace != "" {
-		file, err := os.OpenFile(filepath.Join(n.run.opt.Trace, fmt.Sprintf("n%d.log", n.number)), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+		file, err := os.OpenFile(filepath.Join(n.run.opt.Trace, fmt.Sprintf("n%d.log", n.number)),
+			os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 		if err != nil {
 			return err
 		}
-		// It stays open until the last byte of the process was copied, and then for the collector.
+		// The file is left to the garbage collector: it must stay open until all output has been copied.
 		log = io.MultiWriter(n.log, file)
 	}
-	env := append(os.Environ(), "ROUTER_CONFIG="+n.configPath(), "ROUTER_STATE="+n.stateDir(), "GOTRACEBACK=single", "BASALTCROSS_TRACE="+n.run.traceSteps())
+	env := append(os.Environ(), "ROUTER_CONFIG="+n.configPath(), "ROUTER_STATE="+n.stateDir(),
+		"GOTRACEBACK=single", "BASALTCROSS_TRACE="+n.run.traceSteps())
 	if n.run.opt.Plant == PlantTrust {
 		env = append(env, "BASALTCROSS_TRUST_PEERS=1")
 	}
-	p, err := shim.Start(shim.Options{Path: n.run.opt.Shim, Args: []string{"shim-exec", n.run.opt.Program, "node"}, Dir: n.dir, State: n.stateDir(), Env: env,
+	p, err := shim.Start(shim.Options{Path: n.run.opt.Shim, Args: []string{"shim-exec", n.run.opt.Program, "node"},
+		Dir: n.dir, State: n.stateDir(), Env: env,
 		Stderr: log, Seed: seed, Poll: n.run.includes(Kind(shim.PollInterrupted))})
 	if err != nil {
 		return err
@@ -149,7 +153,7 @@
 	return n.awaitReady(p, life)
 }
 
-// readyWithin is how long a start may take before the soak gives up.
+// startTimeout is how long a process may take to become ready.
 const startTimeout = 30 * time.Second
 
 func (n *node) awaitReady(p *shim.Process, life *emulator.Life) error {
@@ -157,7 +161,7 @@
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		select {
 		case <-p.Done():
-			return fmt.Errorf("node %d ended at its start: %v: %s", n.number, p.Exit(), strings.Join(n.log.lines, " | "))
+			return fmt.Errorf("node %d ended before it was ready: %v: %s", n.number, p.Exit(), strings.Join(n.log.lines, " | "))
 		default:
 		}
 		r, err := client.Get("http://" + n.addr + "/up")
@@ -174,11 +178,11 @@
 }
 
 const (
-	earliestKill = 3700 * time.Millisecond // after SIGTERM
-	downTime     = 600 * time.Millisecond  // after SIGKILL
+	earliestKill = 3700 * time.Millisecond // from SIGTERM to SIGKILL
+	downTime     = 600 * time.Millisecond  // from the end of a process to the start of the next
 )
 
-// restart ends the process in one of the ways, and starts it again.
+// restart ends the process as the kind of fault says, and starts a new one.
 func (n *node) restart(how Kind) error {
 	n.mu.Lock()
 	if n.restarting || n.process == nil {
@@ -219,10 +223,11 @@
 	return err
 }
 
-// firstSecond of a process brings no SIGHUP (DAYS).
+// reloadDelay is the time after readiness in which a process gets no SIGHUP.
 const reloadDelay = time.Second
 
-// reload has the process read the configuration again; one that restarts does so later.
+// reload makes the process reload its configuration. During a restart it does nothing: restart reloads at its
+// end if the agent's address changed.
 func (n *node) reload() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -238,14 +243,14 @@
 }
 
 const (
-	// spinning is the share of a core above which a process has spun: it carries a hundred
-	// messages a second.
+	// maxCPUShare is the share of a core above which a process is taken to have been busy-looping: it carries
+	// only a hundred messages a second.
 	maxCPUShare = 0.6
-	// judged is how long a process must have lived for that.
+	// minCPURun is the shortest process lifetime that maxCPUShare is applied to.
 	minCPURun = 2 * time.Second
 )
 
-// used looks at the processor time of a process.
+// checkCPU records the processor share of a process, and a problem if it exceeds maxCPUShare.
 func (n *node) checkCPU(p *shim.Process, life *emulator.Life) {
 	lived := time.Since(life.Started)
 	share := p.CPU().Seconds() / lived.Seconds()
@@ -254,12 +259,14 @@
 	n.run.mu.Unlock()
 	if lived > minCPURun && share > maxCPUShare {
 		n.mu.Lock()
-		n.problems = append(n.problems, fmt.Sprintf("node %d used %.0f%% of a core over %s", n.number, 100*share, lived.Round(time.Millisecond)))
+		n.problems = append(n.problems, fmt.Sprintf("node %d used %.0f%% of a core over %s",
+			n.number, 100*share, lived.Round(time.Millisecond)))
 		n.mu.Unlock()
 	}
 }
 
-// ended books what a process left.
+// recordEnd records the end of a process, its injected faults, and as problems the violations in its log and an
+// unexpected exit. told is whether it had been asked to end.
 func (n *node) recordEnd(p *shim.Process, life *emulator.Life, told bool) {
 	n.run.platform.Record.Note(func() { life.Ended = time.Now() })
 	n.mu.Lock()
@@ -267,14 +274,15 @@
 	n.problems = append(n.problems, n.log.violations()...)
 	exit := p.Exit()
 	if exit.Signaled() && exit.Signal() != syscall.SIGKILL || exit.Exited() && (!told || exit.ExitStatus() != 0) {
-		n.problems = append(n.problems, fmt.Sprintf("node %d ended with %v: %s", n.number, exit, strings.Join(n.log.lines, " | ")))
+		n.problems = append(n.problems, fmt.Sprintf("node %d ended with %v: %s",
+			n.number, exit, strings.Join(n.log.lines, " | ")))
 	}
 	for k, hits := range p.Hits() {
 		n.hits[k] += hits
 	}
 }
 
-// crowd opens idle connections for a while.
+// openIdleConns opens 300 idle connections for a time.
 func (n *node) openIdleConns(length time.Duration) {
 	var conns []net.Conn
 	for range 300 {
@@ -300,30 +308,37 @@
 	return n.clientsAbandon
 }
 
-// settings are those of a small site with a class of each effect.
+// settings returns the settings of a small site with a class of each effect. Times are in seconds.
 func settings(index, fleet int) map[string]any {
 	class := func(name, effect string, ordered bool) map[string]any {
-		return map[string]any{"name": name, "aim": 1, "give-up": lifetime.Seconds(), "effect": effect, "group": "all", "keep-order": ordered,
+		return map[string]any{"name": name, "aim": 1, "give-up": lifetime.Seconds(),
+			"effect": effect, "group": "all", "keep-order": ordered,
 			"late-share": 0.5, "window": window.Seconds(), "worth": 1}
 	}
 	return map[string]any{
-		"bounds":  map[string]any{"cancel": true, "conn-idle": 5, "dial-timeout": 1.5, "max-attempts": 6, "most-held": 400, "retry-after": true, "max-retry-after": 2},
-		"classes": []any{class("notice", "idempotent", false), class("charge", "at_most_once", true), class("order", "deduplicated", false)},
-		"family-info": map[string]any{"late": "halving", "own-limits": []bool{false, false}, "per-call": []int{1, 4}, "workers": 16,
+		"bounds": map[string]any{"cancel": true, "conn-idle": 5, "dial-timeout": 1.5, "max-attempts": 6,
+			"most-held": 400, "retry-after": true, "max-retry-after": 2},
+		"classes": []any{class("notice", "idempotent", false),
+			class("charge", "at_most_once", true), class("order", "deduplicated", false)},
+		"family-info": map[string]any{"late": "halving", "own-limits": []bool{false, false},
+			"per-call": []int{1, 4}, "workers": 16,
 			"zone-fee": []int{0}},
-		"fleet-size": fleet, "index": index, "load-report": map[string]any{"columns": []string{}, "how": "off"}, "registry-mode": "automatic",
-		"rules": map[string]any{"cold": 2, "cold-from": 0.5, "drain-grace": emulator.DrainGrace.Seconds(), "fall": 1, "grace-to-answer": 0.05, "order-settle": 0.1,
+		"fleet-size": fleet, "index": index, "load-report": map[string]any{"columns": []string{}, "how": "off"},
+		"registry-mode": "automatic",
+		"rules": map[string]any{"cold": 2, "cold-from": 0.5, "drain-grace": emulator.DrainGrace.Seconds(),
+			"fall": 1, "grace-to-answer": 0.05, "order-settle": 0.1,
 			"overload-factor": 3},
 		"skus": []string{"small", "large"}, "tick": 0.005, "weights": "off", "zones": []string{"z"}}
 }
 
 const (
-	lifetime = 4 * time.Second // of a message
-	window   = time.Second     // in which a repeat is remembered
+	lifetime = 4 * time.Second // time to live of a message
+	window   = time.Second     // time in which hosts deduplicate repeats
 )
 
-// lanes are the same classes for the clients.
+// clientClasses returns the classes of settings as the clients use them.
 func clientClasses() []emulator.Lane {
-	return []emulator.Lane{{Name: "notice", Effect: emulator.Idempotent}, {Name: "charge", Effect: emulator.AtMostOnce, Ordered: true},
+	return []emulator.Lane{{Name: "notice", Effect: emulator.Idempotent},
+		{Name: "charge", Effect: emulator.AtMostOnce, Ordered: true},
 		{Name: "order", Effect: emulator.Deduplicated, Window: window}}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -20,26 +20,26 @@
 	"basaltcross.example/basaltcross/internal/trace"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Shim     string // this program, which becomes the relay under the shim
-	Program  string // the relay's; another build may be tried
+	Shim     string // executable that runs the relay under the shim
+	Program  string // executable of the relay, possibly another build
 	Seed     uint64
 	Nodes    int
 	Hosts    int
-	Clients  int // of each node
+	Clients  int // clients per node
 	Duration time.Duration
-	Faults   []Fault  // nil: drawn from the seed
-	Kinds    []Kind   // of which they are drawn; nil for all
-	Known    []string // invariants that are known to be broken: they are printed and passed over
-	Trace    string   // folder for the nodes' logs with each step of each request; empty for none
-	Plant    Plant    // a fault of the oracle's making, which it must catch; empty for none
+	Faults   []Fault  // faults to inject; nil for faults drawn from the seed
+	Kinds    []Kind   // kinds that faults are drawn from; nil for all
+	Known    []string // invariants known to be broken: printed, not counted as failures
+	Trace    string   // directory for the nodes' logs with each step of each request; empty for none
+	Plant    Plant    // violation planted to test the audit; empty for none
 }
 
-// Plant is a violation that is put there for the audit to find.
+// Plant is a violation put into a run to test that the audit finds it.
 type Plant string
 
-// The plants.
+// The planted violations.
 const (
 	PlantCut     Plant = "answer-cut"
 	PlantForward Plant = "refused-and-forwarded"
@@ -48,30 +48,31 @@
 	PlantSilent  Plant = "unanswered"
 	PlantServed  Plant = "served-and-refused"
 	PlantReset   Plant = "reset-while-leaving"
-	// PlantTrust has the nodes believe every answer of a host, as if its own protection was off.
+	// PlantTrust makes the nodes accept every answer of a host, as if their protection against misattributed
+	// answers were off.
 	PlantTrust Plant = "peers-trusted"
 )
 
-// Plants are those that are put into the record, once.
+// Plants lists the violations that are planted in the record, each once.
 var Plants = []Plant{PlantCut, PlantForward, PlantForget, PlantTwice, PlantSilent, PlantServed, PlantReset}
 
-// Result of a run.
+// Result is the result of a run.
 type Result struct {
 	Seed       uint64              `json:"seed"`
 	Findings   []*emulator.Finding `json:"findings"`
 	Hits       map[Kind]int        `json:"faults"`
-	Violations []string            `json:"violations,omitempty"` // that processes told, and their unasked ends
+	Violations []string            `json:"violations,omitempty"` // reported by processes, and their unexpected exits
 	Requests   int                 `json:"requests"`
 	Replies    map[string]int      `json:"replies"`
 	Service    emulator.Service    `json:"service"`
-	Accepted   int                 `json:"accepted"`        // connections to hosts
-	Lag        time.Duration       `json:"lag_ns"`          // how late the emulator's own timers were at most
-	Busiest    float64             `json:"busiest"`         // largest share of a core that a process used over its life
-	Known      []string            `json:"known,omitempty"` // of the broken invariants, those passed over
+	Accepted   int                 `json:"accepted"`        // number of connections to hosts
+	Lag        time.Duration       `json:"lag_ns"`          // largest delay of the emulator's own timers
+	Busiest    float64             `json:"busiest"`         // largest share of a core that one process used
+	Known      []string            `json:"known,omitempty"` // invariants not counted as failures
 	Faults     []Fault             `json:"-"`
 }
 
-// Broken counts the invariants that were, and what processes told.
+// Broken returns the number of invariants broken and not known to be, plus that of violations.
 func (r *Result) Broken() int {
 	n := len(r.Violations)
 	for _, f := range r.Findings {
@@ -82,6 +83,7 @@
 	return n
 }
 
+// run is a run in progress.
 type run struct {
 	opt      Options
 	platform *emulator.Platform
@@ -89,16 +91,16 @@
 
 	mu      sync.Mutex
 	hits    map[Kind]int
-	active  map[Kind]map[int]int // how many faults of a kind lie over a place
+	active  map[Kind]map[int]int // number of active faults by kind and node or host
 	errs    []string
 	lag     time.Duration
-	busiest float64 // share of a core that a process used
+	busiest float64 // largest share of a core that a process used
 }
 
-// kindsOfHosts alternate between one message a call and several.
+// hostKinds are the kinds of hosts, used in turn: "small" ones take one message per call, "large" ones several.
 var hostKinds = []string{"small", "small", "large"}
 
-// Run plays one seed.
+// Run runs one seed.
 func Run(ctx context.Context, opt Options) (*Result, error) {
 	if opt.Faults == nil {
 		kinds := opt.Kinds
@@ -137,8 +139,10 @@
 	var clients sync.WaitGroup
 	for _, n := range r.nodes {
 		for i := range opt.Clients {
-			c := &emulator.Client{Platform: platform, Node: n.number, Addr: n.addr, Name: fmt.Sprintf("c%d-%d", n.number, i), Lanes: clientClasses(),
-				Left: lifetime, Pause: 40 * time.Millisecond, Seed: opt.Seed*10_000 + uint64(n.number*100+i), Rude: n.abandonsRequests, Ends: n.halfCloses}
+			c := &emulator.Client{Platform: platform, Node: n.number, Addr: n.addr,
+				Name: fmt.Sprintf("c%d-%d", n.number, i), Lanes: clientClasses(),
+				Left: lifetime, Pause: 40 * time.Millisecond,
+				Seed: opt.Seed*10_000 + uint64(n.number*100+i), Rude: n.abandonsRequests, Ends: n.halfCloses}
 			clients.Go(func() { c.Run(load) })
 		}
 	}
@@ -151,7 +155,7 @@
 	return r.result(), errors.Join(r.writeTrace(), ctx.Err())
 }
 
-// writeTrace writes the platform's side of each request beside the nodes' logs.
+// writeTrace writes the platform's steps of each request to a file next to the nodes' logs.
 func (r *run) writeTrace() error {
 	if r.opt.Trace == "" {
 		return nil
@@ -163,7 +167,7 @@
 	return errors.Join(r.platform.Record.WriteTrace(f), f.Close())
 }
 
-// startAll brings all nodes up.
+// startAll starts all nodes and waits until they are ready.
 func (r *run) startAll(dir string) error {
 	var all sync.WaitGroup
 	errs := make([]error, r.opt.Nodes)
@@ -176,7 +180,8 @@
 		if err != nil {
 			return err
 		}
-		n := &node{run: r, number: i, dir: filepath.Join(dir, fmt.Sprint("n", i)), addr: addr, agent: agent, hits: map[shim.Kind]int{}}
+		n := &node{run: r, number: i, dir: filepath.Join(dir, fmt.Sprint("n", i)), addr: addr, agent: agent,
+			hits: map[shim.Kind]int{}}
 		if err := os.MkdirAll(n.stateDir(), 0o700); err != nil {
 			return err
 		}
@@ -187,11 +192,11 @@
 	return errors.Join(errs...)
 }
 
-// Ports of nodes lie below those that the system gives to connections: a node that is down
-// for a moment must find its own free again.
+// Range of the nodes' ports. It lies below the system's ephemeral ports, so that a node that restarts finds its
+// port still free.
 const firstPort, lastPort = 12_000, 32_000
 
-// freeAddr is an address that is free now.
+// freeAddr returns an address with a port that is free at the moment.
 func freeAddr(ip string) (string, error) {
 	for range 100 {
 		l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, firstPort+rand.IntN(lastPort-firstPort)))
@@ -200,13 +205,13 @@
 			return l.Addr().String(), nil
 		}
 	}
-	return "", errors.New("soak: no port is free")
+	return "", errors.New("soak: no free port found in 100 attempts")
 }
 
-// lagEvery is how often the emulator's own lateness is measured.
+// lagEvery is the interval at which the delay of the emulator's own timers is measured.
 const lagEvery = 10 * time.Millisecond
 
-// measureLag looks how late timers are in this process.
+// measureLag measures the largest delay of timers in this process, until stop is called.
 func (r *run) measureLag() (stop func()) {
 	done := make(chan struct{})
 	var over sync.WaitGroup
@@ -228,7 +233,7 @@
 	}
 }
 
-// play has each fault begin and end at its time.
+// play injects all faults at their times, and returns at the end of the load.
 func (r *run) play(ctx context.Context) {
 	began := time.Now()
 	var all sync.WaitGroup
@@ -242,7 +247,7 @@
 	all.Wait()
 }
 
-// step takes in a step of a request that a node has logged.
+// step records a step of a request that a node has logged.
 func (r *run) step(s trace.Step) {
 	switch s.Name {
 	case "read":
@@ -252,10 +257,11 @@
 	}
 }
 
-// judgedSteps are those that the audit needs.
+// auditedSteps are the steps that the audit needs.
 const auditedSteps = "read,response"
 
-// traced are the steps that the nodes log: each line is one more call that stops a node.
+// traceSteps returns which steps the nodes log, as BASALTCROSS_TRACE expects them. They are as few as possible:
+// each line is one more system call that stops the node in the tracer.
 func (r *run) traceSteps() string {
 	if r.opt.Trace != "" {
 		return "1"
@@ -263,7 +269,7 @@
 	return auditedSteps
 }
 
-// draws tells whether a kind is among the faults of the run.
+// includes reports whether a kind is among the faults of the run.
 func (r *run) includes(k Kind) bool {
 	return slices.ContainsFunc(r.opt.Faults, func(f Fault) bool { return f.Kind == k })
 }
@@ -282,7 +288,7 @@
 	}
 }
 
-// fault plays one, from its begin to its end.
+// playFault injects one fault and returns at its end.
 func (r *run) playFault(ctx context.Context, f Fault) {
 	switch f.Kind {
 	case Kill, Term, TermTwice:
@@ -297,7 +303,7 @@
 		r.nodes[f.Where].openIdleConns(f.For)
 		return
 	}
-	if f.Kind == Kind(shim.PollNoMemory) { // a connection that was accepted and cannot be polled is closed
+	if f.Kind == Kind(shim.PollNoMemory) { // an accepted connection that cannot be polled is closed
 		r.platform.Record.MayShut(f.Where, f.For)
 	}
 	if f.Kind.isDiskFault() {
@@ -315,7 +321,7 @@
 	}
 }
 
-// cover counts the faults of one kind that lie over one place.
+// adjustActive adds by to the number of active faults of a kind at one node or host, and returns the sum.
 func (r *run) adjustActive(f Fault, by int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -326,13 +332,13 @@
 	return r.active[f.Kind][f.Where]
 }
 
-// set has a kind begin or end at one place.
+// setFault activates or deactivates a kind of fault at one node or host.
 func (r *run) setFault(k Kind, where int, on bool) {
 	if !isSyscallFault(k) && on {
 		r.countHit(k)
 	}
-	moods := map[Kind]emulator.Mood{HostFails: emulator.Failing, HostFull: emulator.Full, HostHangs: emulator.Hanging, HostCuts: emulator.Cutting,
-		HostForgets: emulator.Forget, HostBlank: emulator.Blank}
+	moods := map[Kind]emulator.Mood{HostFails: emulator.Failing, HostFull: emulator.Full,
+		HostHangs: emulator.Hanging, HostCuts: emulator.Cutting, HostForgets: emulator.Forget, HostBlank: emulator.Blank}
 	if mood, is := moods[k]; is {
 		if !on {
 			mood = emulator.Well
@@ -341,7 +347,9 @@
 		return
 	}
 	if k == HostDrains {
-		r.platform.Change(func(l *agent.List) { l.Targets[where].State = map[bool]string{true: "draining", false: "up"}[on] })
+		r.platform.Change(func(l *agent.List) {
+			l.Targets[where].State = map[bool]string{true: "draining", false: "up"}[on]
+		})
 		return
 	}
 	switch k {
@@ -383,7 +391,7 @@
 	}
 }
 
-// apply sets a fault of system calls.
+// setSyscallFault activates or deactivates a system call fault in a process.
 func setSyscallFault(p *shim.Process, k shim.Kind, on bool) {
 	switch {
 	case p == nil:
@@ -396,7 +404,7 @@
 	}
 }
 
-// reapply has a new process see the faults that lie over it.
+// reapply activates the current system call faults of a node in its new process.
 func (r *run) reapply(n *node) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -416,7 +424,7 @@
 	return false
 }
 
-// reload moves a node's discovery.
+// moveDiscovery changes the address of a node's agent and makes the node reload its configuration.
 func (r *run) moveDiscovery(n *node) {
 	r.countHit(Reload)
 	if err := n.agent.Move(); err != nil {
@@ -426,7 +434,8 @@
 	r.recordError(n.reload())
 }
 
-// settle waits until what was taken has ended, at most as long as that is owed.
+// awaitOpen ends all system call faults and waits until all accepted messages are delivered or ended, at most 3 s
+// longer than their time to live.
 func (r *run) awaitOpen(ctx context.Context) {
 	r.mu.Lock()
 	for k, places := range r.active {
@@ -443,17 +452,17 @@
 			return
 		}
 	}
-	pause.For(ctx, 200*time.Millisecond) // for what is still on its way
+	pause.For(ctx, 200*time.Millisecond) // for what is still in transit
 }
 
-// plant puts a violation there.
+// plant plants the run's violation in the record.
 func (r *run) plant() {
 	if r.opt.Plant != "" && r.opt.Plant != PlantTrust {
 		r.platform.Record.Plant(string(r.opt.Plant))
 	}
 }
 
-// killAll ends all processes.
+// killAll kills all processes.
 func (r *run) killAll() {
 	for _, n := range r.nodes {
 		n.mu.Lock()
@@ -466,10 +475,11 @@
 	}
 }
 
-// result ends all processes and audits the record.
+// result kills all processes and audits the record.
 func (r *run) result() *Result {
 	now := time.Now()
-	res := &Result{Known: r.opt.Known, Seed: r.opt.Seed, Hits: r.hits, Lag: r.lag, Faults: r.opt.Faults, Violations: r.errs}
+	res := &Result{Known: r.opt.Known, Seed: r.opt.Seed, Hits: r.hits, Lag: r.lag,
+		Faults: r.opt.Faults, Violations: r.errs}
 	for _, n := range r.nodes {
 		n.mu.Lock()
 		p, life := n.process, n.processRun
@@ -478,7 +488,7 @@
 			continue
 		}
 		select {
-		case <-p.Done(): // by itself
+		case <-p.Done(): // exited on its own
 		default:
 			n.checkCPU(p, life)
 			p.Signal(9)
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -1,6 +1,8 @@
-// Package soak runs a fleet of real node processes under faults that overlap in time, all
-// drawn from one seed, and holds what crossed the sockets against the rules. A seed that
-// fails is shrunk to the fewest faults that still fail.
+// Package soak runs a fleet of real node processes under faults that overlap in time, all drawn from one seed,
+// and audits the traffic on the sockets against invariants. The faults of a seed that fails can be reduced to
+// few that still fail.
+//
+// The platform around the nodes is that of package emulator; faults of system calls are those of package shim.
 package soak
 
 import (
@@ -14,39 +16,39 @@
 	"basaltcross.example/basaltcross/internal/shim"
 )
 
-// Kind of a fault: one of package shim's, or one of those below.
+// Kind is a kind of fault: one of package shim's, or one of those below.
 type Kind string
 
-// Kinds of faults beside those of system calls.
+// The kinds of faults other than those of system calls.
 const (
-	Kill          Kind = "kill"           // SIGKILL, then a start
-	Term          Kind = "term"           // SIGTERM, SIGKILL at the page's earliest, then a start
-	TermTwice     Kind = "term_twice"     // a second SIGTERM and a SIGHUP within the drain
-	Reload        Kind = "reload"         // discovery moves, SIGHUP
-	AgentSilent   Kind = "agent_silent"   // lists do not come
-	NoticesMute   Kind = "notices_mute"   // notices are not answered
-	HostFails     Kind = "host_fails"     // 500
-	HostFull      Kind = "host_full"      // 429 with a wait
-	HostHangs     Kind = "host_hangs"     // no answer
-	HostCuts      Kind = "host_cuts"      // connections end under requests
-	HostForgets   Kind = "host_forgets"   // connections end behind answers
-	HostDrains    Kind = "host_drains"    // the list says so
-	HostNetHold   Kind = "host_net_hold"  // bytes come late
-	HostNetReset  Kind = "host_net_reset" // connections are reset under whatever they carry
-	AgentNetHold  Kind = "agent_net_hold"
-	AgentNetReset Kind = "agent_net_reset"
-	HostRepeats   Kind = "host_repeats"  // answers come a second time, up to 2 s later
-	AgentRepeats  Kind = "agent_repeats" // acknowledgements, lists and lines of a watch do
-	HostBlank     Kind = "host_blank"    // headers of answers have no status
-	ClientsEnd    Kind = "clients_end"   // they end their sending behind a request, and wait
-	ClientsLeave  Kind = "clients_leave" // within a request
-	Crowd         Kind = "crowd"         // idle connections
+	Kill          Kind = "kill"            // SIGKILL, then a new process
+	Term          Kind = "term"            // SIGTERM, SIGKILL after earliestKill, then a new process
+	TermTwice     Kind = "term_twice"      // as Term, with a second SIGTERM and a SIGHUP during shutdown
+	Reload        Kind = "reload"          // the agent's address changes, then SIGHUP
+	AgentSilent   Kind = "agent_silent"    // the agent's watches bring nothing
+	NoticesMute   Kind = "notices_mute"    // the agent does not answer notices
+	HostFails     Kind = "host_fails"      // hosts answer 500
+	HostFull      Kind = "host_full"       // hosts answer 429 with a wait
+	HostHangs     Kind = "host_hangs"      // hosts do not answer
+	HostCuts      Kind = "host_cuts"       // hosts close connections during calls
+	HostForgets   Kind = "host_forgets"    // hosts close connections after answers, unannounced
+	HostDrains    Kind = "host_drains"     // the list marks the host as draining
+	HostNetHold   Kind = "host_net_hold"   // bytes to and from hosts are delayed
+	HostNetReset  Kind = "host_net_reset"  // connections to hosts are reset, in use or idle
+	AgentNetHold  Kind = "agent_net_hold"  // bytes to and from agents are delayed
+	AgentNetReset Kind = "agent_net_reset" // connections to agents are reset, in use or idle
+	HostRepeats   Kind = "host_repeats"    // hosts' answers arrive a second time, up to 2 s later
+	AgentRepeats  Kind = "agent_repeats"   // agents' acknowledgements, lists and watch lines arrive a second time
+	HostBlank     Kind = "host_blank"      // hosts answer with a status line without a status
+	ClientsEnd    Kind = "clients_end"     // clients half-close connections after a request and await the response
+	ClientsLeave  Kind = "clients_leave"   // clients close their connection within a request
+	Crowd         Kind = "crowd"           // many idle connections are opened
 )
 
-// Kinds are all of them.
+// Kinds returns all kinds of faults.
 func Kinds() []Kind {
-	all := []Kind{Kill, Term, TermTwice, Reload, AgentSilent, NoticesMute, HostFails, HostFull, HostHangs, HostCuts, HostForgets, HostDrains,
-		HostNetHold, HostNetReset, AgentNetHold, AgentNetReset, HostRepeats, AgentRepeats,
+	all := []Kind{Kill, Term, TermTwice, Reload, AgentSilent, NoticesMute, HostFails, HostFull, HostHangs, HostCuts,
+		HostForgets, HostDrains, HostNetHold, HostNetReset, AgentNetHold, AgentNetReset, HostRepeats, AgentRepeats,
 		HostBlank, ClientsEnd, ClientsLeave, Crowd}
 	for _, k := range shim.Kinds {
 		all = append(all, Kind(k))
@@ -54,20 +56,21 @@
 	return all
 }
 
-// Fault is one fault of a run.
+// Fault is one fault in a run.
 type Fault struct {
 	Kind  Kind          `json:"kind"`
-	Where int           `json:"where"` // node, or host
-	At    time.Duration `json:"at"`    // since the load began
-	For   time.Duration `json:"for"`
+	Where int           `json:"where"` // number of the node or host
+	At    time.Duration `json:"at"`    // start, from the start of the load
+	For   time.Duration `json:"for"`   // duration
 }
 
+// String returns the fault in the format that ParseFaults reads.
 func (f Fault) String() string { return fmt.Sprintf("%s@%d+%s~%s", f.Kind, f.Where, f.At, f.For) }
 
-// NoFaults stands for a run without any.
+// NoFaults is the text that stands for a run without faults.
 const NoFaults = "none"
 
-// ParseFaults reads what Fault.String wrote, separated by commas, or NoFaults.
+// ParseFaults parses faults in the format of Fault.String, separated by commas, or NoFaults.
 func ParseFaults(text string) ([]Fault, error) {
 	if text == NoFaults {
 		return []Fault{}, nil
@@ -76,7 +79,7 @@
 	for part := range strings.SplitSeq(text, ",") {
 		f, err := parseFault(part)
 		if err != nil {
-			return nil, fmt.Errorf("soak: %q is no fault: %w", part, err)
+			return nil, fmt.Errorf("soak: invalid fault %q: %w", part, err)
 		}
 		all = append(all, f)
 	}
@@ -101,16 +104,16 @@
 }
 
 const (
-	// few kinds of moments are drawn for every other seed.
+	// fewKindsCount is the number of kinds of short faults drawn for every other seed.
 	fewKindsCount = 5
-	maxRestart    = 6 * time.Second // a planned one takes no longer
-	// wallStep is how far the wall clock is set.
+	maxRestart    = 6 * time.Second // upper bound of the duration of a planned restart
+	// wallStep is the offset that the wall clock is set to.
 	wallStep = time.Hour
 )
 
-// Draw makes the faults of a run: two to four signals for each node, and moments of all
-// kinds that lie over them; of every other seed, of a few kinds. Further faults, of kinds and
-// lengths that came later, are drawn apart: the others of a seed stay what they were.
+// Draw draws the faults of a run: restarts of each node 6 to 12 s apart, and overlapping short faults of all
+// kinds, or of a few kinds for every other seed. Kinds and durations that were added later are drawn from random
+// streams of their own, so that a seed keeps its other faults.
 func Draw(seed uint64, nodes, hosts int, length time.Duration, kinds []Kind) []Fault {
 	first, further, ofPeers := splitBySeries(kinds)
 	all := drawFirst(rand.New(rand.NewPCG(seed, firstSeries)), nodes, hosts, length, first, seed%2 == 0)
@@ -120,21 +123,22 @@
 	return all
 }
 
-// Streams of a seed's random numbers.
+// Streams of the random numbers of a seed.
 const (
 	firstSeries   = 0xfa
 	furtherSeries = 0xfb
 	peerSeries    = 0xfc
 )
 
-// peerKinds are drawn apart too, in every series: what the other side does with answers and ends.
+// peerKinds are the kinds drawn from peerSeries, for every seed: repeated or malformed answers and half-closed
+// connections.
 var peerKinds = []Kind{HostRepeats, AgentRepeats, HostBlank, ClientsEnd}
 
-// furtherKinds are drawn apart from the others.
-var furtherKinds = []Kind{Kind(shim.PollInterrupted), Kind(shim.ReadNoMemory), Kind(shim.WriteNoMemory), Kind(shim.SockoptFails),
-	Kind(shim.FileReadFails), Kind(shim.DiskDown), Kind(shim.AcceptDown), Kind(shim.WriteDown)}
+// furtherKinds are the kinds drawn from furtherSeries.
+var furtherKinds = []Kind{Kind(shim.PollInterrupted), Kind(shim.ReadNoMemory), Kind(shim.WriteNoMemory),
+	Kind(shim.SockoptFails), Kind(shim.FileReadFails), Kind(shim.DiskDown), Kind(shim.AcceptDown), Kind(shim.WriteDown)}
 
-// bySeries tells kinds of the first series from further ones and from those of peers.
+// splitBySeries splits kinds by the random stream they are drawn from.
 func splitBySeries(kinds []Kind) (first, further, ofPeers []Kind) {
 	for _, k := range kinds {
 		switch {
@@ -149,7 +153,7 @@
 	return first, further, ofPeers
 }
 
-// drawPeers makes the faults of peers, each for half of the time.
+// drawPeers draws the faults of peerKinds. Each is active for about 45 % of the time.
 func drawPeers(r *rand.Rand, nodes, hosts int, length time.Duration, kinds []Kind) (all []Fault) {
 	for _, k := range kinds {
 		places := nodes
@@ -165,16 +169,18 @@
 	return all
 }
 
+// drawFirst draws restarts and short faults from firstSeries.
 func drawFirst(r *rand.Rand, nodes, hosts int, length time.Duration, kinds []Kind, fewKinds bool) (all []Fault) {
 	restarts, moments := splitRestarts(kinds)
-	if fewKinds && len(moments) > fewKindsCount { // a few kinds, which meet each other often
+	if fewKinds && len(moments) > fewKindsCount { // with few kinds, the same kinds coincide more often
 		r.Shuffle(len(moments), func(i, j int) { moments[i], moments[j] = moments[j], moments[i] })
 		moments = moments[:fewKindsCount]
 	}
 	ofHosts := slices.DeleteFunc(slices.Clone(moments), func(k Kind) bool { return !k.strikesHost() })
 	ofNodes := slices.DeleteFunc(slices.Clone(moments), Kind.strikesHost)
 	for node := range nodes {
-		for at := between(r, time.Second, maxRestart); len(restarts) > 0 && at < length-maxRestart/2; at += between(r, maxRestart, 2*maxRestart) {
+		for at := between(r, time.Second, maxRestart); len(restarts) > 0 && at < length-maxRestart/2; at += between(r,
+			maxRestart, 2*maxRestart) {
 			all = append(all, Fault{restarts[r.IntN(len(restarts))], node, at, 0})
 		}
 		all = append(all, drawMoments(r, node, length, ofNodes)...)
@@ -185,15 +191,18 @@
 	return all
 }
 
-// drawFurther makes moments of the further kinds, and failures of the folder that outlast
-// what a client waits.
+// drawFurther draws short faults of the further kinds, and failures of the state directory that last longer than
+// a client waits.
 func drawFurther(r *rand.Rand, nodes int, length time.Duration, kinds, further []Kind) (all []Fault) {
 	ofDisk := slices.DeleteFunc(slices.Clone(kinds), func(k Kind) bool { return !k.isDiskFault() })
 	for node := range nodes {
-		for at := between(r, 0, time.Second); len(further) > 0 && at < length; at += between(r, 200*time.Millisecond, 1500*time.Millisecond) {
-			all = append(all, Fault{further[r.IntN(len(further))], node, at, between(r, 30*time.Millisecond, 280*time.Millisecond)})
+		for at := between(r, 0, time.Second); len(further) > 0 && at < length; at += between(r,
+			200*time.Millisecond, 1500*time.Millisecond) {
+			all = append(all, Fault{further[r.IntN(len(further))], node, at,
+				between(r, 30*time.Millisecond, 280*time.Millisecond)})
 		}
-		for at := between(r, 0, 2*time.Second); len(ofDisk) > 0 && at < length; at += between(r, 2*time.Second, 5*time.Second) {
+		for at := between(r, 0, 2*time.Second); len(ofDisk) > 0 && at < length; at += between(r,
+			2*time.Second, 5*time.Second) {
 			f := Fault{ofDisk[r.IntN(len(ofDisk))], node, at, between(r, 500*time.Millisecond, 1500*time.Millisecond)}
 			all = append(all, withTornRest(r, f, kinds)...)
 		}
@@ -201,7 +210,8 @@
 	return all
 }
 
-// withTornRest adds, to half of the torn writes, that what is left of the record stays there.
+// withTornRest adds, to half of the torn writes, that truncating the file fails too, so that the torn record
+// stays in it.
 func withTornRest(r *rand.Rand, f Fault, kinds []Kind) []Fault {
 	all := []Fault{f}
 	if f.Kind == Kind(shim.WriteTorn) && slices.Contains(kinds, Kind(shim.TruncFails)) && r.IntN(2) == 0 {
@@ -211,9 +221,10 @@
 	return all
 }
 
-// drawMoments makes the moments of one place: 50 to 350 ms apart, 30 to 280 ms long.
+// drawMoments draws the short faults of one node or host: 50 to 350 ms apart, 30 to 280 ms long, some kinds longer.
 func drawMoments(r *rand.Rand, where int, length time.Duration, kinds []Kind) (all []Fault) {
-	for at := between(r, 0, time.Second); len(kinds) > 0 && at < length; at += between(r, 50*time.Millisecond, 350*time.Millisecond) {
+	for at := between(r, 0, time.Second); len(kinds) > 0 && at < length; at += between(r,
+		50*time.Millisecond, 350*time.Millisecond) {
 		k := kinds[r.IntN(len(kinds))]
 		f := Fault{k, where, at, between(r, 30*time.Millisecond, 280*time.Millisecond)}
 		if lastsLonger(k) {
@@ -224,7 +235,7 @@
 	return all
 }
 
-// split tells faults that end a process from the others.
+// splitRestarts separates the kinds that end a process from the others.
 func splitRestarts(kinds []Kind) (restarts, moments []Kind) {
 	for _, k := range kinds {
 		if k == Kill || k == Term || k == TermTwice {
@@ -236,13 +247,13 @@
 	return restarts, moments
 }
 
-// atHost tells kinds that strike a host, for all nodes; the others strike one node.
+// strikesHost reports whether the kind affects a host, for all nodes. Other kinds affect one node.
 func (k Kind) strikesHost() bool { return strings.HasPrefix(string(k), "host_") }
 
-// ofDisk tells kinds that have the folder of a node fail.
+// isDiskFault reports whether the kind makes the state directory of a node fail.
 func (k Kind) isDiskFault() bool { return strings.HasPrefix(string(k), "disk_") }
 
-// longer tells kinds that last for longer than a moment.
+// lastsLonger reports whether faults of a kind last 300 to 1,500 ms instead of 30 to 280 ms.
 func lastsLonger(k Kind) bool {
 	switch k {
 	case AgentSilent, NoticesMute, HostHangs, HostFull, HostDrains, Crowd, Kind(shim.WallClock):
@@ -251,6 +262,7 @@
 	return false
 }
 
+// between returns a random duration from least to most, apart in whole milliseconds.
 func between(r *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(r.Int64N(int64(most-least))).Round(time.Millisecond)
 }
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -12,7 +12,7 @@
 	"basaltcross.example/basaltcross/internal/emulator"
 )
 
-// Report of a series of seeds.
+// Report is the result of a series of seeds.
 type Report struct {
 	Nodes    int                 `json:"nodes"`
 	Duration time.Duration       `json:"duration_ns"`
@@ -22,14 +22,14 @@
 	Hits     map[Kind]int        `json:"faults"`
 	Unhit    []Kind              `json:"never_injected,omitempty"`
 	Failed   []*Result           `json:"failed,omitempty"`
-	Commands []string            `json:"commands,omitempty"` // that play the failures again
+	Commands []string            `json:"commands,omitempty"` // commands that replay the failures
 }
 
-// Broken counts the seeds that failed and the kinds that were never injected.
+// Broken returns the number of seeds that failed plus that of kinds that were never injected.
 func (r *Report) Broken() int { return len(r.Failed) + len(r.Unhit) }
 
-// Series plays seeds one after the other and writes a table. A seed that fails is shrunk
-// within so many plays.
+// Series runs seeds one after the other and writes their results and a table to w. The faults of a seed that
+// fails are reduced in at most shrinks runs.
 func Series(ctx context.Context, opt Options, seeds, shrinks int, w io.Writer) (*Report, error) {
 	rep := &Report{Nodes: opt.Nodes, Duration: opt.Duration, Hits: map[Kind]int{}}
 	first := opt.Seed
@@ -40,7 +40,7 @@
 			return nil, fmt.Errorf("soak: seed %d: %w", opt.Seed, err)
 		}
 		rep.add(res)
-		fmt.Fprintf(w, "seed %d: %d requests, %v, of %d taken %d delivered and %d given up untried, %d invariants broken, timers %s late, a node used %.0f%% of a core at most, %.1f connections to hosts for 1,000 messages called, delivered after %s in the mean\n",
+		fmt.Fprintf(w, "seed %d: %d requests, %v, of %d accepted %d delivered and %d ended without a call, %d failures, timers up to %s late, a node used up to %.0f%% of a core, %.1f connections to hosts per 1,000 messages in calls, mean delivery time %s\n",
 			res.Seed, res.Requests, res.Replies, res.Service.Taken, res.Service.Delivered, res.Service.Untried, res.Broken(),
 			res.Lag.Round(time.Millisecond), 100*res.Busiest, 1000*float64(res.Accepted)/float64(max(1, res.Service.Calls)),
 			res.Service.After.Round(100*time.Microsecond))
@@ -62,7 +62,7 @@
 	return rep, nil
 }
 
-// expected are the kinds that a series has to inject.
+// expected returns the kinds that a series must inject at least once.
 func (o *Options) expected() []Kind {
 	switch {
 	case o.Faults != nil:
@@ -73,7 +73,7 @@
 	return Kinds()
 }
 
-// add takes in one seed.
+// add adds the result of one seed.
 func (r *Report) add(res *Result) {
 	r.Seeds++
 	r.Requests += res.Requests
@@ -94,7 +94,7 @@
 	}
 }
 
-// printKnown tells of broken invariants that are passed over.
+// printKnown prints the broken invariants that are known to fail.
 func (r *Result) printKnown(w io.Writer) {
 	for _, f := range r.Findings {
 		if f.Broken > 0 && slices.Contains(r.Known, f.Invariant) {
@@ -103,6 +103,7 @@
 	}
 }
 
+// print writes the broken invariants with examples, and the violations that processes reported.
 func (r *Result) print(w io.Writer) {
 	for _, f := range r.Findings {
 		if f.Broken > 0 {
@@ -117,6 +118,7 @@
 	}
 }
 
+// print writes the table of invariants and the injected faults of the series.
 func (r *Report) print(w io.Writer) {
 	fmt.Fprintf(w, "\n%-58s %10s %8s\n", "invariant", "checked", "broken")
 	for _, f := range r.Findings {
@@ -133,10 +135,10 @@
 	fmt.Fprintf(w, "seeds %d, failed %d\n", r.Seeds, len(r.Failed))
 }
 
-// replay is the command that plays faults again.
+// replay returns the command that replays faults.
 func replay(opt Options, faults []Fault, all bool) string {
-	s := fmt.Sprintf("basaltcross soak --seed %d --nodes %d --hosts %d --clients %d --duration %s", opt.Seed, opt.Nodes, opt.Hosts, opt.Clients,
-		opt.Duration)
+	s := fmt.Sprintf("basaltcross soak --seed %d --nodes %d --hosts %d --clients %d --duration %s",
+		opt.Seed, opt.Nodes, opt.Hosts, opt.Clients, opt.Duration)
 	if all {
 		return s
 	}
@@ -147,8 +149,8 @@
 	return s + " --faults " + strings.Join(text, ",")
 }
 
-// shrink drops faults, half of them, then quarters and so on, as long as what is left
-// still fails, within so many plays.
+// shrink removes faults, in halves, then quarters and so on, as long as the rest still fails. It spends at most
+// plays runs.
 func shrink(ctx context.Context, opt Options, faults []Fault, plays int) []Fault {
 	fails := func(some []Fault) bool {
 		plays--
