--- a/choice/admission.go
+++ b/choice/admission.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Admission: a message is refused in the step of its arrival when it surely can't be tried in its time. The
-// expectation is Little's law: what waits before it, divided by the rate at which what waited was served. Two
-// queues count: the messages of its class for the same destination, and those that share its key of the order,
-// which go one at a time.
+// Admission control: a message is refused in the step of its arrival if it almost certainly can't be attempted
+// before its deadline. Its wait is estimated by Little's law: the number of messages ahead of it, divided by the
+// rate at which waiting messages were served. Two queues count: the messages of its class for the same
+// destination, and those that share its ordering key, which are sent one at a time.
 
 const (
-	// waitShare of its time left a message may be expected to wait; the rest is for its tries.
+	// waitShare is the share of the time left that a message may be expected to wait; the rest is for its attempts.
 	waitShare = 0.9
-	// confidence in standard deviations: a queue counts as served faster than was measured by so much.
+	// confidence is the number of standard deviations by which a queue is assumed to be served faster than measured.
 	confidence = 2.0
-	// leastBusy is how long messages must have waited for a rate to mean something, in shortest aims.
-	leastBusy = 1.0 / 32
-	// followerShare of what the messages behind it in the order of its key lose counts for the first one.
+	// minBusyAims is how long messages must have waited before a service rate is used, in shortest Aims.
+	minBusyAims = 1.0 / 32
+	// followerShare is the share of the loss of the messages queued behind it that counts for the first one of a key.
 	followerShare = 0.5
 )
 
-// queueRate measures how fast the messages that wait in one queue are served. Both figures fade with time.
+// queueRate measures how fast the messages of one queue are served. Both counts decay with time.
 type queueRate struct {
-	served    float64       // messages that had waited
+	served    float64       // messages that were served after they had waited
 	busy      float64       // seconds in which messages waited
-	updatedAt time.Duration // both were brought up to date
-	waiting   bool          // something waits since then
+	updatedAt time.Duration // time of the last update of both counts
+	waiting   bool          // messages have been waiting since then
 }
 
-// update takes in the time since the last one.
+// update accounts for the time since the last update. The counts decay by a factor of e in the time memory.
 func (q *queueRate) update(now, memory time.Duration) {
 	span := now - q.updatedAt
 	if span <= 0 {
@@ -48,58 +48,58 @@
 	q.busy *= keep
 }
 
-// leastWait is how long a message behind others waits at least, with confidence.
-func (q *queueRate) leastWait(ahead int) time.Duration {
+// minWait returns a lower bound of the wait of a message with the given number of messages ahead of it.
+func (q *queueRate) minWait(ahead int) time.Duration {
 	most := q.served + 1 + confidence*math.Sqrt(q.served+1)
 	return time.Duration(float64(ahead+1) * q.busy / most * float64(time.Second))
 }
 
-// measure brings the rates of destinations up to date, before the decisions of a step.
-func (c *Chooser) measure() {
-	for _, d := range c.live {
-		for i := range d.rates {
-			d.rates[i].update(c.now, c.longest)
+// updateQueueRates updates the service rates of the active destinations, before the decisions of a step.
+func (c *Chooser) updateQueueRates() {
+	for _, d := range c.active {
+		for i := range d.queueRates {
+			d.queueRates[i].update(c.now, c.maxDeadline)
 		}
 		if d.hasReady() {
-			d.readyAt = c.now
+			d.lastReadyAt = c.now
 		}
 	}
 }
 
-// noteWaiting notes what waits once a step has decided.
+// noteWaiting records which queues hold waiting messages, after the decisions of a step.
 func (c *Chooser) noteWaiting() {
-	for _, d := range c.live {
-		for i := range d.rates {
-			d.rates[i].waiting = false
+	for _, d := range c.active {
+		for i := range d.queueRates {
+			d.queueRates[i].waiting = false
 		}
 		for _, m := range d.waiting {
-			d.rates[m.Class].waiting = true
+			d.queueRates[m.Class].waiting = true
 		}
 	}
 }
 
-// admit refuses those of the messages that have just come which can't be tried in their time.
+// admit refuses the messages of this step's arrivals that can't be attempted before their deadline.
 func (c *Chooser) admit() {
-	for _, m := range c.arrived {
-		if m.over || m.call != nil {
+	for _, m := range c.arrivals {
+		if m.finished || m.call != nil {
 			continue
 		}
-		allowed := time.Duration(waitShare * float64(m.due-c.now))
+		allowed := time.Duration(waitShare * float64(m.deadline-c.now))
 		if wait := c.expectedWait(m); wait > allowed {
-			m.excess = wait - allowed
-			c.final(m)
+			m.excessWait = wait - allowed
+			c.giveFinalAnswer(m)
 		}
 	}
-	c.arrived = c.arrived[:0]
+	c.arrivals = c.arrivals[:0]
 }
 
-// expectedWait is how long a message that has just come will wait for its first try at least.
+// expectedWait returns a lower bound of the time until the first attempt of a message that has just arrived.
 func (c *Chooser) expectedWait(m *message) time.Duration {
 	d := m.dest
 	if len(d.hosts) == 0 {
-		return 0 // when it gets one is not known
+		return 0 // unknown, since the destination has no host yet
 	}
-	wait := max(c.shutFor(d), c.behindInLine(m))
+	wait := max(c.closedFor(d), c.keyWait(m))
 	ahead := -1 // itself
 	for _, o := range d.waiting {
 		if o.Class == m.Class {
@@ -107,61 +107,61 @@
 		}
 	}
 	if ahead <= 0 && d.hasReady() {
-		return wait // a destination is tried by what waits for it
+		return wait // without messages ahead this one is the next attempt, whatever the measured rate
 	}
-	if q := &d.rates[m.Class]; c.means(q) {
-		wait = max(wait, q.leastWait(ahead))
+	if q := &d.queueRates[m.Class]; c.hasEvidence(q) {
+		wait = max(wait, q.minWait(ahead))
 	}
 	return wait
 }
 
-// behindInLine is how long a message waits for those of its key that came before it.
-func (c *Chooser) behindInLine(m *message) time.Duration {
-	l := c.lines[m.Key]
-	if l == nil || !m.class.Ordered || !c.means(&l.rate) {
+// keyWait returns a lower bound of the time for which a message waits for earlier messages of its key.
+func (c *Chooser) keyWait(m *message) time.Duration {
+	l := c.keyQueues[m.Key]
+	if l == nil || !m.class.Ordered || !c.hasEvidence(&l.rate) {
 		return 0
 	}
-	return l.rate.leastWait(len(l.queue) - 1)
+	return l.rate.minWait(len(l.messages) - 1)
 }
 
-// means tells whether messages have waited long enough for a rate to mean something.
-func (c *Chooser) means(q *queueRate) bool { return q.busy >= leastBusy*c.minAim.Seconds() }
+// hasEvidence reports whether messages have waited long enough for a service rate to be used.
+func (c *Chooser) hasEvidence(q *queueRate) bool { return q.busy >= minBusyAims*c.minAim.Seconds() }
 
-// hasReady tells whether one of a destination's hosts wants work.
-func (d *dest) hasReady() bool {
+// hasReady reports whether one of the destination's hosts is Ready.
+func (d *destination) hasReady() bool {
 	return slices.ContainsFunc(d.hosts, func(h *host) bool { return h.State == Ready })
 }
 
-// shutFor is how long none of a destination's units may be sent to. While none of its hosts wants work, that is
-// expected to last as long again as it has lasted.
-func (c *Chooser) shutFor(d *dest) time.Duration {
+// closedFor returns the time for which no unit of a destination may be sent to. A period without Ready hosts is
+// expected to last as long again as it has lasted so far.
+func (c *Chooser) closedFor(d *destination) time.Duration {
 	if !d.hasReady() {
-		return c.now - d.readyAt
+		return c.now - d.lastReadyAt
 	}
 	opens := time.Duration(math.MaxInt64)
 	for _, u := range d.units {
-		at := max(u.waitUntil, u.pauseUntil, d.pauseUntil)
+		at := max(u.waitUntil, u.backoffUntil, d.backoffUntil)
 		if u.state == suspect {
-			at = max(at, u.trialAt)
+			at = max(at, u.probeAt)
 		}
 		opens = min(opens, at)
 	}
 	return max(0, opens-c.now)
 }
 
-// loss is what a message loses by waiting for a time, with a part of what those behind it in the order of its
-// key lose.
-func (c *Chooser) loss(m *message, wait time.Duration) float64 {
-	lost := c.worth(m, c.now) - c.worth(m, c.now+wait)
+// waitLoss returns the worth that a message loses by the given wait, plus a share of what the messages queued behind
+// it under the same key lose.
+func (c *Chooser) waitLoss(m *message, wait time.Duration) float64 {
+	lost := c.worthAt(m, c.now) - c.worthAt(m, c.now+wait)
 	if !m.class.Ordered || m.Key == "" {
 		return lost
 	}
-	for _, f := range c.lines[m.Key].queue[1:] {
-		lost += followerShare * (c.worth(f, c.now) - c.worth(f, c.now+wait))
+	for _, f := range c.keyQueues[m.Key].messages[1:] {
+		lost += followerShare * (c.worthAt(f, c.now) - c.worthAt(f, c.now+wait))
 	}
 	return lost
 }
 
-// goesFirst tells whether a message goes before those that lose more by waiting: an earlier run took it, and
-// it was not tried yet.
+// goesFirst reports whether a message is sent before messages that lose more by waiting: an earlier run accepted
+// it, and it has not been attempted yet.
 func (m *message) goesFirst() bool { return m.restored && m.attempts == 0 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -20,7 +20,7 @@
 
 // Sink receives changes of the endpoint list.
 type Sink interface {
-	List(choice.Listing)
+	List(choice.HostUpdate)
 }
 
 // Receiver receives what a source finds. Its methods may be called from any goroutine.
@@ -96,7 +96,7 @@
 type Sinks []Sink
 
 // List passes a listing to each sink.
-func (s Sinks) List(l choice.Listing) {
+func (s Sinks) List(l choice.HostUpdate) {
 	for _, to := range s {
 		to.List(l)
 	}
@@ -208,7 +208,7 @@
 func (n sourceReceiver) ReportError(err error) {
 	n.d.opt.OnError(n.d.opt.Sources[n.from].Settings().Name, err)
 	if n.d.opt.Sources[n.from].Settings().Authoritative {
-		n.d.opt.Sink.List(choice.Listing{Failed: true})
+		n.d.opt.Sink.List(choice.HostUpdate{Failed: true})
 	}
 }
 
@@ -278,7 +278,7 @@
 	if len(told)+len(gone) == 0 && d.inForce != nil {
 		return next
 	}
-	listing := choice.Listing{Whole: d.inForce == nil}
+	listing := choice.HostUpdate{Full: d.inForce == nil}
 	if d.inForce == nil {
 		d.inForce, d.addresses = map[string]choice.Host{}, map[string]addr.Endpoint{}
 	}
@@ -315,7 +315,7 @@
 		}
 		d.opt.OnAddresses(at)
 	}
-	if d.count = len(d.inForce); len(listing.Hosts) > 0 || listing.Whole {
+	if d.count = len(d.inForce); len(listing.Hosts) > 0 || listing.Full {
 		d.opt.Sink.List(listing)
 	}
 	d.opt.OnListed(d.count)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -14,9 +14,9 @@
 	"basaltcross.example/basaltcross/internal/standin"
 )
 
-type listings chan choice.Listing
+type listings chan choice.HostUpdate
 
-func (l listings) List(x choice.Listing) { l <- x }
+func (l listings) List(x choice.HostUpdate) { l <- x }
 
 // BenchmarkChange measures the time from a change in a stand-in catalogue, with 940
 // endpoints of 47 services, until the sink receives it. It includes the work of the
--- a/internal/hookfront/front_test.go
+++ b/internal/hookfront/front_test.go
@@ -16,9 +16,9 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// door is a core of the test's own: it keeps what is handed in, and answers only when
-// the test says so.
-type door struct {
+// fakeCore is a core for tests: it stores what is handed in, and answers only when the test says
+// so.
+type fakeCore struct {
 	mu        sync.Mutex
 	taken     []*core.Message
 	abandoned []string
@@ -26,12 +26,12 @@
 	handed    []string
 	notices   []string
 	full      bool
-	came      chan struct{}
-	verdict   ledger.Answer // given in the step that takes a message
+	events    chan struct{}
+	verdict   ledger.Answer // given in the step that accepts a message
 	hold      bool          // no step is made
 }
 
-func (d *door) Submit(m *core.Message) error {
+func (d *fakeCore) Submit(m *core.Message) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.taken = append(d.taken, m)
@@ -43,38 +43,40 @@
 			}
 			m.Reply.(core.Decider).Decided()
 		}
-		d.came <- struct{}{}
+		d.events <- struct{}{}
 	}()
 	return nil
 }
 
-func (d *door) put(list *[]string, s string) {
+func (d *fakeCore) record(list *[]string, s string) {
 	d.mu.Lock()
 	*list = append(*list, s)
 	d.mu.Unlock()
-	d.came <- struct{}{}
+	d.events <- struct{}{}
 }
-func (d *door) Abandon(id string, _ core.Reply) { d.put(&d.abandoned, id) }
-func (d *door) Settled(id string)               { d.put(&d.settled, id) }
-func (d *door) Handed(id string)                { d.put(&d.handed, id) }
-func (d *door) Room() bool                      { return !d.full }
-func (d *door) Add(id string, a ledger.Answer)  { d.put(&d.notices, id+" "+a.Verdict.String()) }
+func (d *fakeCore) Abandon(id string, _ core.Reply) { d.record(&d.abandoned, id) }
+func (d *fakeCore) Settled(id string)               { d.record(&d.settled, id) }
+func (d *fakeCore) Handed(id string)                { d.record(&d.handed, id) }
+func (d *fakeCore) Room() bool                      { return !d.full }
+func (d *fakeCore) Add(id string, a ledger.Answer)  { d.record(&d.notices, id+" "+a.Verdict.String()) }
 
-// lingering connections that the relay has shut and the test's clients have not.
-const lingering = 3
+// maxLingering is the limit on connections on which the relay has ended its side and the client has
+// not.
+const maxLingering = 3
 
-func start(t *testing.T, most int, kept ...int) (*Front, *door) {
+func start(t *testing.T, maxConns int, kept ...int) (*Front, *fakeCore) {
 	t.Helper()
-	return startWith(t, func(o *Options) { o.Connections, o.Kept = most, append(kept, most)[0] })
+	return startWith(t, func(o *Options) { o.Connections, o.Kept = maxConns, append(kept, maxConns)[0] })
 }
 
-func startWith(t *testing.T, change func(*Options)) (*Front, *door) {
+func startWith(t *testing.T, change func(*Options)) (*Front, *fakeCore) {
 	t.Helper()
-	d := &door{came: make(chan struct{}, 1000)}
+	d := &fakeCore{events: make(chan struct{}, 1000)}
 	o := Options{Listen: "127.0.0.1:0", Lanes: map[string]int{"notice": 0, "charge": 1}, Ordered: []bool{false, true},
 		Dest: func(n int) bool { return n < 10 }, Ready: func() bool { return true }, Header: 16 << 10, Body: 64 << 10,
-		Request: 500 * time.Millisecond, Whole: time.Second, Idle: 500 * time.Millisecond, Linger: 200 * time.Millisecond,
-		Lingering: lingering, WriteBuffer: 64 << 10, Door: d, Keeper: d, Notices: d, Logf: t.Logf}
+		Request: 500 * time.Millisecond, Whole: time.Second,
+		Idle: 500 * time.Millisecond, Linger: 200 * time.Millisecond,
+		Lingering: maxLingering, WriteBuffer: 64 << 10, Door: d, Keeper: d, Notices: d, Logf: t.Logf}
 	change(&o)
 	f, err := New(o)
 	if err != nil {
@@ -95,19 +97,20 @@
 	return c
 }
 
-func hand(id, lane, dest, left, more, body string) string {
+func handInText(id, lane, dest, left, more, body string) string {
 	return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nCookie: a=b; about=key1\r\n"+
-		"X-Remaining-Ms: %s\r\nX-Addressing: dest=%s\r\n%sContent-Length: %d\r\n\r\n%s", id, lane, left, dest, more, len(body), body)
+		"X-Remaining-Ms: %s\r\nX-Addressing: dest=%s\r\n%sContent-Length: %d\r\n\r\n%s",
+		id, lane, left, dest, more, len(body), body)
 }
 
-// ask sends text and reads the status of the answer; 0 for a close without one.
+// ask sends text and returns the status of the answer, 0 for a close without one.
 func ask(t *testing.T, c net.Conn, text string) int {
 	t.Helper()
-	go func() { _, _ = io.WriteString(c, text) }() // the other side may close under it
+	go func() { _, _ = io.WriteString(c, text) }() // the other side may close during the write
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
-			t.Fatal("neither an answer nor a close")
+			t.Fatal("neither an answer nor a close in time")
 		}
 		return 0
 	}
@@ -115,23 +118,26 @@
 	return r.StatusCode
 }
 
-// What the module decides in the step is the answer; later answers are notices.
+// Guards against decisions that reach the client in the wrong way: a decision within the step is
+// the response, a later one is a notice.
 func TestAnswers(t *testing.T) {
-	for verdict, want := range map[ledger.Verdict]int{0: 202, ledger.Delivered: 202, ledger.Refused: 429, ledger.Failed: 500} {
+	for verdict, want := range map[ledger.Verdict]int{
+		0: 202, ledger.Delivered: 202, ledger.Refused: 429, ledger.Failed: 500} {
 		f, d := start(t, 10)
 		d.verdict = ledger.Answer{Verdict: verdict}
 		c := dial(t, f)
-		for i := range 2 { // a kept connection carries the next
-			if got := ask(t, c, hand(fmt.Sprint("m", i), "charge", "7", "480", "", "body")); got != want {
-				t.Fatalf("%v in the step: %d, want %d", verdict, got, want)
+		for i := range 2 { // the second request uses the same connection
+			if got := ask(t, c, handInText(fmt.Sprint("m", i), "charge", "7", "480", "", "body")); got != want {
+				t.Fatalf("%v within the step: %d, want %d", verdict, got, want)
 			}
 		}
 		m := d.taken[0]
-		if m.Identity != "m0" || m.Class != 1 || m.Partner != 7 || m.Key != "key1" || m.Left != 480*time.Millisecond || string(m.Body) != "body" {
+		if m.Identity != "m0" || m.Class != 1 || m.Partner != 7 || m.Key != "key1" ||
+			m.Left != 480*time.Millisecond || string(m.Body) != "body" {
 			t.Errorf("%+v", m)
 		}
-		<-d.came
-		<-d.came
+		<-d.events
+		<-d.events
 		if verdict != 0 {
 			continue
 		}
@@ -143,43 +149,45 @@
 	}
 }
 
-// Each thing that a bad client sends gets an error or a close, and is not taken.
+// Guards against accepting invalid input: each must get an error status or a close, and nothing may
+// be handed in.
 func TestBadClients(t *testing.T) {
-	good := hand("x1", "notice", "7", "480", "", "body")
+	good := handInText("x1", "notice", "7", "480", "", "body")
 	long := strings.Repeat("x", 4<<20)
 	for name, text := range map[string]string{
-		"noise":               "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
-		"endless head":        "POST /api HTTP/1.1\r\nHost: h\r\nX: " + long,
-		"endless fields":      "POST /api HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 100000),
-		"wrong length":        strings.Replace(good, "Content-Length: 4", "Content-Length: 4x", 1),
-		"negative length":     strings.Replace(good, "Content-Length: 4", "Content-Length: -4", 1),
-		"huge length":         strings.Replace(good, "Content-Length: 4", "Content-Length: 99999999999999999999", 1),
-		"long body":           strings.Replace(good, "Content-Length: 4", "Content-Length: 60000000", 1) + long,
-		"two lengths":         strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5", 1),
-		"length and chunked":  strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked", 1),
-		"odd chunked":         strings.Replace(good, "Content-Length: 4", "Transfer-Encoding: xchunked", 1),
-		"no such class":       hand("x1", "none", "7", "480", "", "body"),
-		"no such dest":        hand("x1", "notice", "70", "480", "", "body"),
-		"dest is no number":   hand("x1", "notice", "seven", "480", "", "body"),
-		"dest below 0":        hand("x1", "notice", "-7", "480", "", "body"),
-		"time is no number":   hand("x1", "notice", "7", "soon", "", "body"),
-		"time below 0":        hand("x1", "notice", "7", "-480", "", "body"),
-		"time without end":    hand("x1", "notice", "7", "99999999999999999999999", "", "body"),
-		"no id":               strings.Replace(good, "X-Txn: x1\r\n", "", 1),
-		"empty id":            strings.Replace(good, "X-Txn: x1", "X-Txn: ", 1),
-		"two ids":             strings.Replace(good, "X-Txn: x1", "X-Txn: x1\r\nX-Txn: x2", 1),
-		"id with a space":     strings.Replace(good, "X-Txn: x1", "X-Txn: x 1", 1),
-		"half a request":      good[:len(good)-2],
-		"half a head":         good[:40],
-		"silent":              "",
-		"hundreds at once":    strings.Repeat(good, 300),
-		"a get":               "GET /api HTTP/1.1\r\nHost: h\r\n\r\n",
-		"another path":        "POST /other HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n",
-		"no host":             strings.Replace(good, "Host: origin.svc\r\n", "", 1),
-		"bare line feeds":     strings.ReplaceAll(good, "\r\n", "\n"),
-		"space before colon":  strings.Replace(good, "X-Txn:", "X-Txn :", 1),
-		"folded field":        strings.Replace(good, "X-Lane: notice", "X-Lane: notice\r\n x", 1),
-		"version of tomorrow": strings.Replace(good, "HTTP/1.1", "HTTP/3.0", 1),
+		"noise":           "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
+		"endless head":    "POST /api HTTP/1.1\r\nHost: h\r\nX: " + long,
+		"endless fields":  "POST /api HTTP/1.1\r\n" + strings.Repeat("X: y\r\n", 100000),
+		"wrong length":    strings.Replace(good, "Content-Length: 4", "Content-Length: 4x", 1),
+		"negative length": strings.Replace(good, "Content-Length: 4", "Content-Length: -4", 1),
+		"huge length":     strings.Replace(good, "Content-Length: 4", "Content-Length: 99999999999999999999", 1),
+		"long body":       strings.Replace(good, "Content-Length: 4", "Content-Length: 60000000", 1) + long,
+		"two lengths":     strings.Replace(good, "Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5", 1),
+		"length and chunked": strings.Replace(good, "Content-Length: 4",
+			"Content-Length: 4\r\nTransfer-Encoding: chunked", 1),
+		"odd chunked":        strings.Replace(good, "Content-Length: 4", "Transfer-Encoding: xchunked", 1),
+		"no such class":      handInText("x1", "none", "7", "480", "", "body"),
+		"no such dest":       handInText("x1", "notice", "70", "480", "", "body"),
+		"dest is no number":  handInText("x1", "notice", "seven", "480", "", "body"),
+		"dest below 0":       handInText("x1", "notice", "-7", "480", "", "body"),
+		"time is no number":  handInText("x1", "notice", "7", "soon", "", "body"),
+		"time below 0":       handInText("x1", "notice", "7", "-480", "", "body"),
+		"time without end":   handInText("x1", "notice", "7", "99999999999999999999999", "", "body"),
+		"no id":              strings.Replace(good, "X-Txn: x1\r\n", "", 1),
+		"empty id":           strings.Replace(good, "X-Txn: x1", "X-Txn: ", 1),
+		"two ids":            strings.Replace(good, "X-Txn: x1", "X-Txn: x1\r\nX-Txn: x2", 1),
+		"id with a space":    strings.Replace(good, "X-Txn: x1", "X-Txn: x 1", 1),
+		"half a request":     good[:len(good)-2],
+		"half a head":        good[:40],
+		"silent":             "",
+		"300 pipelined":      strings.Repeat(good, 300),
+		"a get":              "GET /api HTTP/1.1\r\nHost: h\r\n\r\n",
+		"another path":       "POST /other HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n",
+		"no host":            strings.Replace(good, "Host: origin.svc\r\n", "", 1),
+		"bare line feeds":    strings.ReplaceAll(good, "\r\n", "\n"),
+		"space before colon": strings.Replace(good, "X-Txn:", "X-Txn :", 1),
+		"folded field":       strings.Replace(good, "X-Lane: notice", "X-Lane: notice\r\n x", 1),
+		"unknown version":    strings.Replace(good, "HTTP/1.1", "HTTP/3.0", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, d := start(t, 10)
@@ -187,23 +195,24 @@
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			if got != 0 && got < 400 || len(d.taken) != 0 {
-				t.Errorf("answered %d, %d taken", got, len(d.taken))
+				t.Errorf("answered %d, %d handed in", got, len(d.taken))
 			}
 		})
 	}
 }
 
-// A client that closes before its answer withdraws its message; one that had it does not.
+// Guards against messages that are not withdrawn when their client closes before the answer, and
+// against withdrawing them when it closes afterwards.
 func TestClientsThatLeave(t *testing.T) {
 	f, d := start(t, 10)
 	d.hold = true
 	c := dial(t, f)
-	if _, err := io.WriteString(c, hand("gone", "notice", "7", "480", "", "")); err != nil {
+	if _, err := io.WriteString(c, handInText("gone", "notice", "7", "480", "", "")); err != nil {
 		t.Fatal(err)
 	}
-	<-d.came
+	<-d.events
 	_ = c.Close()
-	<-d.came
+	<-d.events
 	d.mu.Lock()
 	if len(d.abandoned) != 1 || d.abandoned[0] != "gone" {
 		t.Errorf("abandoned %v", d.abandoned)
@@ -211,24 +220,25 @@
 	d.hold = false
 	d.mu.Unlock()
 	c = dial(t, f)
-	if got := ask(t, c, hand("stays", "notice", "7", "480", "", "")); got != 202 {
+	if got := ask(t, c, handInText("stays", "notice", "7", "480", "", "")); got != 202 {
 		t.Fatal(got)
 	}
-	<-d.came
+	<-d.events
 	_ = c.Close()
 	for f.Connections() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if len(d.abandoned) != 1 {
-		t.Errorf("abandoned %v after its answer", d.abandoned)
+		t.Errorf("abandoned %v after the answer was given", d.abandoned)
 	}
 }
 
-// Guards against a request that is read and closed unanswered, because its client has ended its sending behind it and
-// waits for the answer; and against a message of a client that has left for good which is held for it.
+// Guards against closing without a response when the client ends its sending side after the request
+// and waits for the answer, and against holding the message of a client that has gone for good.
 func TestHalfClosedClientIsAnsweredWhileItWaits(t *testing.T) {
 	f, d := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Wait = 10, 10, 300*time.Millisecond })
-	for _, text := range []string{hand("ends", "notice", "7", "480", "", ""), "GET /up HTTP/1.1\r\nHost: r\r\n\r\n"} {
+	for _, text := range []string{handInText("ends", "notice", "7", "480", "", ""),
+		"GET /up HTTP/1.1\r\nHost: r\r\n\r\n"} {
 		c := dial(t, f)
 		if _, err := io.WriteString(c, text); err != nil {
 			t.Fatal(err)
@@ -236,21 +246,21 @@
 		if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-		if got := drained(t, c, c); !strings.HasPrefix(got, "HTTP/1.1 20") {
+		if got := readToEnd(t, c, c); !strings.HasPrefix(got, "HTTP/1.1 20") {
 			t.Errorf("%q", got)
 		}
 	}
-	<-d.came
+	<-d.events
 	d.mu.Lock()
 	d.hold = true
 	d.mu.Unlock()
 	c := dial(t, f)
-	if _, err := io.WriteString(c, hand("leaves", "notice", "7", "480", "", "")); err != nil {
+	if _, err := io.WriteString(c, handInText("leaves", "notice", "7", "480", "", "")); err != nil {
 		t.Fatal(err)
 	}
-	<-d.came
+	<-d.events
 	_ = c.Close()
-	<-d.came
+	<-d.events
 	if d.mu.Lock(); fmt.Sprint(d.abandoned) != "[leaves]" {
 		t.Errorf("abandoned %v", d.abandoned)
 	}
@@ -260,30 +270,33 @@
 	}
 }
 
-// Guards against a request that is closed unanswered because its connection may have stood in the listener's queue for
-// longer than its client waits: that is a bound, and the client has just sent.
-func TestHalfClosedClientOfALateConnectionIsAnswered(t *testing.T) {
-	f, d := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Wait, o.Request = 10, 10, time.Minute, 2*time.Minute })
+// Guards against closing a request unanswered because its connection may have waited in the
+// listener's queue for longer than its client waits: that time is only an upper bound, and the
+// client has just sent.
+func TestHalfClosedClientOfQueuedConnectionIsAnswered(t *testing.T) {
+	f, d := startWith(t, func(o *Options) {
+		o.Connections, o.Kept, o.Wait, o.Request = 10, 10, time.Minute, 2*time.Minute
+	})
 	d.hold = true
 	c := dial(t, f)
 	for f.Connections() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	late := only(t, f)
+	late := onlyConn(t, f)
 	late.mu.Lock()
-	late.waited = time.Hour
+	late.queueTime = time.Hour
 	late.mu.Unlock()
-	if _, err := io.WriteString(c, hand("late", "notice", "7", "480", "", "")); err != nil {
+	if _, err := io.WriteString(c, handInText("late", "notice", "7", "480", "", "")); err != nil {
 		t.Fatal(err)
 	}
-	<-d.came
+	<-d.events
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	for !late.halfClosed.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	late.forsake()
+	late.closeGivenUp()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.abandoned) > 0 {
@@ -291,149 +304,153 @@
 	}
 }
 
-// Guards against a response that is cut: its client ended its sending before the socket had taken all of it.
+// Guards against a truncated response when the client ends its sending side before the socket has
+// taken all of it.
 func TestHalfClosedClientReadsItsWholeAnswer(t *testing.T) {
 	f, _ := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Linger, o.WriteBuffer = 10, 10, time.Minute, 0 })
 	c := dial(t, f)
 	if got := ask(t, c, "GET /up HTTP/1.1\r\nHost: r\r\n\r\n"); got != 200 {
 		t.Fatal(got)
 	}
-	const large = 16 << 20 // no socket takes it at once
-	if _, err := only(t, f).nb.Write(make([]byte, large)); err != nil {
+	const large = 16 << 20 // more than a socket takes at once
+	if _, err := onlyConn(t, f).socket.Write(make([]byte, large)); err != nil {
 		t.Fatal(err)
 	}
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(50 * time.Millisecond) // for the relay to read the end
-	if got := drained(t, c, c); len(got) < large {
-		t.Errorf("%d bytes were read of %d", len(got), large)
+	time.Sleep(50 * time.Millisecond) // time for the relay to read the end
+	if got := readToEnd(t, c, c); len(got) < large {
+		t.Errorf("%d of %d bytes were read", len(got), large)
 	}
 }
 
-// Hundreds of silent connections leave room for who asks: the longest silent go first,
-// one with a request open never.
-func TestGreedyClients(t *testing.T) {
+// Guards against silent connections that keep other clients out: the ones idle for longest are
+// closed first, and never one with a pending request.
+func TestSilentConnectionsMakeRoom(t *testing.T) {
 	f, d := start(t, 20)
 	d.hold = true
 	open := dial(t, f)
-	if _, err := io.WriteString(open, hand("open", "notice", "7", "480", "", "")); err != nil {
+	if _, err := io.WriteString(open, handInText("open", "notice", "7", "480", "", "")); err != nil {
 		t.Fatal(err)
 	}
-	<-d.came
+	<-d.events
 	d.mu.Lock()
 	d.hold = false
 	d.mu.Unlock()
 	for i := range 200 {
 		dial(t, f)
 		if i%20 == 19 {
-			if got := ask(t, dial(t, f), hand(fmt.Sprint("u", i), "notice", "7", "480", "", "")); got != 202 {
-				t.Fatalf("a usual client among silent ones got %d", got)
+			if got := ask(t, dial(t, f), handInText(fmt.Sprint("u", i), "notice", "7", "480", "", "")); got != 202 {
+				t.Fatalf("a client among silent connections got %d", got)
 			}
-			<-d.came
+			<-d.events
 		}
 	}
-	if n := f.Connections(); n > 20+lingering {
-		t.Errorf("%d connections", n)
+	if n := f.Connections(); n > 20+maxLingering {
+		t.Errorf("%d connections are open", n)
 	}
 	d.taken[0].Reply.Taken(nil)
 	d.taken[0].Reply.(core.Decider).Decided()
 	if r, err := http.ReadResponse(bufio.NewReader(open), nil); err != nil || r.StatusCode != 202 {
-		t.Errorf("the open request: %v %v", r, err)
+		t.Errorf("pending request: %v %v, want 202", r, err)
 	}
 }
 
-// Clients that asked once and keep their connection do not keep others out: who is
-// between two requests goes before who has just come.
-func TestCrowd(t *testing.T) {
+// Guards against clients that keep used connections open and so keep others out: connections
+// between two requests are closed before new ones.
+func TestIdleConnectionsAreEvictedBeforeNewOnes(t *testing.T) {
 	f, d := start(t, 20)
 	for i := range 100 {
 		c := dial(t, f)
-		if got := ask(t, c, hand(fmt.Sprint("m", i), "notice", "7", "480", "", "")); got != 202 {
+		if got := ask(t, c, handInText(fmt.Sprint("m", i), "notice", "7", "480", "", "")); got != 202 {
 			t.Fatalf("client %d got %d", i, got)
 		}
-		<-d.came
-		if i >= 20 { // two that come together, the second before the first has asked
+		<-d.events
+		if i >= 20 { // two that connect together; the second sends its request first
 			first, second := dial(t, f), dial(t, f)
 			for _, c := range []net.Conn{second, first} {
-				if got := ask(t, c, hand(fmt.Sprintf("p%d%v", i, c == first), "notice", "7", "480", "", "")); got != 202 {
-					t.Fatalf("one that came beside another got %d", got)
+				if got := ask(t, c, handInText(fmt.Sprintf("p%d%v", i, c == first),
+					"notice", "7", "480", "", "")); got != 202 {
+					t.Fatalf("a client that connected along with another got %d", got)
 				}
-				<-d.came
+				<-d.events
 			}
 		}
 	}
 }
 
-// Clients that ask once and stay use up their own bound: beyond a number the longest
-// silent connection between two requests is closed for each that comes.
-func TestClientsThatStay(t *testing.T) {
+// Guards against clients that stay connected after one request and use up all connections: beyond a
+// limit, the connection between two requests that has been idle longest is closed for each new one.
+func TestIdleConnectionLimit(t *testing.T) {
 	f, d := start(t, 50, 10)
 	var all []net.Conn
 	for i := range 30 {
 		all = append(all, dial(t, f))
-		if got := ask(t, all[i], hand(fmt.Sprint("m", i), "notice", "7", "480", "", "")); got != 202 {
+		if got := ask(t, all[i], handInText(fmt.Sprint("m", i), "notice", "7", "480", "", "")); got != 202 {
 			t.Fatalf("client %d got %d", i, got)
 		}
-		<-d.came
+		<-d.events
 	}
-	if n := f.Connections(); n > 11+lingering {
-		t.Errorf("%d connections are kept, 10 between two requests", n)
+	if n := f.Connections(); n > 11+maxLingering {
+		t.Errorf("%d connections are open, want at most 10 between two requests", n)
 	}
-	if got := ask(t, all[29], hand("again", "notice", "7", "480", "", "")); got != 202 {
-		t.Errorf("the last one's next request got %d", got)
+	if got := ask(t, all[29], handInText("again", "notice", "7", "480", "", "")); got != 202 {
+		t.Errorf("the next request of the last client got %d", got)
 	}
 }
 
-// A connection that was picked to be closed while it rested, and on which a request
-// came before it was, is not closed: its message is not withdrawn, and gets its answer.
-func TestRequestsThatCrossAClose(t *testing.T) {
+// Guards against closing a connection that was selected while it was idle and on which a request
+// arrived before the close: its message must not be withdrawn, and must get its answer.
+func TestRequestCrossingCloseIsAnswered(t *testing.T) {
 	f, d := start(t, 10)
 	c := dial(t, f)
-	if got := ask(t, c, hand("first", "charge", "7", "480", "", "")); got != 202 {
+	if got := ask(t, c, handInText("first", "charge", "7", "480", "", "")); got != 202 {
 		t.Fatal(got)
 	}
-	<-d.came
+	<-d.events
 	d.mu.Lock()
 	d.hold = true
 	d.mu.Unlock()
 	var picked *conn
-	f.shutIdle(lifecycle.CloseIdle, func(c *conn) bool {
+	f.endMatching(lifecycle.CloseIdle, func(c *conn) bool {
 		picked = c
 		return false
 	})
-	if _, err := io.WriteString(c, hand("crosses", "charge", "7", "480", "", "")); err != nil {
+	if _, err := io.WriteString(c, handInText("crosses", "charge", "7", "480", "", "")); err != nil {
 		t.Fatal(err)
 	}
-	<-d.came
-	if picked.end(lifecycle.CloseIdle) {
-		t.Error("closed while a request is open")
+	<-d.events
+	if picked.tryEnd(lifecycle.CloseIdle) {
+		t.Error("closed while a request is pending")
 	}
 	d.mu.Lock()
 	last := d.taken[1]
 	d.mu.Unlock()
 	last.Reply.Taken(nil)
 	last.Reply.(core.Decider).Decided()
-	if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != 202 || len(d.abandoned) != 0 {
+	if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || r.StatusCode != 202 ||
+		len(d.abandoned) != 0 {
 		t.Errorf("%v %v, withdrawn %v", r, err, d.abandoned)
 	}
-	if !picked.end(lifecycle.CloseIdle) {
-		t.Error("not closed once it rests again")
+	if !picked.tryEnd(lifecycle.CloseIdle) {
+		t.Error("not closed when it was idle again")
 	}
 }
 
-// While it drains each answer ends its connection; after that nothing is taken.
+// Guards against connections that stay open while draining, after their next answer, and against
+// hand-ins after that.
 func TestDrain(t *testing.T) {
 	f, _ := start(t, 10)
 	c := dial(t, f)
-	if got := ask(t, c, hand("m1", "notice", "7", "480", "", "")); got != 202 {
+	if got := ask(t, c, handInText("m1", "notice", "7", "480", "", "")); got != 202 {
 		t.Fatal(got)
 	}
 	f.Drain()
-	_, _ = io.WriteString(c, hand("m2", "notice", "7", "480", "", ""))
+	_, _ = io.WriteString(c, handInText("m2", "notice", "7", "480", "", ""))
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || r.StatusCode != 202 || !r.Close {
-		t.Errorf("%v %v, want 202 and the close", r, err)
+		t.Errorf("%v %v, want 202 and Connection: close", r, err)
 	}
 	if got := ask(t, dial(t, f), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); got != 503 {
 		t.Errorf("/up says %d while draining", got)
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,6 +1,5 @@
-// Package http1 reads HTTP/1.1 messages (RFC 9112) from whatever pieces a
-// socket gives: requests at the Web Push front, responses in partner calls. It
-// does no I/O and keeps no content.
+// Package http1 parses HTTP/1.1 messages (RFC 9112) from pieces of any size: requests at the HTTP
+// fronts, and responses in partner calls. It does no I/O and does not buffer content.
 package http1
 
 import (
@@ -11,71 +10,70 @@
 	"strings"
 )
 
-// ErrMalformed is wrapped by every complaint about a message.
+// ErrMalformed is wrapped by every parse error.
 var ErrMalformed = errors.New("malformed message")
 
-// Malformed makes such a complaint.
+// Malformed returns an error that wraps ErrMalformed.
 func Malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// Limits bound what a message may take.
+// Limits bound the size of a message.
 type Limits struct {
-	Header int // bytes of start line and header fields, of the trailers, and of each chunk line
+	Header int // bytes of the start line and header fields, of the trailers, and of each chunk-size line
 	Body   int // bytes of content
 }
 
-// most interim responses before the final one, fields of one header, and bytes of
-// empty lines before a request.
+// Bounds on the interim responses before the final one, on the fields of one header, and on the
+// bytes of empty lines before a request.
 const (
-	mostInterim = 16
-	mostFields  = 256
-	mostBlank   = 8
+	maxInterim = 16
+	maxFields  = 256
+	maxBlank   = 8
 )
 
-// Framing tells how a message's content is delimited, beyond what its own
-// fields say.
+// Framing states how a message's content is delimited, in addition to the message's own fields.
 type Framing int
 
-// The framings. ByFields goes by Content-Length and Transfer-Encoding; without
-// either there is no content, but for ToClose, where it runs to the close.
+// The framings. ByFields follows Content-Length and Transfer-Encoding; without either there is no
+// content, except with ToClose, where the content then ends with the connection.
 const (
 	ByFields Framing = iota
 	ToClose
 	NoContent
-	Interim // a further header follows
+	Interim // interim response; a further header follows
 )
 
-// Handler takes in the parts of a message; an error ends the parsing.
+// Handler receives the parts of a message. An error ends the parsing.
 type Handler interface {
 	Start(line string) error
 	Field(name, value string) error
 	Head() (Framing, error)
-	Content(b []byte) error // a piece; not to be kept
+	Content(b []byte) error // b is a piece of the content and must not be kept
 }
 
-// ErrTooLong is wrapped where the content is over its limit.
+// ErrTooLong is wrapped if the content exceeds its limit.
 var ErrTooLong = fmt.Errorf("%w: content is over its limit", ErrMalformed)
 
 // Parser parses one message at a time.
 type Parser struct {
-	// Prefix is what a message must begin with, so that what is none is told at
-	// once; empty for anything. Reset leaves it.
-	Prefix  string
-	limits  Limits
-	state   int
-	line    []byte // head or chunk line read so far
-	length  int64  // Content-Length, -1 for none
-	left    int64  // content bytes still to come
-	body    int64  // content bytes so far
-	chunked bool
-	toClose bool
-	interim int
-	fields  int
-	blank   int
+	// Prefix is what a message must begin with, so that other input is rejected before its first
+	// line is complete; empty to accept anything. Reset keeps it.
+	Prefix        string
+	limits        Limits
+	state         int
+	line          []byte // header or chunk-size line read so far
+	length        int64  // Content-Length, -1 for none
+	remaining     int64  // bytes still to come of the content or of the current chunk
+	received      int64  // content bytes received so far
+	chunked       bool
+	untilClose    bool
+	interimCount  int
+	trailerFields int
+	blankBytes    int
 }
 
-// States of the parser.
+// The states of the parser.
 const (
 	inHead = iota
 	inBody
@@ -86,7 +84,7 @@
 	finished
 )
 
-// Reset begins a new message.
+// Reset prepares the parser for a new message.
 func (p *Parser) Reset(l Limits) {
 	*p = Parser{Prefix: p.Prefix, limits: l, line: p.line[:0]}
 	if cap(p.line) > 4096 {
@@ -94,8 +92,8 @@
 	}
 }
 
-// FirstLine is that of a header which is not whole yet, or in which a fault was
-// found; whole tells whether its end has come.
+// FirstLine returns the first line of a header that is incomplete or was found invalid. whole
+// reports whether the line is complete.
 func (p *Parser) FirstLine() (line string, whole bool) {
 	if p.state != inHead {
 		return "", false
@@ -107,19 +105,19 @@
 	return strings.TrimSuffix(string(p.line[:i]), "\r"), true
 }
 
-// Done tells whether the message is whole.
+// Done reports whether the message is complete.
 func (p *Parser) Done() bool { return p.state == finished }
 
-// Began tells whether any byte of the message has come.
-func (p *Parser) Began() bool { return p.state != inHead || len(p.line) > 0 || p.interim > 0 }
+// Began reports whether any byte of the message has arrived.
+func (p *Parser) Began() bool { return p.state != inHead || len(p.line) > 0 || p.interimCount > 0 }
 
-// InContent tells whether the header is whole and content is awaited.
+// InContent reports whether the header is complete and content is still expected.
 func (p *Parser) InContent() bool { return p.state != inHead && p.state != finished }
 
-// AtClose tells whether a close now makes the message whole.
-func (p *Parser) AtClose() bool { return p.state == inBody && p.toClose }
+// AtClose reports whether the end of the connection would complete the message.
+func (p *Parser) AtClose() bool { return p.state == inBody && p.untilClose }
 
-// Feed takes bytes and returns those that follow the end of the message.
+// Feed parses b and returns the bytes behind the end of the message.
 func (p *Parser) Feed(b []byte, h Handler) (rest []byte, err error) {
 	for len(b) > 0 && p.state != finished {
 		switch p.state {
@@ -129,18 +127,18 @@
 			}
 		case inBody, inChunk:
 			n := int64(len(b))
-			if !p.toClose {
-				n = min(n, p.left)
+			if !p.untilClose {
+				n = min(n, p.remaining)
 			}
-			p.left -= n
-			if p.body += n; p.body > int64(p.limits.Body) {
+			p.remaining -= n
+			if p.received += n; p.received > int64(p.limits.Body) {
 				return nil, fmt.Errorf("%w of %d bytes", ErrTooLong, p.limits.Body)
 			}
 			if err = h.Content(b[:n]); err != nil {
 				return nil, err
 			}
 			b = b[n:]
-			if p.left == 0 && !p.toClose {
+			if p.remaining == 0 && !p.untilClose {
 				if p.state == inBody {
 					p.state = finished
 				} else {
@@ -154,7 +152,7 @@
 				return nil, err
 			}
 			if whole {
-				if err = p.chunk(line); err != nil {
+				if err = p.chunkedLine(line); err != nil {
 					return nil, err
 				}
 			}
@@ -163,7 +161,7 @@
 	return b, nil
 }
 
-// nextLine collects up to CRLF.
+// nextLine collects a line up to its CRLF.
 func (p *Parser) nextLine(b []byte) (line, rest []byte, whole bool, err error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
@@ -185,7 +183,7 @@
 	return line[:len(line)-2], rest, true, nil
 }
 
-func (p *Parser) chunk(line []byte) error {
+func (p *Parser) chunkedLine(line []byte) error {
 	switch p.state {
 	case inChunkEnd:
 		if len(line) > 0 {
@@ -199,7 +197,7 @@
 		if err != nil || size[0] == '+' {
 			return Malformed("chunk size %.20q", size)
 		}
-		p.left = int64(n)
+		p.remaining = int64(n)
 		if p.state = inChunk; n == 0 {
 			p.state = inTrailer
 		}
@@ -208,18 +206,18 @@
 			p.state = finished
 			return nil
 		}
-		if p.fields++; p.fields > mostFields {
-			return Malformed("over %d trailer fields", mostFields)
+		if p.trailerFields++; p.trailerFields > maxFields {
+			return Malformed("over %d trailer fields", maxFields)
 		}
 	}
 	return nil
 }
 
-// head collects start line and fields up to the empty line.
+// head collects the start line and the header fields up to the empty line.
 func (p *Parser) head(b []byte, h Handler) (rest []byte, err error) {
-	if len(p.line) == 0 && p.Prefix == "" { // empty lines before a request (RFC 9112, 2.2)
-		for len(b) > 0 && p.blank < mostBlank && (b[0] == '\r' || b[0] == '\n') {
-			b, p.blank = b[1:], p.blank+1
+	if len(p.line) == 0 && p.Prefix == "" { // skip empty lines before a request (RFC 9112, 2.2)
+		for len(b) > 0 && p.blankBytes < maxBlank && (b[0] == '\r' || b[0] == '\n') {
+			b, p.blankBytes = b[1:], p.blankBytes+1
 		}
 		if len(b) == 0 {
 			return nil, nil
@@ -242,14 +240,14 @@
 	if end > p.limits.Header {
 		return nil, Malformed("header is over the limit of %d bytes", p.limits.Header)
 	}
-	if err := p.parse(string(p.line[:end-4]), h); err != nil {
+	if err := p.parseHeader(string(p.line[:end-4]), h); err != nil {
 		return nil, err
 	}
 	p.line = p.line[:0]
 	return b[end-before:], nil
 }
 
-func (p *Parser) parse(head string, h Handler) error {
+func (p *Parser) parseHeader(head string, h Handler) error {
 	line, fields, _ := strings.Cut(head, "\r\n")
 	if strings.ContainsAny(line, "\r\n\x00") {
 		return Malformed("start line holds a control character")
@@ -257,10 +255,10 @@
 	if err := h.Start(line); err != nil {
 		return err
 	}
-	p.length, p.chunked, p.toClose = -1, false, false
+	p.length, p.chunked, p.untilClose = -1, false, false
 	for count := 0; fields != ""; count++ {
-		if count >= mostFields {
-			return Malformed("over %d header fields", mostFields)
+		if count >= maxFields {
+			return Malformed("over %d header fields", maxFields)
 		}
 		line, fields, _ = strings.Cut(fields, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
@@ -297,8 +295,8 @@
 	}
 	switch {
 	case framing == Interim:
-		if p.interim++; p.interim > mostInterim {
-			return Malformed("over %d interim responses", mostInterim)
+		if p.interimCount++; p.interimCount > maxInterim {
+			return Malformed("over %d interim responses", maxInterim)
 		}
 	case framing == NoContent:
 		p.state = finished
@@ -309,16 +307,16 @@
 	case p.length > int64(p.limits.Body):
 		return fmt.Errorf("%w of %d bytes", ErrTooLong, p.limits.Body)
 	case p.length > 0:
-		p.state, p.left = inBody, p.length
+		p.state, p.remaining = inBody, p.length
 	case p.length < 0 && framing == ToClose:
-		p.state, p.toClose = inBody, true
+		p.state, p.untilClose = inBody, true
 	default:
 		p.state = finished
 	}
 	return nil
 }
 
-// Token tells whether a name is one by RFC 9110, 5.6.2.
+// Token reports whether s is a token as defined in RFC 9110, 5.6.2.
 func Token(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -329,7 +327,7 @@
 	return s != ""
 }
 
-// Closes tells whether a Connection field asks for the close.
+// Closes reports whether a Connection field contains the close option.
 func Closes(value string) bool {
 	for part := range strings.SplitSeq(value, ",") {
 		if strings.EqualFold(strings.Trim(part, " \t"), "close") {
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -1,50 +1,50 @@
-// Package limit holds the decisions on who may use how much of a bounded room.
-// It does no I/O and reads no clock.
+// Package limit divides a queue of limited capacity fairly among its sources. It does no
+// I/O and reads no clock.
 package limit
 
-// Share divides a bounded room among sources by dynamic thresholds (Choudhury
-// and Hahne, IEEE/ACM Transactions on Networking 6(2), 1998, with factor 1): a
-// source may hold as much as is still free. One that floods gets half of the
-// room, two get a third each, and some room is always left for others; none of
-// it lies idle for want of a quota. It is not safe for concurrent use.
+// Share divides a capacity among sources by dynamic thresholds (Choudhury and Hahne,
+// IEEE/ACM Transactions on Networking 6(2), 1998, with factor 1): a source may hold as
+// many slots as are free. A single source that floods gets half of the capacity, two get a
+// third each, and some slots always remain for others. Unlike with fixed quotas, no
+// capacity is reserved for sources that do not use it. It is not safe for concurrent use.
 type Share struct {
-	most  int
-	total int
-	by    map[string]int
+	capacity int            // capacity
+	used     int            // slots in use
+	bySource map[string]int // slots in use, by source
 }
 
-// NewShare makes a room for most entries.
-func NewShare(most int) *Share { return &Share{most: most, by: map[string]int{}} }
+// NewShare returns a Share with a capacity in slots.
+func NewShare(capacity int) *Share { return &Share{capacity: capacity, bySource: map[string]int{}} }
 
-// Enter takes a place for a source; false if it holds its share, or all is
-// taken. An empty room takes one entry of anybody.
-func (s *Share) Enter(source string) bool {
-	if free := s.most - s.total; free <= 0 || s.by[source] >= max(1, free) {
+// Acquire acquires a slot for a source. It returns false if the source has reached its
+// threshold or no slot is free. A source without slots gets one if any is free.
+func (s *Share) Acquire(source string) bool {
+	if free := s.capacity - s.used; free <= 0 || s.bySource[source] >= max(1, free) {
 		return false
 	}
-	s.total++
-	s.by[source]++
+	s.used++
+	s.bySource[source]++
 	return true
 }
 
-// Leave gives a place back.
-func (s *Share) Leave(source string) {
-	switch n := s.by[source]; {
+// Release releases a slot of a source.
+func (s *Share) Release(source string) {
+	switch n := s.bySource[source]; {
 	case n == 0:
 		return
 	case n == 1:
-		delete(s.by, source)
+		delete(s.bySource, source)
 	default:
-		s.by[source] = n - 1
+		s.bySource[source] = n - 1
 	}
-	s.total--
+	s.used--
 }
 
-// Clear gives all places back.
-func (s *Share) Clear() {
-	s.total = 0
-	clear(s.by)
+// ReleaseAll releases all slots.
+func (s *Share) ReleaseAll() {
+	s.used = 0
+	clear(s.bySource)
 }
 
-// Len is the number of places taken.
-func (s *Share) Len() int { return s.total }
+// Len returns the number of slots in use.
+func (s *Share) Len() int { return s.used }
