--- a/cmd/basaltcross/soak.go
+++ b/cmd/basaltcross/soak.go
@@ -68,7 +68,7 @@
 	f.StringVar(&faults, "faults", "", "play exactly these faults, as a failing seed prints them; none for none")
 	f.StringVar(&kinds, "kinds", "", "draw only these kinds of faults, separated by commas")
 	f.StringVar(&plant, "plant", "", "put a violation there that the audit must find: "+fmt.Sprint(append(soak.Plants, soak.PlantTrust)))
-	f.StringArrayVar(&opt.Known, "known", nil, "an invariant that is known to be broken: printed and passed over")
+	f.StringArrayVar(&opt.KnownBroken, "known", nil, "an invariant that is known to be broken: printed and passed over")
 	f.IntVar(&shrinks, "shrink", 0, "plays that may be spent on shrinking a seed that fails")
 	f.StringVar(&opt.Trace, "trace", "", "write the nodes' logs, with each step of each request, into this folder")
 	f.StringVar(&out, "json", "", "write the report to this file as JSON")
--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -15,7 +15,7 @@
 	socketGrace   = 50 * time.Millisecond   // every time limit is extended by this on sockets
 	maxRelayPause = 150 * time.Millisecond  // a relay may be delayed this long between reading its clock and a write
 	maxWriteRetry = 16 * time.Millisecond   // a relay retries a write that failed for lack of buffers within this time
-	transitGrace  = 2 * LongestHold         // bytes may be this late: delayed in both directions, or in two pieces
+	transitGrace  = 2 * MaxDelay            // bytes may be this late: delayed in both directions, or in two pieces
 )
 
 // doubtPeriod is how long after an answer a relay may find that it belongs to another call.
@@ -115,20 +115,20 @@
 // processEnding reports whether a process of a node was ending at some time between two times. It counts as
 // ending from SIGKILL until its end is observed.
 func (a *audit) processEnding(node int, from, to time.Time) bool {
-	return slices.ContainsFunc(a.record.processes, func(l *Life) bool {
+	return slices.ContainsFunc(a.record.processes, func(l *Process) bool {
 		if l.Node != node || l.Ended.IsZero() {
 			return false
 		}
 		begin := l.Ended
-		if !l.Killed.IsZero() {
-			begin = l.Killed
+		if !l.KillSent.IsZero() {
+			begin = l.KillSent
 		}
 		return l.Ended.After(from.Add(-a.lag)) && begin.Before(to.Add(a.lag+socketGrace))
 	})
 }
 
 // checkReplies checks that a response is complete, or that there is none and the request was not read.
-func (a *audit) checkReplies(c *Course) {
+func (a *audit) checkReplies(c *History) {
 	died := a.processEnding(c.Node, c.Sent, c.Reply.At)
 	a.finding("a response is complete").check(c.Reply.Complete || c.Reply.Text == "" || died, c.String)
 	if c.Reply.End == "eof" || c.Reply.End == "reset" {
@@ -143,13 +143,13 @@
 // checkAnswered checks that a request that the relay read whole is answered while its client waits. The relay is
 // not to blame for a request that it could read only after that, nor for a response written in time to a socket
 // that accepted nothing from then on.
-func (a *audit) checkAnswered(c *Course) {
+func (a *audit) checkAnswered(c *History) {
 	until := c.Sent.Add(clientTimeout)
 	if c.Read.IsZero() || c.Reply.At.IsZero() || c.Read.After(until.Add(-socketGrace)) {
 		return
 	}
-	if !c.Handed.IsZero() && c.Handed.Before(until) &&
-		covers(a.record.writeFaults, c.Node, c.Handed, until.Add(-maxWriteRetry)) {
+	if !c.Responded.IsZero() && c.Responded.Before(until) &&
+		covers(a.record.writeFaults, c.Node, c.Responded, until.Add(-maxWriteRetry)) {
 		return
 	}
 	died := a.processEnding(c.Node, c.Sent, until)
@@ -159,7 +159,7 @@
 
 // checkNewConnection checks that a connection opened soon after its relay's SIGTERM, while clients still connect
 // to it, is accepted and answered, however long it was in the listener's queue.
-func (a *audit) checkNewConnection(c *Course) {
+func (a *audit) checkNewConnection(c *History) {
 	if !c.Reply.Fresh || c.Reply.End == "left" || !a.record.sentWhileLeaving(c) ||
 		a.processEnding(c.Node, c.Sent, c.Sent.Add(clientTimeout)) {
 		return
@@ -172,7 +172,7 @@
 }
 
 // checkRefusal checks that a message answered with 429 or 503 is not forwarded after that.
-func (a *audit) checkRefusal(c *Course) {
+func (a *audit) checkRefusal(c *History) {
 	if !c.Reply.Complete || c.Reply.Status != 429 && c.Reply.Status != 503 {
 		return
 	}
@@ -182,13 +182,13 @@
 }
 
 // checkTaken checks that an accepted message is delivered, or ends by a notice in time.
-func (a *audit) checkTaken(c *Course) {
+func (a *audit) checkTaken(c *History) {
 	if !c.taken() {
 		return
 	}
-	by := c.Due.Add(noticeGrace + transitGrace + a.lag)
+	by := c.Deadline.Add(noticeGrace + transitGrace + a.lag)
 	for _, l := range a.record.processes { // a restart extends the time limit of notices
-		if l.Node != c.Node || l.Told.IsZero() || l.Told.After(by) {
+		if l.Node != c.Node || l.StopSent.IsZero() || l.StopSent.After(by) {
 			continue
 		}
 		until := a.now
@@ -212,23 +212,23 @@
 
 // checkRepeats checks that an at-most-once message is not repeated, that a deduplicated one is not repeated after
 // its window, and that calls of one message do not overlap.
-func (a *audit) checkRepeats(c *Course) {
+func (a *audit) checkRepeats(c *History) {
 	var first time.Time // first call that may have taken effect
 	for i, x := range c.Calls {
 		if i > 0 {
 			before := c.Calls[i-1]
-			over := !before.Over.IsZero() && before.Over.Before(x.At.Add(transitGrace+socketGrace+a.lag))
+			over := !before.Finished.IsZero() && before.Finished.Before(x.At.Add(transitGrace+socketGrace+a.lag))
 			a.finding("one call of a message is out at a time").check(over, c.String)
 		}
 		if !first.IsZero() {
-			switch c.Lane.Effect {
+			switch c.Class.Effect {
 			case AtMostOnce:
 				a.finding("a message that may not be repeated is not sent again").check(false, c.String)
 			case Deduplicated:
-				end := first.Add(c.Lane.Window + maxRelayPause + transitGrace + socketGrace + a.lag)
+				end := first.Add(c.Class.Window + maxRelayPause + transitGrace + socketGrace + a.lag)
 				a.finding("a repeat leaves within its window").check(!x.At.After(end), c.String)
 			}
-		} else if c.Lane.Effect == AtMostOnce {
+		} else if c.Class.Effect == AtMostOnce {
 			a.finding("a message that may not be repeated is not sent again").Checked++
 		}
 		refused := x.Status == 429 || x.Status == 503 || x.Status == 504 || x.Status == 410
@@ -240,15 +240,15 @@
 
 // checkEnded checks that no call begins for a message that has ended or is past its deadline, and that a message
 // that may have taken effect, or was delivered before a restart, is not reported as refused.
-func (a *audit) checkEnded(c *Course) {
+func (a *audit) checkEnded(c *History) {
 	late := maxRelayPause + transitGrace + socketGrace + a.lag
 	for _, x := range c.Calls {
-		a.finding("no call after a message's time").check(!x.At.After(c.Due.Add(late)), c.String)
+		a.finding("no call after a message's time").check(!x.At.After(c.Deadline.Add(late)), c.String)
 		if len(c.Notices) > 0 {
 			a.finding("no call after the notice").check(!x.At.After(c.Notices[0].At.Add(late)), c.String)
 		}
 	}
-	if c.Lane.Effect == AtMostOnce {
+	if c.Class.Effect == AtMostOnce {
 		a.finding("what may have run is not told as refused").
 			check(!c.mayHaveRun() || len(c.Notices) == 0 || c.Notices[0].Result != "bounced", c.String)
 	}
@@ -266,17 +266,17 @@
 // belongs to. It may then report a message as dead, and one that may be repeated without harm as refused. The
 // same holds for reporting as dead a message whose host closed the connection soon after its answer: the answer
 // may have been a copy, and the host still at work on the call. A notice for a message that is over does no harm.
-func (a *audit) checkServed(c *Course) {
+func (a *audit) checkServed(c *History) {
 	for _, x := range c.Calls {
-		if x.Status != 200 || x.Told.IsZero() || x.Told.Add(giveUpMargin+clientTimeout).After(c.Due) {
+		if x.Status != 200 || x.AnswerWritten.IsZero() || x.AnswerWritten.Add(giveUpMargin+clientTimeout).After(c.Deadline) {
 			continue
 		}
-		heard := x.Told.Add(transitGrace + socketGrace + a.lag)
-		if heard.After(x.At.Add(x.Waited)) || a.processEnding(c.Node, x.At, heard.Add(giveUpMargin)) {
+		heard := x.AnswerWritten.Add(transitGrace + socketGrace + a.lag)
+		if heard.After(x.At.Add(x.Timeout)) || a.processEnding(c.Node, x.At, heard.Add(giveUpMargin)) {
 			continue
 		}
-		unrecorded := overlaps(a.record.diskFaults, c.Node, x.Told, heard)
-		if unrecorded && len(c.Notices) > 0 && a.endedBetween(c.Node, x.Told, c.Notices[0].At) {
+		unrecorded := overlaps(a.record.diskFaults, c.Node, x.AnswerWritten, heard)
+		if unrecorded && len(c.Notices) > 0 && a.endedBetween(c.Node, x.AnswerWritten, c.Notices[0].At) {
 			continue
 		}
 		if len(c.Notices) > 0 && a.doubtful(c, &x, c.Notices[0]) {
@@ -287,16 +287,16 @@
 }
 
 // doubtful reports whether the relay could not know that an answer belonged to its call.
-func (a *audit) doubtful(c *Course, x *Call, told Notice) bool {
+func (a *audit) doubtful(c *History, x *Call, told Notice) bool {
 	// After a restart the next process may send the notice later.
-	late := told.At.After(x.Told.Add(doubtPeriod)) && !a.endedBetween(c.Node, x.Told, told.At)
-	if x.conn == nil || told.Result != "dead" && c.Lane.Effect == AtMostOnce || late {
+	late := told.At.After(x.AnswerWritten.Add(doubtPeriod)) && !a.endedBetween(c.Node, x.AnswerWritten, told.At)
+	if x.conn == nil || told.Result != "dead" && c.Class.Effect == AtMostOnce || late {
 		return false
 	}
 	// Reads may fail for a while, so a copy written earlier may be read now.
-	from, to := x.At.Add(-LongestHold-giveUpMargin), told.At.Add(LongestHold)
+	from, to := x.At.Add(-MaxDelay-giveUpMargin), told.At.Add(MaxDelay)
 	if x.conn.repeatedWithin(x.At.Add(-doubtPeriod), to) ||
-		told.Result == "dead" && x.conn.brokeBetween(x.Begun, told.At) {
+		told.Result == "dead" && x.conn.brokeBetween(x.AnswerBegun, told.At) {
 		return true
 	}
 	for _, network := range a.networks {
@@ -309,21 +309,21 @@
 
 // endedBetween reports whether a process of a node ended between two times.
 func (a *audit) endedBetween(node int, from, to time.Time) bool {
-	return slices.ContainsFunc(a.record.processes, func(l *Life) bool {
+	return slices.ContainsFunc(a.record.processes, func(l *Process) bool {
 		return l.Node == node && l.Ended.After(from) && l.Ended.Before(to)
 	})
 }
 
 // refusedAfterDelivery reports whether a message's only call was answered 200 in time and a later process
 // reported the message as refused. Within one process a call may be given up while its answer is in transit.
-func (a *audit) refusedAfterDelivery(c *Course) bool {
-	if len(c.Calls) != 1 || c.Calls[0].Status != 200 || c.Calls[0].Told.IsZero() {
+func (a *audit) refusedAfterDelivery(c *History) bool {
+	if len(c.Calls) != 1 || c.Calls[0].Status != 200 || c.Calls[0].AnswerWritten.IsZero() {
 		return false
 	}
 	call := c.Calls[0]
-	return call.Told.Add(giveUpMargin).Before(c.Due) && slices.ContainsFunc(a.record.processes, func(l *Life) bool {
-		return l.Node == c.Node && l.Ended.After(call.Told) && l.Ended.Before(c.Notices[0].At) &&
-			l.Killed.Before(call.Told.Add(giveUpMargin))
+	return call.AnswerWritten.Add(giveUpMargin).Before(c.Deadline) && slices.ContainsFunc(a.record.processes, func(l *Process) bool {
+		return l.Node == c.Node && l.Ended.After(call.AnswerWritten) && l.Ended.Before(c.Notices[0].At) &&
+			l.KillSent.Before(call.AnswerWritten.Add(giveUpMargin))
 	})
 }
 
@@ -346,12 +346,12 @@
 	f := a.finding("a told wait is kept")
 	type told struct{ from, until time.Time }
 	all := map[string][]told{} // keyed by node and host
-	where := func(c *Course, x Call) string { return fmt.Sprint(c.Node, " ", x.Host) }
+	where := func(c *History, x Call) string { return fmt.Sprint(c.Node, " ", x.Host) }
 	for _, c := range a.record.histories {
 		for _, x := range c.Calls {
-			if x.Wait > 0 && !x.Told.IsZero() {
+			if x.RetryAfter > 0 && !x.AnswerWritten.IsZero() {
 				all[where(c, x)] = append(all[where(c, x)],
-					told{x.Told.Add(waitGrace + LongestHold + a.lag), x.Begun.Add(x.Wait - a.lag)})
+					told{x.AnswerWritten.Add(waitGrace + MaxDelay + a.lag), x.AnswerBegun.Add(x.RetryAfter - a.lag)})
 			}
 		}
 	}
@@ -370,7 +370,7 @@
 func (a *audit) checkDrained() {
 	f := a.finding("no work for a host that drains")
 	slices.SortStableFunc(a.record.hostStates, func(x, y hostState) int { return x.at.Compare(y.at) })
-	grace := DrainGrace + socketGrace + maxRelayPause + LongestHold + a.lag
+	grace := DrainGrace + socketGrace + maxRelayPause + MaxDelay + a.lag
 	for _, c := range a.record.histories {
 		for _, x := range c.Calls {
 			wants, since := true, time.Time{}
@@ -401,11 +401,11 @@
 		}
 		for _, c := range a.record.histories {
 			if c.Node != l.Node || !c.taken() || c.Reply.At.After(l.Ended) || c.Sent.Before(l.Started) ||
-				c.Due.Sub(next.Ready) < c.Due.Sub(c.Sent)/2 || c.triedBy(l.Ended) {
+				c.Deadline.Sub(next.Ready) < c.Deadline.Sub(c.Sent)/2 || c.triedBy(l.Ended) {
 				continue
 			}
 			found++
-			if len(c.Calls) == 0 && len(c.Notices) > 0 && c.Notices[0].At.Before(c.Due.Add(-socketGrace-a.lag)) {
+			if len(c.Calls) == 0 && len(c.Notices) > 0 && c.Notices[0].At.Before(c.Deadline.Add(-socketGrace-a.lag)) {
 				given++
 			}
 		}
@@ -416,7 +416,7 @@
 }
 
 // nextProcess returns the first later process of the same node that became ready, nil for none.
-func (a *audit) nextProcess(l *Life) *Life {
+func (a *audit) nextProcess(l *Process) *Process {
 	for _, n := range a.record.processes {
 		if n.Node == l.Node && n.Started.After(l.Started) && !n.Ready.IsZero() {
 			return n
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -23,16 +23,16 @@
 
 // Client hands messages in to one node, one after the other, and keeps its connection open between them.
 type Client struct {
-	Platform *Platform
-	Node     int
-	Addr     string
-	Name     string // unique; also the key of messages of ordered classes
-	Lanes    []Lane
-	Left     time.Duration // time to live of each message
-	Pause    time.Duration // upper bound of the pause between two requests
-	Seed     uint64
-	Rude     func() bool // reports whether to close the connection within the next request; may be nil
-	Ends     func() bool // reports whether to half-close the connection after the next request; may be nil
+	Platform      *Platform
+	Node          int
+	Addr          string
+	Name          string // unique; also the key of messages of ordered classes
+	Classes       []Class
+	TimeToLive    time.Duration // time to live of each message
+	MaxPause      time.Duration // upper bound of the pause between two requests
+	Seed          uint64
+	AbandonNext   func() bool // reports whether to close the connection within the next request; may be nil
+	HalfCloseNext func() bool // reports whether to half-close the connection after the next request; may be nil
 
 	conn       net.Conn
 	reader     *bufio.Reader
@@ -46,7 +46,7 @@
 	c.r = rand.New(rand.NewPCG(c.Seed, 0xc))
 	for ctx.Err() == nil {
 		c.handIn(ctx)
-		pause.For(ctx, time.Duration(c.r.Int64N(int64(c.Pause)+1)))
+		pause.For(ctx, time.Duration(c.r.Int64N(int64(c.MaxPause)+1)))
 	}
 	c.drop()
 }
@@ -59,10 +59,10 @@
 }
 
 // newHistory returns the history of the next request, with its ID, class and key.
-func (c *Client) newHistory() *Course {
-	lane := c.Lanes[c.r.IntN(len(c.Lanes))]
+func (c *Client) newHistory() *History {
+	lane := c.Classes[c.r.IntN(len(c.Classes))]
 	c.lastNumber++
-	x := &Course{ID: fmt.Sprintf("%s-%d", c.Name, c.lastNumber), Node: c.Node, Lane: lane, Number: c.lastNumber}
+	x := &History{ID: fmt.Sprintf("%s-%d", c.Name, c.lastNumber), Node: c.Node, Class: lane, Number: c.lastNumber}
 	if lane.Ordered {
 		x.Key = c.Name
 	}
@@ -70,20 +70,20 @@
 }
 
 // encodeRequest returns a request as it is sent.
-func (c *Client) encodeRequest(x *Course) string {
+func (c *Client) encodeRequest(x *History) string {
 	var b strings.Builder
 	dest := len(c.Name) // any number that is the same for all messages of a key
 	for _, ch := range c.Name {
 		dest += int(ch)
 	}
-	if !x.Lane.Ordered {
+	if !x.Class.Ordered {
 		dest += x.Number
 	}
 	body := strings.Repeat("x", c.r.IntN(900))
 	fmt.Fprintf(&b,
 		"POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: %d\r\nX-Addressing: dest=%d\r\n",
-		x.ID, x.Lane.Name, c.Left.Milliseconds(), dest%len(c.Platform.Hosts))
-	if x.Lane.Effect == Deduplicated {
+		x.ID, x.Class.Name, c.TimeToLive.Milliseconds(), dest%len(c.Platform.Hosts))
+	if x.Class.Effect == Deduplicated {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", x.ID)
 	}
 	if x.Key != "" {
@@ -125,30 +125,30 @@
 }
 
 // exchange sends a request and reads its response. fresh is whether it is the first on its connection.
-func (c *Client) exchange(x *Course, fresh bool) Reply {
+func (c *Client) exchange(x *History, fresh bool) Reply {
 	text := c.encodeRequest(x)
 	x.Sent = time.Now()
-	x.Due = x.Sent.Add(c.Left)
+	x.Deadline = x.Sent.Add(c.TimeToLive)
 	c.Platform.Record.Sent(x)
-	rude := c.Rude != nil && c.Rude()
-	if rude {
+	abandon := c.AbandonNext != nil && c.AbandonNext()
+	if abandon {
 		text = text[:len(text)/2]
 	}
 	_, err := io.WriteString(c.conn, text)
-	if rude {
+	if abandon {
 		c.drop()
 		return Reply{At: time.Now(), End: "left", Fresh: fresh}
 	}
 	if err != nil {
 		return Reply{At: time.Now(), End: connectionEnd(err), Fresh: fresh}
 	}
-	ends := c.Ends != nil && c.Ends()
-	if tcp, ok := c.conn.(*net.TCPConn); ok && ends {
+	halfClose := c.HalfCloseNext != nil && c.HalfCloseNext()
+	if tcp, ok := c.conn.(*net.TCPConn); ok && halfClose {
 		_ = tcp.CloseWrite()
 	}
 	_ = c.conn.SetReadDeadline(time.Now().Add(clientTimeout))
 	reply := c.read()
-	if ends {
+	if halfClose {
 		c.drop()
 	}
 	reply.Fresh = fresh
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// LongestHold bounds the delay that a network adds to bytes: relays may rely on bytes sent on an open connection
+// MaxDelay bounds the delay that a network adds to bytes: relays may rely on bytes sent on an open connection
 // being read at full speed, and are allowed 50 ms on sockets in excess of every time limit.
-const LongestHold = 40 * time.Millisecond
+const MaxDelay = 40 * time.Millisecond
 
 // Network injects faults into the connections of one server. It works on bytes, not messages.
 type Network struct {
 	mu        sync.Mutex
-	delays    bool // bytes arrive up to LongestHold later
+	delays    bool // bytes arrive up to MaxDelay later
 	resets    bool // connections are reset: during a request, an answer, or while idle
 	repeating bool // some of the server's writes arrive a second time
 	r         *rand.Rand
@@ -33,14 +33,14 @@
 	node int // node number of the relay at the other end
 }
 
-// Hold delays bytes.
-func (n *Network) Hold(on bool) { n.setFlag(&n.delays, on) }
+// SetDelay delays bytes.
+func (n *Network) SetDelay(on bool) { n.setFlag(&n.delays, on) }
 
-// Reset resets connections.
-func (n *Network) Reset(on bool) { n.setFlag(&n.resets, on) }
+// SetReset resets connections.
+func (n *Network) SetReset(on bool) { n.setFlag(&n.resets, on) }
 
-// Repeat makes some of the server's writes arrive a second time.
-func (n *Network) Repeat(on bool) { n.setFlag(&n.repeating, on) }
+// SetRepeat makes some of the server's writes arrive a second time.
+func (n *Network) SetRepeat(on bool) { n.setFlag(&n.repeating, on) }
 
 func (n *Network) setFlag(what *bool, on bool) {
 	n.mu.Lock()
@@ -53,22 +53,22 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.delays {
-		hold = time.Duration(n.r.Int64N(int64(LongestHold)))
+		hold = time.Duration(n.r.Int64N(int64(MaxDelay)))
 	}
 	return hold, n.resets && n.r.IntN(3) == 0
 }
 
 const (
-	// repeatShare is the share of a server's writes that arrive twice while Repeat is on.
+	// repeatShare is the share of a server's writes that arrive twice while SetRepeat is on.
 	repeatShare = 0.08
-	// LongestRepeat bounds the time between a write and its second copy.
-	LongestRepeat = 2 * time.Second
+	// MaxRepeatDelay bounds the time between a write and its second copy.
+	MaxRepeatDelay = 2 * time.Second
 	// repeatGrid is the grid of times that some copies are aligned to, so that several arrive at once.
 	repeatGrid = 250 * time.Millisecond
 )
 
 // repeatDelays are the upper bounds that the delay of a copy is drawn from, with equal probability.
-var repeatDelays = [...]time.Duration{15 * time.Millisecond, 300 * time.Millisecond, LongestRepeat}
+var repeatDelays = [...]time.Duration{15 * time.Millisecond, 300 * time.Millisecond, MaxRepeatDelay}
 
 // drawRepeat draws whether a second copy of a write follows, and after which delay.
 func (n *Network) drawRepeat(now time.Time) (after time.Duration, repeats bool) {
@@ -81,7 +81,7 @@
 	if n.r.IntN(4) == 0 {
 		after = now.Add(after).Truncate(repeatGrid).Add(repeatGrid).Sub(now)
 	}
-	return min(after, LongestRepeat), true
+	return min(after, MaxRepeatDelay), true
 }
 
 // recordRepeat records that a second copy was written.
@@ -145,10 +145,10 @@
 func (f *faultyConn) markBroken() { f.broken.CompareAndSwap(0, time.Now().UnixNano()) }
 
 // brokeBetween reports whether the server's side closed the connection after a time and before a notice. The
-// close may reach the relay up to LongestHold late.
+// close may reach the relay up to MaxDelay late.
 func (f *faultyConn) brokeBetween(behind, notice time.Time) bool {
 	at := f.broken.Load()
-	return at != 0 && at > behind.UnixNano() && at < notice.Add(LongestHold).UnixNano()
+	return at != 0 && at > behind.UnixNano() && at < notice.Add(MaxDelay).UnixNano()
 }
 
 func (f *faultyConn) Read(b []byte) (int, error) {
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -123,7 +123,7 @@
 func (p *Platform) Agent() (*Agent, error) {
 	a := &Agent{platform: p, node: len(p.agents),
 		Network: &Network{r: rand.New(rand.NewPCG(p.seed, uint64(2000+len(p.agents))))}}
-	if err := a.Move(); err != nil {
+	if err := a.ChangeAddress(); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -135,9 +135,9 @@
 // oldAddressGrace is how long connections to an agent's old address stay open after a move.
 const oldAddressGrace = 1500 * time.Millisecond
 
-// Move moves the agent to a new address. The old one accepts no new connections and closes those it has after
+// ChangeAddress moves the agent to a new address. The old one accepts no new connections and closes those it has after
 // oldAddressGrace.
-func (a *Agent) Move() error {
+func (a *Agent) ChangeAddress() error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", a.watch)
 	mux.HandleFunc("/v1/notices", a.notices)
@@ -163,11 +163,11 @@
 	return a.current.addr()
 }
 
-// Silent makes watches bring nothing.
-func (a *Agent) Silent(on bool) { a.setFlag(&a.silent, on) }
+// SetSilent makes watches bring nothing.
+func (a *Agent) SetSilent(on bool) { a.setFlag(&a.silent, on) }
 
-// Mute leaves notices unanswered. They are recorded all the same.
-func (a *Agent) Mute(on bool) { a.setFlag(&a.mute, on) }
+// SetMute leaves notices unanswered. They are recorded all the same.
+func (a *Agent) SetMute(on bool) { a.setFlag(&a.mute, on) }
 
 func (a *Agent) setFlag(what *bool, on bool) {
 	a.mu.Lock()
@@ -254,18 +254,18 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Mood is the behaviour of a host.
-type Mood int
+// Behaviour is the behaviour of a host.
+type Behaviour int
 
 // The behaviours of a host.
 const (
-	Well    Mood = iota // answers; fails 3 and refuses 5 of 100 messages at random
-	Failing             // answers 500 to 80 of 100 messages
-	Full                // answers 429 with a wait to all messages
-	Hanging             // reads calls and does not answer
-	Cutting             // closes half of the connections during a call, some within the answer
-	Forget              // closes every connection after an answer that does not announce it
-	Blank               // answers some calls with a status line without a status
+	Healthy            Behaviour = iota // answers; fails 3 and refuses 5 of 100 messages at random
+	Failing                             // answers 500 to 80 of 100 messages
+	Overloaded                          // answers 429 with a wait to all messages
+	Hanging                             // reads calls and does not answer
+	Disconnecting                       // closes half of the connections during a call, some within the answer
+	ClosingAfterAnswer                  // closes every connection after an answer that does not announce it
+	NoStatus                            // answers some calls with a status line without a status
 )
 
 // Host is one host of a partner. A message that it refuses never takes effect.
@@ -274,15 +274,15 @@
 	Network  *Network
 	platform *Platform
 
-	mu   sync.Mutex
-	mood Mood
-	r    *rand.Rand
+	mu        sync.Mutex
+	behaviour Behaviour
+	r         *rand.Rand
 }
 
-// Set sets the host's behaviour.
-func (h *Host) Set(m Mood) {
+// SetBehaviour sets the host's behaviour.
+func (h *Host) SetBehaviour(m Behaviour) {
 	h.mu.Lock()
-	h.mood = m
+	h.behaviour = m
 	h.mu.Unlock()
 }
 
@@ -305,33 +305,33 @@
 	defer h.mu.Unlock()
 	f := outcome{status: 200, ran: true, pause: time.Duration(h.r.Int64N(int64(maxHostDelay)))}
 	x := h.r.Float64()
-	switch h.mood {
+	switch h.behaviour {
 	case Failing:
 		if x < 0.8 {
 			f.status, f.ran = 500, x < 0.3
 		}
-	case Full:
+	case Overloaded:
 		f.status, f.ran, f.wait = 429, false, 300*time.Millisecond
 	case Hanging:
 		f.status, f.ran = 0, x < 0.5
-	case Cutting:
+	case Disconnecting:
 		if x < 0.5 {
 			f.cut, f.ran = true, x < 0.3
 			if f.status = 0; x < 0.15 {
 				f.status = 200
 			}
 		}
-	case Forget:
+	case ClosingAfterAnswer:
 		f.forget = true
-	case Blank:
+	case NoStatus:
 		f.blank, f.ran = x < 0.1, x < 0.05 || x >= 0.1
 		if f.blank {
 			f.status = 0
 		}
 	}
-	if h.mood == Well && x < 0.05 {
+	if h.behaviour == Healthy && x < 0.05 {
 		f.status, f.ran = 503, false
-	} else if h.mood == Well && x < 0.08 {
+	} else if h.behaviour == Healthy && x < 0.08 {
 		f.status, f.ran = 500, x < 0.065
 	}
 	return f
@@ -363,12 +363,12 @@
 	conn, _ := r.Context().Value(connKey{}).(*faultyConn)
 	for _, x := range items {
 		x.callIndex = rec.Called(x.ID, Call{At: time.Now(), Host: h.UID,
-			Waited: time.Duration(waited) * time.Millisecond, conn: conn})
+			Timeout: time.Duration(waited) * time.Millisecond, conn: conn})
 		x.outcome = h.drawOutcome()
 	}
 	defer func() {
 		for _, x := range items {
-			rec.Over(x.ID, x.callIndex)
+			rec.CallEnded(x.ID, x.callIndex)
 		}
 	}()
 	first := items[0].outcome
@@ -406,10 +406,10 @@
 		w.Header().Set("X-RateLimit-Wait-Ms", strconv.FormatInt(first.wait.Milliseconds(), 10))
 	}
 	w.Header().Set("Content-Length", "0")
-	rec.Answers(items[0].ID, items[0].callIndex, first.status, first.wait)
+	rec.AnswerStarted(items[0].ID, items[0].callIndex, first.status, first.wait)
 	w.WriteHeader(first.status)
 	if http.NewResponseController(w).Flush() == nil {
-		rec.Answered(items[0].ID, items[0].callIndex)
+		rec.AnswerCompleted(items[0].ID, items[0].callIndex)
 	}
 }
 
@@ -433,7 +433,7 @@
 		}
 		state := map[int]string{200: "delivered", 500: "failed", 429: "refused", 503: "refused"}[x.outcome.status]
 		ends = append(ends, end{x.ID, state})
-		h.platform.Record.Answers(x.ID, x.callIndex, x.outcome.status, x.outcome.wait)
+		h.platform.Record.AnswerStarted(x.ID, x.callIndex, x.outcome.status, x.outcome.wait)
 	}
 	text, _ := json.Marshal(ends)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -441,7 +441,7 @@
 		return
 	}
 	for _, x := range items {
-		h.platform.Record.Answered(x.ID, x.callIndex)
+		h.platform.Record.AnswerCompleted(x.ID, x.callIndex)
 	}
 }
 
--- a/internal/emulator/record.go
+++ b/internal/emulator/record.go
@@ -24,8 +24,8 @@
 	AtMostOnce   Effect = "at_most_once"
 )
 
-// Lane is a class of messages.
-type Lane struct {
+// Class is a class of messages.
+type Class struct {
 	Name    string
 	Effect  Effect
 	Ordered bool
@@ -46,15 +46,15 @@
 
 // Call is one message's part in a call that a host read to its last byte.
 type Call struct {
-	At     time.Time
-	Host   string
-	Status int           // status that the host answered, 0 for none
-	Ran    bool          // whether the message took effect
-	Begun  time.Time     // start of the answer, zero for none
-	Told   time.Time     // end of the write of the answer, zero for none
-	Over   time.Time     // end of the call: by its answer or the end of its connection
-	Wait   time.Duration // that the host asked the relay to keep, 0 for none
-	Waited time.Duration // time that the relay said it waits for the answer, 0 if it said none
+	At            time.Time
+	Host          string
+	Status        int           // status that the host answered, 0 for none
+	Ran           bool          // whether the message took effect
+	AnswerBegun   time.Time     // start of the answer, zero for none
+	AnswerWritten time.Time     // end of the write of the answer, zero for none
+	Finished      time.Time     // end of the call: by its answer or the end of its connection
+	RetryAfter    time.Duration // that the host asked the relay to keep, 0 for none
+	Timeout       time.Duration // time that the relay said it waits for the answer, 0 if it said none
 
 	conn *faultyConn // connection that carried the call
 }
@@ -65,30 +65,30 @@
 	Result string
 }
 
-// Course is the history of one request over all processes.
-type Course struct {
-	ID      string
-	Node    int
-	Lane    Lane
-	Key     string
-	Number  int // sequence number among the messages of its key
-	Sent    time.Time
-	Read    time.Time // time the relay logged that it had read the whole request, zero for never
-	Handed  time.Time // time the relay logged that it had written its response to the socket, zero for never
-	Due     time.Time // deadline of the message
-	Reply   Reply
-	Calls   []Call
-	Notices []Notice
+// History is the history of one request over all processes.
+type History struct {
+	ID        string
+	Node      int
+	Class     Class
+	Key       string
+	Number    int // sequence number among the messages of its key
+	Sent      time.Time
+	Read      time.Time // time the relay logged that it had read the whole request, zero for never
+	Responded time.Time // time the relay logged that it had written its response to the socket, zero for never
+	Deadline  time.Time // deadline of the message
+	Reply     Reply
+	Calls     []Call
+	Notices   []Notice
 
 	began time.Time // start of the load
 }
 
 // String returns the history, with times since the request was sent.
-func (c *Course) String() string {
+func (c *History) String() string {
 	since := func(t time.Time) string { return t.Sub(c.Sent).Round(time.Millisecond).String() }
 	s := fmt.Sprintf(
 		"%s node %d class %s key %q number %d, sent %s after the load began, due %s; reply %d complete %v end %q at %s",
-		c.ID, c.Node, c.Lane.Name, c.Key, c.Number, c.Sent.Sub(c.began).Round(time.Millisecond), since(c.Due),
+		c.ID, c.Node, c.Class.Name, c.Key, c.Number, c.Sent.Sub(c.began).Round(time.Millisecond), since(c.Deadline),
 		c.Reply.Status, c.Reply.Complete, c.Reply.End, since(c.Reply.At))
 	if !c.Read.IsZero() {
 		s += "; read at " + since(c.Read)
@@ -105,23 +105,23 @@
 	return s
 }
 
-// Life is one process of a node.
-type Life struct {
-	Node    int
-	Started time.Time
-	Ready   time.Time // first successful readiness check, zero for never
-	Told    time.Time // SIGTERM sent, or killed; zero for never
-	Killed  time.Time // SIGKILL sent, zero for never
-	Ended   time.Time // end of the process observed, zero while it runs
+// Process is one process of a node.
+type Process struct {
+	Node     int
+	Started  time.Time
+	Ready    time.Time // first successful readiness check, zero for never
+	StopSent time.Time // SIGTERM sent, or killed; zero for never
+	KillSent time.Time // SIGKILL sent, zero for never
+	Ended    time.Time // end of the process observed, zero while it runs
 }
 
 // Record records requests, calls, notices and processes. It is safe for concurrent use.
 type Record struct {
 	mu           sync.Mutex
 	began        time.Time // time of the first request
-	histories    map[string]*Course
+	histories    map[string]*History
 	effectOrder  map[string][]string // request IDs by node, class and key, in the order of their effects
-	processes    []*Life
+	processes    []*Process
 	hostStates   []hostState
 	closePeriods []nodePeriod // when new connections may be closed unread
 	diskFaults   []nodePeriod // when writes to the state directory may fail
@@ -135,17 +135,19 @@
 	from, to time.Time
 }
 
-// MayShut records that, from now on for length, a relay may close new connections unread, because it or the
+// NewConnsMayClose records that, from now on for length, a relay may close new connections unread, because it or the
 // system is out of resources for them.
-func (r *Record) MayShut(node int, length time.Duration) { r.addPeriod(&r.closePeriods, node, length) }
+func (r *Record) NewConnsMayClose(node int, length time.Duration) {
+	r.addPeriod(&r.closePeriods, node, length)
+}
 
-// FolderFails records that, from now on for length, writes to the state directory of a relay may fail.
-func (r *Record) FolderFails(node int, length time.Duration) {
+// DiskFails records that, from now on for length, writes to the state directory of a relay may fail.
+func (r *Record) DiskFails(node int, length time.Duration) {
 	r.addPeriod(&r.diskFaults, node, length)
 }
 
-// WritesFail records that, from now on for length, a relay cannot write to any socket.
-func (r *Record) WritesFail(node int, length time.Duration) {
+// SocketWritesFail records that, from now on for length, a relay cannot write to any socket.
+func (r *Record) SocketWritesFail(node int, length time.Duration) {
 	r.addPeriod(&r.writeFaults, node, length)
 }
 
@@ -196,11 +198,11 @@
 
 // NewRecord returns an empty record.
 func NewRecord() *Record {
-	return &Record{histories: map[string]*Course{}, effectOrder: map[string][]string{}}
+	return &Record{histories: map[string]*History{}, effectOrder: map[string][]string{}}
 }
 
 // Sent records a request. It is called before the first byte is sent.
-func (r *Record) Sent(c *Course) {
+func (r *Record) Sent(c *History) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.began.IsZero() {
@@ -225,7 +227,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if x := r.histories[id]; x != nil {
-		x.Handed = at
+		x.Responded = at
 	}
 }
 
@@ -252,45 +254,45 @@
 }
 
 // Ran records that a message took effect in a call.
-func (r *Record) Ran(id string, number int) {
+func (r *Record) Ran(id string, callIndex int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x := r.histories[id]
-	if x == nil || number < 0 {
+	if x == nil || callIndex < 0 {
 		return
 	}
-	x.Calls[number].Ran = true
-	if x.Lane.Ordered {
-		key := fmt.Sprintf("%d %s %s", x.Node, x.Lane.Name, x.Key)
+	x.Calls[callIndex].Ran = true
+	if x.Class.Ordered {
+		key := fmt.Sprintf("%d %s %s", x.Node, x.Class.Name, x.Key)
 		r.effectOrder[key] = append(r.effectOrder[key], id)
 	}
 }
 
-// Answers records the answer that a host is about to write: from then on the relay may know it, whatever
+// AnswerStarted records the answer that a host is about to write: from then on the relay may know it, whatever
 // happens to the connection.
-func (r *Record) Answers(id string, number, status int, wait time.Duration) {
+func (r *Record) AnswerStarted(id string, callIndex, status int, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if x := r.histories[id]; x != nil && number >= 0 {
-		x.Calls[number].Status, x.Calls[number].Wait, x.Calls[number].Begun = status, wait, time.Now()
+	if x := r.histories[id]; x != nil && callIndex >= 0 {
+		x.Calls[callIndex].Status, x.Calls[callIndex].RetryAfter, x.Calls[callIndex].AnswerBegun = status, wait, time.Now()
 	}
 }
 
-// Answered records that the answer was written.
-func (r *Record) Answered(id string, number int) {
+// AnswerCompleted records that the answer was written.
+func (r *Record) AnswerCompleted(id string, callIndex int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if x := r.histories[id]; x != nil && number >= 0 {
-		x.Calls[number].Told = time.Now()
+	if x := r.histories[id]; x != nil && callIndex >= 0 {
+		x.Calls[callIndex].AnswerWritten = time.Now()
 	}
 }
 
-// Over records that a call has ended.
-func (r *Record) Over(id string, number int) {
+// CallEnded records that a call has ended.
+func (r *Record) CallEnded(id string, callIndex int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if x := r.histories[id]; x != nil && number >= 0 {
-		x.Calls[number].Over = time.Now()
+	if x := r.histories[id]; x != nil && callIndex >= 0 {
+		x.Calls[callIndex].Finished = time.Now()
 	}
 }
 
@@ -306,24 +308,24 @@
 	x.Notices = append(x.Notices, Notice{time.Now(), result})
 }
 
-// Begun records a new process of a node.
-func (r *Record) Begun(node int) *Life {
+// ProcessStarted records a new process of a node.
+func (r *Record) ProcessStarted(node int) *Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := &Life{Node: node, Started: time.Now()}
+	l := &Process{Node: node, Started: time.Now()}
 	r.processes = append(r.processes, l)
 	return l
 }
 
-// Note runs f under the record's lock, to modify a Life.
-func (r *Record) Note(f func()) {
+// Update runs f under the record's lock, to modify a Process.
+func (r *Record) Update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// Open returns the number of messages that were accepted and have been neither delivered nor ended by a notice.
-func (r *Record) Open() (n int) {
+// CountOpen returns the number of messages that were accepted and have been neither delivered nor ended by a notice.
+func (r *Record) CountOpen() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.histories {
@@ -335,19 +337,19 @@
 }
 
 // triedBy reports whether the message had been sent in a call, or had ended by a notice, before a time.
-func (c *Course) triedBy(by time.Time) bool {
+func (c *History) triedBy(by time.Time) bool {
 	return len(c.Calls) > 0 && c.Calls[0].At.Before(by) || len(c.Notices) > 0 && c.Notices[0].At.Before(by)
 }
 
 // taken reports whether the client was told that the message was accepted.
-func (c *Course) taken() bool {
+func (c *History) taken() bool {
 	return c.Reply.Complete && (c.Reply.Status == 202 || c.Reply.Status == 200)
 }
 
 // delivered reports whether a host answered 200 to a call.
-func (c *Course) delivered() bool {
+func (c *History) delivered() bool {
 	for _, x := range c.Calls {
-		if x.Status == 200 && !x.Told.IsZero() {
+		if x.Status == 200 && !x.AnswerWritten.IsZero() {
 			return true
 		}
 	}
@@ -355,10 +357,10 @@
 }
 
 // deliveredAfter returns the time from the request to the first 200 of a host, 0 for none.
-func (c *Course) deliveredAfter() time.Duration {
+func (c *History) deliveredAfter() time.Duration {
 	for _, x := range c.Calls {
-		if x.Status == 200 && !x.Told.IsZero() {
-			return x.Told.Sub(c.Sent)
+		if x.Status == 200 && !x.AnswerWritten.IsZero() {
+			return x.AnswerWritten.Sub(c.Sent)
 		}
 	}
 	return 0
@@ -366,7 +368,7 @@
 
 // mayHaveRun reports whether the message may have taken effect, as far as its relay can know: some call was not
 // refused.
-func (c *Course) mayHaveRun() bool {
+func (c *History) mayHaveRun() bool {
 	return slices.ContainsFunc(c.Calls, func(x Call) bool {
 		return x.Status != 429 && x.Status != 503 && x.Status != 504 && x.Status != 410
 	})
@@ -387,22 +389,22 @@
 	return len(r.histories), by
 }
 
-// Service counts the outcomes of the messages that clients handed in.
-type Service struct {
+// DeliveryCounts counts the outcomes of the messages that clients handed in.
+type DeliveryCounts struct {
 	Taken     int `json:"taken"`     // messages accepted
 	Delivered int `json:"delivered"` // accepted messages that a host answered 200
 	Untried   int `json:"untried"`   // accepted messages ended by a notice without a call
 	Calls     int `json:"calls"`     // messages sent in calls, repeats included
-	// After is the mean time from the request to the host's answer, over delivered messages.
-	After time.Duration `json:"after_ns"`
+	// MeanTime is the mean time from the request to the host's answer, over delivered messages.
+	MeanTime time.Duration `json:"after_ns"`
 }
 
-// Service counts the outcomes recorded so far.
-func (r *Record) Service() (s Service) {
+// DeliveryCounts counts the outcomes recorded so far.
+func (r *Record) DeliveryCounts() (s DeliveryCounts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	total := time.Duration(0)
-	defer func() { s.After = total / time.Duration(max(1, s.Delivered)) }()
+	defer func() { s.MeanTime = total / time.Duration(max(1, s.Delivered)) }()
 	for _, c := range r.histories {
 		s.Calls += len(c.Calls)
 		if !c.taken() {
@@ -424,9 +426,9 @@
 
 // sentWhileLeaving reports whether a request was sent within newConnectionsFor of its relay's SIGTERM. The caller
 // holds mu.
-func (r *Record) sentWhileLeaving(c *Course) bool {
+func (r *Record) sentWhileLeaving(c *History) bool {
 	for _, l := range r.processes {
-		if l.Node == c.Node && !l.Told.IsZero() && c.Sent.After(l.Told) && c.Sent.Before(l.Told.Add(newConnectionsFor)) {
+		if l.Node == c.Node && !l.StopSent.IsZero() && c.Sent.After(l.StopSent) && c.Sent.Before(l.StopSent.Add(newConnectionsFor)) {
 			return true
 		}
 	}
@@ -436,9 +438,9 @@
 // processEndedNear reports whether a process of a node ended within a second of a time, which excuses what
 // happened then. The caller holds mu.
 func (r *Record) processEndedNear(node int, at time.Time) bool {
-	return slices.ContainsFunc(r.processes, func(l *Life) bool {
+	return slices.ContainsFunc(r.processes, func(l *Process) bool {
 		return l.Node == node && !l.Ended.IsZero() && l.Ended.After(at.Add(-time.Second)) &&
-			l.Killed.Before(at.Add(time.Second))
+			l.KillSent.Before(at.Add(time.Second))
 	})
 }
 
@@ -461,10 +463,10 @@
 		case what == "reset-while-leaving" && c.Reply.Complete && c.Reply.Fresh && r.sentWhileLeaving(c):
 			c.Reply = Reply{At: c.Reply.At, End: "reset", Fresh: true}
 		case what == "served-and-refused" && c.taken() && c.delivered() && len(c.Notices) == 0 &&
-			c.Calls[len(c.Calls)-1].Waited > time.Second/4 &&
+			c.Calls[len(c.Calls)-1].Timeout > time.Second/4 &&
 			!r.processEndedNear(c.Node, c.Calls[len(c.Calls)-1].At):
-			c.Notices = []Notice{{At: c.Calls[len(c.Calls)-1].Told.Add(time.Second), Result: "bounced"}}
-		case what == "second-effect" && c.Lane.Effect == AtMostOnce && c.delivered():
+			c.Notices = []Notice{{At: c.Calls[len(c.Calls)-1].AnswerWritten.Add(time.Second), Result: "bounced"}}
+		case what == "second-effect" && c.Class.Effect == AtMostOnce && c.delivered():
 			c.Calls = append(c.Calls, c.Calls[0])
 		default:
 			continue
--- a/internal/emulator/trace.go
+++ b/internal/emulator/trace.go
@@ -24,15 +24,15 @@
 			values["mono_us"] = mono - now.Sub(at).Microseconds()
 			failed = out.Encode(values)
 		}
-		step("sent", c.Sent, map[string]any{"node": c.Node, "lane": c.Lane.Name,
-			"key": c.Key, "due_ms": c.Due.Sub(c.Sent).Milliseconds()})
+		step("sent", c.Sent, map[string]any{"node": c.Node, "lane": c.Class.Name,
+			"key": c.Key, "due_ms": c.Deadline.Sub(c.Sent).Milliseconds()})
 		step("replied", c.Reply.At, map[string]any{"status": c.Reply.Status,
 			"complete": c.Reply.Complete, "end": c.Reply.End})
 		for i, x := range c.Calls {
 			step("called", x.At, map[string]any{"attempt": i, "host": x.Host})
-			step("answered", x.Told, map[string]any{"attempt": i, "host": x.Host,
-				"status": x.Status, "ran": x.Ran, "wait_ms": x.Wait.Milliseconds()})
-			step("over", x.Over, map[string]any{"attempt": i, "host": x.Host})
+			step("answered", x.AnswerWritten, map[string]any{"attempt": i, "host": x.Host,
+				"status": x.Status, "ran": x.Ran, "wait_ms": x.RetryAfter.Milliseconds()})
+			step("over", x.Finished, map[string]any{"attempt": i, "host": x.Host})
 		}
 		for _, n := range c.Notices {
 			step("notice", n.At, map[string]any{"result": n.Result})
--- a/internal/shim/call.go
+++ b/internal/shim/call.go
@@ -40,7 +40,7 @@
 	case unix.SYS_PWRITE64:
 		t.writeFile(pid, &regs)
 	case unix.SYS_FTRUNCATE:
-		t.fail(pid, &regs, TruncFails, t.fdInState(pid, regs.Rdi), unix.EIO)
+		t.fail(pid, &regs, TruncateFails, t.fdInState(pid, regs.Rdi), unix.EIO)
 	case unix.SYS_OPENAT:
 		t.fail(pid, &regs, OpenFails, t.pathInState(pid, regs.Rsi), unix.EIO)
 	case unix.SYS_RENAMEAT:
--- a/internal/shim/shim.go
+++ b/internal/shim/shim.go
@@ -31,22 +31,22 @@
 
 // The kinds of faults. File faults apply to the state directory only.
 const (
-	ShortWrite   Kind = "short_write"    // a write to a socket is accepted in part
-	ShortRead    Kind = "short_read"     // a read from a socket returns part of what was asked for
-	Interrupted  Kind = "eintr"          // a read or write on a socket fails with EINTR
-	PollNoMemory Kind = "epoll_enomem"   // epoll_ctl ADD and MOD fail with ENOMEM
-	AcceptFails  Kind = "accept"         // accept fails with ECONNABORTED, ENFILE
-	SocketFails  Kind = "socket"         // socket fails with ENFILE, ENOBUFS
-	ConnectFails Kind = "connect"        // connect fails with EADDRNOTAVAIL, ENETUNREACH
-	AcceptNoRoom Kind = "accept_no_room" // accept fails with EMFILE, ENOBUFS, EPROTO
-	WriteTorn    Kind = "disk_torn"      // part of a record is written, the next write fails with ENOSPC
-	DiskFull     Kind = "disk_enospc"    // writes fail with ENOSPC, EDQUOT
-	DiskError    Kind = "disk_eio"       // writes fail with EIO
-	TruncFails   Kind = "disk_ftruncate" // ftruncate fails with EIO
-	OpenFails    Kind = "disk_open"      // opening, creating and renaming files fails with EIO
-	UnlinkFails  Kind = "disk_unlink"    // removing a file fails with EIO
-	Stall        Kind = "stall"          // a write to a socket is delayed by up to 150 ms
-	WallClock    Kind = "wall_clock"     // the wall clock is off by a fixed offset
+	ShortWrite    Kind = "short_write"    // a write to a socket is accepted in part
+	ShortRead     Kind = "short_read"     // a read from a socket returns part of what was asked for
+	Interrupted   Kind = "eintr"          // a read or write on a socket fails with EINTR
+	PollNoMemory  Kind = "epoll_enomem"   // epoll_ctl ADD and MOD fail with ENOMEM
+	AcceptFails   Kind = "accept"         // accept fails with ECONNABORTED, ENFILE
+	SocketFails   Kind = "socket"         // socket fails with ENFILE, ENOBUFS
+	ConnectFails  Kind = "connect"        // connect fails with EADDRNOTAVAIL, ENETUNREACH
+	AcceptNoRoom  Kind = "accept_no_room" // accept fails with EMFILE, ENOBUFS, EPROTO
+	WriteTorn     Kind = "disk_torn"      // part of a record is written, the next write fails with ENOSPC
+	DiskFull      Kind = "disk_enospc"    // writes fail with ENOSPC, EDQUOT
+	DiskError     Kind = "disk_eio"       // writes fail with EIO
+	TruncateFails Kind = "disk_ftruncate" // ftruncate fails with EIO
+	OpenFails     Kind = "disk_open"      // opening, creating and renaming files fails with EIO
+	UnlinkFails   Kind = "disk_unlink"    // removing a file fails with EIO
+	Stall         Kind = "stall"          // a write to a socket is delayed by up to 150 ms
+	WallClock     Kind = "wall_clock"     // the wall clock is off by a fixed offset
 
 	PollInterrupted Kind = "epoll_eintr"   // epoll_pwait fails with EINTR
 	ReadNoMemory    Kind = "read_enomem"   // read from a socket fails with ENOMEM, ENOBUFS
@@ -60,7 +60,7 @@
 
 // Kinds lists all kinds of faults.
 var Kinds = []Kind{ShortWrite, ShortRead, Interrupted, PollNoMemory, AcceptFails, SocketFails, ConnectFails,
-	AcceptNoRoom, WriteTorn, DiskFull, DiskError, TruncFails, OpenFails, UnlinkFails, Stall, WallClock,
+	AcceptNoRoom, WriteTorn, DiskFull, DiskError, TruncateFails, OpenFails, UnlinkFails, Stall, WallClock,
 	PollInterrupted, ReadNoMemory, WriteNoMemory, SockoptFails, FileReadFails, DiskDown, AcceptDown, WriteDown}
 
 // Options configures a Process.
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -29,7 +29,7 @@
 
 	mu               sync.Mutex
 	process          *shim.Process
-	processRun       *emulator.Life
+	processRun       *emulator.Process
 	log              *logTail
 	starts           int
 	restarting       bool // a restart is in progress
@@ -124,7 +124,7 @@
 	n.log = &logTail{step: n.run.step}
 	seed := n.run.opt.Seed*1_000_000 + uint64(n.number*1000+n.starts)
 	n.mu.Unlock()
-	life := n.run.platform.Record.Begun(n.number)
+	life := n.run.platform.Record.ProcessStarted(n.number)
 	log := io.Writer(n.log)
 	if n.run.opt.Trace != "" {
 		file, err := os.OpenFile(filepath.Join(n.run.opt.Trace, fmt.Sprintf("n%d.log", n.number)),
@@ -156,7 +156,7 @@
 // startTimeout is how long a process may take to become ready.
 const startTimeout = 30 * time.Second
 
-func (n *node) awaitReady(p *shim.Process, life *emulator.Life) error {
+func (n *node) awaitReady(p *shim.Process, life *emulator.Process) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		select {
@@ -170,7 +170,7 @@
 		}
 		_ = r.Body.Close()
 		if r.StatusCode == http.StatusOK {
-			n.run.platform.Record.Note(func() { life.Ready = time.Now() })
+			n.run.platform.Record.Update(func() { life.Ready = time.Now() })
 			return nil
 		}
 	}
@@ -193,7 +193,7 @@
 	p, life := n.process, n.processRun
 	n.mu.Unlock()
 	n.run.countHit(how)
-	n.run.platform.Record.Note(func() { life.Told = time.Now() })
+	n.run.platform.Record.Update(func() { life.StopSent = time.Now() })
 	if how != Kill {
 		p.Signal(syscall.SIGTERM)
 		if how == TermTwice {
@@ -206,7 +206,7 @@
 		}
 	}
 	n.checkCPU(p, life)
-	n.run.platform.Record.Note(func() { life.Killed = time.Now() })
+	n.run.platform.Record.Update(func() { life.KillSent = time.Now() })
 	p.Signal(syscall.SIGKILL)
 	<-p.Done()
 	n.recordEnd(p, life, how != Kill)
@@ -251,11 +251,11 @@
 )
 
 // checkCPU records the processor share of a process, and a problem if it exceeds maxCPUShare.
-func (n *node) checkCPU(p *shim.Process, life *emulator.Life) {
+func (n *node) checkCPU(p *shim.Process, life *emulator.Process) {
 	lived := time.Since(life.Started)
 	share := p.CPU().Seconds() / lived.Seconds()
 	n.run.mu.Lock()
-	n.run.busiest = max(n.run.busiest, share)
+	n.run.maxCPU = max(n.run.maxCPU, share)
 	n.run.mu.Unlock()
 	if lived > minCPURun && share > maxCPUShare {
 		n.mu.Lock()
@@ -267,8 +267,8 @@
 
 // recordEnd records the end of a process, its injected faults, and as problems the violations in its log and an
 // unexpected exit. told is whether it had been asked to end.
-func (n *node) recordEnd(p *shim.Process, life *emulator.Life, told bool) {
-	n.run.platform.Record.Note(func() { life.Ended = time.Now() })
+func (n *node) recordEnd(p *shim.Process, life *emulator.Process, told bool) {
+	n.run.platform.Record.Update(func() { life.Ended = time.Now() })
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.problems = append(n.problems, n.log.violations()...)
@@ -337,8 +337,8 @@
 )
 
 // clientClasses returns the classes of settings as the clients use them.
-func clientClasses() []emulator.Lane {
-	return []emulator.Lane{{Name: "notice", Effect: emulator.Idempotent},
+func clientClasses() []emulator.Class {
+	return []emulator.Class{{Name: "notice", Effect: emulator.Idempotent},
 		{Name: "charge", Effect: emulator.AtMostOnce, Ordered: true},
 		{Name: "order", Effect: emulator.Deduplicated, Window: window}}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -22,18 +22,18 @@
 
 // Options configures a run.
 type Options struct {
-	Shim     string // executable that runs the relay under the shim
-	Program  string // executable of the relay, possibly another build
-	Seed     uint64
-	Nodes    int
-	Hosts    int
-	Clients  int // clients per node
-	Duration time.Duration
-	Faults   []Fault  // faults to inject; nil for faults drawn from the seed
-	Kinds    []Kind   // kinds that faults are drawn from; nil for all
-	Known    []string // invariants known to be broken: printed, not counted as failures
-	Trace    string   // directory for the nodes' logs with each step of each request; empty for none
-	Plant    Plant    // violation planted to test the audit; empty for none
+	Shim        string // executable that runs the relay under the shim
+	Program     string // executable of the relay, possibly another build
+	Seed        uint64
+	Nodes       int
+	Hosts       int
+	Clients     int // clients per node
+	Duration    time.Duration
+	Faults      []Fault  // faults to inject; nil for faults drawn from the seed
+	Kinds       []Kind   // kinds that faults are drawn from; nil for all
+	KnownBroken []string // invariants known to be broken: printed, not counted as failures
+	Trace       string   // directory for the nodes' logs with each step of each request; empty for none
+	Plant       Plant    // violation planted to test the audit; empty for none
 }
 
 // Plant is a violation put into a run to test that the audit finds it.
@@ -58,25 +58,25 @@
 
 // Result is the result of a run.
 type Result struct {
-	Seed       uint64              `json:"seed"`
-	Findings   []*emulator.Finding `json:"findings"`
-	Hits       map[Kind]int        `json:"faults"`
-	Violations []string            `json:"violations,omitempty"` // reported by processes, and their unexpected exits
-	Requests   int                 `json:"requests"`
-	Replies    map[string]int      `json:"replies"`
-	Service    emulator.Service    `json:"service"`
-	Accepted   int                 `json:"accepted"`        // number of connections to hosts
-	Lag        time.Duration       `json:"lag_ns"`          // largest delay of the emulator's own timers
-	Busiest    float64             `json:"busiest"`         // largest share of a core that one process used
-	Known      []string            `json:"known,omitempty"` // invariants not counted as failures
-	Faults     []Fault             `json:"-"`
+	Seed           uint64                  `json:"seed"`
+	Findings       []*emulator.Finding     `json:"findings"`
+	Hits           map[Kind]int            `json:"faults"`
+	Violations     []string                `json:"violations,omitempty"` // reported by processes, and their unexpected exits
+	Requests       int                     `json:"requests"`
+	Replies        map[string]int          `json:"replies"`
+	DeliveryCounts emulator.DeliveryCounts `json:"service"`
+	Connections    int                     `json:"accepted"`        // number of connections to hosts
+	Lag            time.Duration           `json:"lag_ns"`          // largest delay of the emulator's own timers
+	MaxCPUShare    float64                 `json:"busiest"`         // largest share of a core that one process used
+	KnownBroken    []string                `json:"known,omitempty"` // invariants not counted as failures
+	Faults         []Fault                 `json:"-"`
 }
 
 // Broken returns the number of invariants broken and not known to be, plus that of violations.
 func (r *Result) Broken() int {
 	n := len(r.Violations)
 	for _, f := range r.Findings {
-		if f.Broken > 0 && !slices.Contains(r.Known, f.Invariant) {
+		if f.Broken > 0 && !slices.Contains(r.KnownBroken, f.Invariant) {
 			n++
 		}
 	}
@@ -89,12 +89,12 @@
 	platform *emulator.Platform
 	nodes    []*node
 
-	mu      sync.Mutex
-	hits    map[Kind]int
-	active  map[Kind]map[int]int // number of active faults by kind and node or host
-	errs    []string
-	lag     time.Duration
-	busiest float64 // largest share of a core that a process used
+	mu     sync.Mutex
+	hits   map[Kind]int
+	active map[Kind]map[int]int // number of active faults by kind and node or host
+	errs   []string
+	lag    time.Duration
+	maxCPU float64 // largest share of a core that a process used
 }
 
 // hostKinds are the kinds of hosts, used in turn: "small" ones take one message per call, "large" ones several.
@@ -140,9 +140,9 @@
 	for _, n := range r.nodes {
 		for i := range opt.Clients {
 			c := &emulator.Client{Platform: platform, Node: n.number, Addr: n.addr,
-				Name: fmt.Sprintf("c%d-%d", n.number, i), Lanes: clientClasses(),
-				Left: lifetime, Pause: 40 * time.Millisecond,
-				Seed: opt.Seed*10_000 + uint64(n.number*100+i), Rude: n.abandonsRequests, Ends: n.halfCloses}
+				Name: fmt.Sprintf("c%d-%d", n.number, i), Classes: clientClasses(),
+				TimeToLive: lifetime, MaxPause: 40 * time.Millisecond,
+				Seed: opt.Seed*10_000 + uint64(n.number*100+i), AbandonNext: n.abandonsRequests, HalfCloseNext: n.halfCloses}
 			clients.Go(func() { c.Run(load) })
 		}
 	}
@@ -292,32 +292,32 @@
 func (r *run) playFault(ctx context.Context, f Fault) {
 	switch f.Kind {
 	case Kill, Term, TermTwice:
-		r.recordError(r.nodes[f.Where].restart(f.Kind))
+		r.recordError(r.nodes[f.Target].restart(f.Kind))
 		return
 	case Reload:
-		r.moveDiscovery(r.nodes[f.Where])
+		r.moveDiscovery(r.nodes[f.Target])
 		return
 	case Crowd:
 		r.countHit(f.Kind)
-		r.platform.Record.MayShut(f.Where, f.For)
-		r.nodes[f.Where].openIdleConns(f.For)
+		r.platform.Record.NewConnsMayClose(f.Target, f.Length)
+		r.nodes[f.Target].openIdleConns(f.Length)
 		return
 	}
 	if f.Kind == Kind(shim.PollNoMemory) { // an accepted connection that cannot be polled is closed
-		r.platform.Record.MayShut(f.Where, f.For)
+		r.platform.Record.NewConnsMayClose(f.Target, f.Length)
 	}
 	if f.Kind.isDiskFault() {
-		r.platform.Record.FolderFails(f.Where, f.For)
+		r.platform.Record.DiskFails(f.Target, f.Length)
 	}
 	if f.Kind == Kind(shim.WriteDown) {
-		r.platform.Record.WritesFail(f.Where, f.For)
+		r.platform.Record.SocketWritesFail(f.Target, f.Length)
 	}
 	if r.adjustActive(f, 1) == 1 {
-		r.setFault(f.Kind, f.Where, true)
+		r.setFault(f.Kind, f.Target, true)
 	}
-	pause.For(ctx, f.For)
+	pause.For(ctx, f.Length)
 	if r.adjustActive(f, -1) == 0 {
-		r.setFault(f.Kind, f.Where, false)
+		r.setFault(f.Kind, f.Target, false)
 	}
 }
 
@@ -328,8 +328,8 @@
 	if r.active[f.Kind] == nil {
 		r.active[f.Kind] = map[int]int{}
 	}
-	r.active[f.Kind][f.Where] += by
-	return r.active[f.Kind][f.Where]
+	r.active[f.Kind][f.Target] += by
+	return r.active[f.Kind][f.Target]
 }
 
 // setFault activates or deactivates a kind of fault at one node or host.
@@ -337,13 +337,13 @@
 	if !isSyscallFault(k) && on {
 		r.countHit(k)
 	}
-	moods := map[Kind]emulator.Mood{HostFails: emulator.Failing, HostFull: emulator.Full,
-		HostHangs: emulator.Hanging, HostCuts: emulator.Cutting, HostForgets: emulator.Forget, HostBlank: emulator.Blank}
-	if mood, is := moods[k]; is {
+	behaviours := map[Kind]emulator.Behaviour{HostFails: emulator.Failing, HostFull: emulator.Overloaded,
+		HostHangs: emulator.Hanging, HostCuts: emulator.Disconnecting, HostForgets: emulator.ClosingAfterAnswer, HostBlank: emulator.NoStatus}
+	if behaviour, is := behaviours[k]; is {
 		if !on {
-			mood = emulator.Well
+			behaviour = emulator.Healthy
 		}
-		r.platform.Hosts[where].Set(mood)
+		r.platform.Hosts[where].SetBehaviour(behaviour)
 		return
 	}
 	if k == HostDrains {
@@ -354,27 +354,27 @@
 	}
 	switch k {
 	case HostNetHold:
-		r.platform.Hosts[where].Network.Hold(on)
+		r.platform.Hosts[where].Network.SetDelay(on)
 		return
 	case HostNetReset:
-		r.platform.Hosts[where].Network.Reset(on)
+		r.platform.Hosts[where].Network.SetReset(on)
 		return
 	case HostRepeats:
-		r.platform.Hosts[where].Network.Repeat(on)
+		r.platform.Hosts[where].Network.SetRepeat(on)
 		return
 	}
 	n := r.nodes[where]
 	switch k {
 	case AgentNetHold:
-		n.agent.Network.Hold(on)
+		n.agent.Network.SetDelay(on)
 	case AgentNetReset:
-		n.agent.Network.Reset(on)
+		n.agent.Network.SetReset(on)
 	case AgentRepeats:
-		n.agent.Network.Repeat(on)
+		n.agent.Network.SetRepeat(on)
 	case AgentSilent:
-		n.agent.Silent(on)
+		n.agent.SetSilent(on)
 	case NoticesMute:
-		n.agent.Mute(on)
+		n.agent.SetMute(on)
 	case ClientsLeave:
 		n.mu.Lock()
 		n.clientsAbandon = on
@@ -427,7 +427,7 @@
 // moveDiscovery changes the address of a node's agent and makes the node reload its configuration.
 func (r *run) moveDiscovery(n *node) {
 	r.countHit(Reload)
-	if err := n.agent.Move(); err != nil {
+	if err := n.agent.ChangeAddress(); err != nil {
 		r.recordError(err)
 		return
 	}
@@ -447,7 +447,7 @@
 		}
 	}
 	r.mu.Unlock()
-	for end := time.Now().Add(lifetime + 3*time.Second); r.platform.Record.Open() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(lifetime + 3*time.Second); r.platform.Record.CountOpen() > 0 && time.Now().Before(end); {
 		if !pause.For(ctx, 20*time.Millisecond) {
 			return
 		}
@@ -478,7 +478,7 @@
 // result kills all processes and audits the record.
 func (r *run) result() *Result {
 	now := time.Now()
-	res := &Result{Known: r.opt.Known, Seed: r.opt.Seed, Hits: r.hits, Lag: r.lag,
+	res := &Result{KnownBroken: r.opt.KnownBroken, Seed: r.opt.Seed, Hits: r.hits, Lag: r.lag,
 		Faults: r.opt.Faults, Violations: r.errs}
 	for _, n := range r.nodes {
 		n.mu.Lock()
@@ -503,11 +503,11 @@
 		}
 	}
 	res.Findings = r.platform.Record.Audit(r.lag, now)
-	res.Busiest = r.busiest
+	res.MaxCPUShare = r.maxCPU
 	res.Requests, res.Replies = r.platform.Record.Replies()
-	res.Service = r.platform.Record.Service()
+	res.DeliveryCounts = r.platform.Record.DeliveryCounts()
 	for _, h := range r.platform.Hosts {
-		res.Accepted += h.Network.Accepted()
+		res.Connections += h.Network.Accepted()
 	}
 	return res
 }
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -58,14 +58,14 @@
 
 // Fault is one fault in a run.
 type Fault struct {
-	Kind  Kind          `json:"kind"`
-	Where int           `json:"where"` // number of the node or host
-	At    time.Duration `json:"at"`    // start, from the start of the load
-	For   time.Duration `json:"for"`   // duration
+	Kind   Kind          `json:"kind"`
+	Target int           `json:"where"` // number of the node or host
+	At     time.Duration `json:"at"`    // start, from the start of the load
+	Length time.Duration `json:"for"`   // duration
 }
 
 // String returns the fault in the format that ParseFaults reads.
-func (f Fault) String() string { return fmt.Sprintf("%s@%d+%s~%s", f.Kind, f.Where, f.At, f.For) }
+func (f Fault) String() string { return fmt.Sprintf("%s@%d+%s~%s", f.Kind, f.Target, f.At, f.Length) }
 
 // NoFaults is the text that stands for a run without faults.
 const NoFaults = "none"
@@ -93,13 +93,13 @@
 	if f.Kind = Kind(kind); !slices.Contains(Kinds(), f.Kind) {
 		return f, fmt.Errorf("unknown kind %q", kind)
 	}
-	if f.Where, err = strconv.Atoi(where); err != nil {
+	if f.Target, err = strconv.Atoi(where); err != nil {
 		return f, err
 	}
 	if f.At, err = time.ParseDuration(at); err != nil {
 		return f, err
 	}
-	f.For, err = time.ParseDuration(length)
+	f.Length, err = time.ParseDuration(length)
 	return f, err
 }
 
@@ -157,7 +157,7 @@
 func drawPeers(r *rand.Rand, nodes, hosts int, length time.Duration, kinds []Kind) (all []Fault) {
 	for _, k := range kinds {
 		places := nodes
-		if k.strikesHost() {
+		if k.affectsHost() {
 			places = hosts
 		}
 		for where := range places {
@@ -171,22 +171,22 @@
 
 // drawFirst draws restarts and short faults from firstSeries.
 func drawFirst(r *rand.Rand, nodes, hosts int, length time.Duration, kinds []Kind, fewKinds bool) (all []Fault) {
-	restarts, moments := splitRestarts(kinds)
-	if fewKinds && len(moments) > fewKindsCount { // with few kinds, the same kinds coincide more often
-		r.Shuffle(len(moments), func(i, j int) { moments[i], moments[j] = moments[j], moments[i] })
-		moments = moments[:fewKindsCount]
+	restarts, shortKinds := splitRestarts(kinds)
+	if fewKinds && len(shortKinds) > fewKindsCount { // with few kinds, the same kinds coincide more often
+		r.Shuffle(len(shortKinds), func(i, j int) { shortKinds[i], shortKinds[j] = shortKinds[j], shortKinds[i] })
+		shortKinds = shortKinds[:fewKindsCount]
 	}
-	ofHosts := slices.DeleteFunc(slices.Clone(moments), func(k Kind) bool { return !k.strikesHost() })
-	ofNodes := slices.DeleteFunc(slices.Clone(moments), Kind.strikesHost)
+	ofHosts := slices.DeleteFunc(slices.Clone(shortKinds), func(k Kind) bool { return !k.affectsHost() })
+	ofNodes := slices.DeleteFunc(slices.Clone(shortKinds), Kind.affectsHost)
 	for node := range nodes {
 		for at := between(r, time.Second, maxRestart); len(restarts) > 0 && at < length-maxRestart/2; at += between(r,
 			maxRestart, 2*maxRestart) {
 			all = append(all, Fault{restarts[r.IntN(len(restarts))], node, at, 0})
 		}
-		all = append(all, drawMoments(r, node, length, ofNodes)...)
+		all = append(all, drawShortFaults(r, node, length, ofNodes)...)
 	}
 	for host := range hosts {
-		all = append(all, drawMoments(r, host, length, ofHosts)...)
+		all = append(all, drawShortFaults(r, host, length, ofHosts)...)
 	}
 	return all
 }
@@ -214,21 +214,21 @@
 // stays in it.
 func withTornRest(r *rand.Rand, f Fault, kinds []Kind) []Fault {
 	all := []Fault{f}
-	if f.Kind == Kind(shim.WriteTorn) && slices.Contains(kinds, Kind(shim.TruncFails)) && r.IntN(2) == 0 {
-		f.Kind = Kind(shim.TruncFails)
+	if f.Kind == Kind(shim.WriteTorn) && slices.Contains(kinds, Kind(shim.TruncateFails)) && r.IntN(2) == 0 {
+		f.Kind = Kind(shim.TruncateFails)
 		all = append(all, f)
 	}
 	return all
 }
 
-// drawMoments draws the short faults of one node or host: 50 to 350 ms apart, 30 to 280 ms long, some kinds longer.
-func drawMoments(r *rand.Rand, where int, length time.Duration, kinds []Kind) (all []Fault) {
+// drawShortFaults draws the short faults of one node or host: 50 to 350 ms apart, 30 to 280 ms long, some kinds longer.
+func drawShortFaults(r *rand.Rand, where int, length time.Duration, kinds []Kind) (all []Fault) {
 	for at := between(r, 0, time.Second); len(kinds) > 0 && at < length; at += between(r,
 		50*time.Millisecond, 350*time.Millisecond) {
 		k := kinds[r.IntN(len(kinds))]
 		f := Fault{k, where, at, between(r, 30*time.Millisecond, 280*time.Millisecond)}
 		if lastsLonger(k) {
-			f.For = between(r, 300*time.Millisecond, 1500*time.Millisecond)
+			f.Length = between(r, 300*time.Millisecond, 1500*time.Millisecond)
 		}
 		all = append(all, withTornRest(r, f, kinds)...)
 	}
@@ -236,19 +236,19 @@
 }
 
 // splitRestarts separates the kinds that end a process from the others.
-func splitRestarts(kinds []Kind) (restarts, moments []Kind) {
+func splitRestarts(kinds []Kind) (restarts, others []Kind) {
 	for _, k := range kinds {
 		if k == Kill || k == Term || k == TermTwice {
 			restarts = append(restarts, k)
 		} else {
-			moments = append(moments, k)
+			others = append(others, k)
 		}
 	}
-	return restarts, moments
+	return restarts, others
 }
 
-// strikesHost reports whether the kind affects a host, for all nodes. Other kinds affect one node.
-func (k Kind) strikesHost() bool { return strings.HasPrefix(string(k), "host_") }
+// affectsHost reports whether the kind affects a host, for all nodes. Other kinds affect one node.
+func (k Kind) affectsHost() bool { return strings.HasPrefix(string(k), "host_") }
 
 // isDiskFault reports whether the kind makes the state directory of a node fail.
 func (k Kind) isDiskFault() bool { return strings.HasPrefix(string(k), "disk_") }
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -14,19 +14,19 @@
 
 // Report is the result of a series of seeds.
 type Report struct {
-	Nodes    int                 `json:"nodes"`
-	Duration time.Duration       `json:"duration_ns"`
-	Seeds    int                 `json:"seeds"`
-	Requests int                 `json:"requests"`
-	Findings []*emulator.Finding `json:"invariants"`
-	Hits     map[Kind]int        `json:"faults"`
-	Unhit    []Kind              `json:"never_injected,omitempty"`
-	Failed   []*Result           `json:"failed,omitempty"`
-	Commands []string            `json:"commands,omitempty"` // commands that replay the failures
+	Nodes         int                 `json:"nodes"`
+	Duration      time.Duration       `json:"duration_ns"`
+	Seeds         int                 `json:"seeds"`
+	Requests      int                 `json:"requests"`
+	Findings      []*emulator.Finding `json:"invariants"`
+	Hits          map[Kind]int        `json:"faults"`
+	NeverInjected []Kind              `json:"never_injected,omitempty"`
+	Failed        []*Result           `json:"failed,omitempty"`
+	Commands      []string            `json:"commands,omitempty"` // commands that replay the failures
 }
 
 // Broken returns the number of seeds that failed plus that of kinds that were never injected.
-func (r *Report) Broken() int { return len(r.Failed) + len(r.Unhit) }
+func (r *Report) Broken() int { return len(r.Failed) + len(r.NeverInjected) }
 
 // Series runs seeds one after the other and writes their results and a table to w. The faults of a seed that
 // fails are reduced in at most shrinks runs.
@@ -41,9 +41,9 @@
 		}
 		rep.add(res)
 		fmt.Fprintf(w, "seed %d: %d requests, %v, of %d accepted %d delivered and %d ended without a call, %d failures, timers up to %s late, a node used up to %.0f%% of a core, %.1f connections to hosts per 1,000 messages in calls, mean delivery time %s\n",
-			res.Seed, res.Requests, res.Replies, res.Service.Taken, res.Service.Delivered, res.Service.Untried, res.Broken(),
-			res.Lag.Round(time.Millisecond), 100*res.Busiest, 1000*float64(res.Accepted)/float64(max(1, res.Service.Calls)),
-			res.Service.After.Round(100*time.Microsecond))
+			res.Seed, res.Requests, res.Replies, res.DeliveryCounts.Taken, res.DeliveryCounts.Delivered, res.DeliveryCounts.Untried, res.Broken(),
+			res.Lag.Round(time.Millisecond), 100*res.MaxCPUShare, 1000*float64(res.Connections)/float64(max(1, res.DeliveryCounts.Calls)),
+			res.DeliveryCounts.MeanTime.Round(100*time.Microsecond))
 		res.printKnown(w)
 		if res.Broken() > 0 {
 			res.print(w)
@@ -55,7 +55,7 @@
 	}
 	for _, k := range opt.expected() {
 		if rep.Hits[k] == 0 {
-			rep.Unhit = append(rep.Unhit, k)
+			rep.NeverInjected = append(rep.NeverInjected, k)
 		}
 	}
 	rep.print(w)
@@ -97,7 +97,7 @@
 // printKnown prints the broken invariants that are known to fail.
 func (r *Result) printKnown(w io.Writer) {
 	for _, f := range r.Findings {
-		if f.Broken > 0 && slices.Contains(r.Known, f.Invariant) {
+		if f.Broken > 0 && slices.Contains(r.KnownBroken, f.Invariant) {
 			fmt.Fprintf(w, "  known to fail, passed over: %s: %v\n", f.Invariant, f.Examples)
 		}
 	}
@@ -129,8 +129,8 @@
 		fmt.Fprintf(w, " %s %d", k, r.Hits[k])
 	}
 	fmt.Fprintln(w)
-	if len(r.Unhit) > 0 {
-		fmt.Fprintf(w, "never injected: %v\n", r.Unhit)
+	if len(r.NeverInjected) > 0 {
+		fmt.Fprintf(w, "never injected: %v\n", r.NeverInjected)
 	}
 	fmt.Fprintf(w, "seeds %d, failed %d\n", r.Seeds, len(r.Failed))
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -27,7 +27,7 @@
 	overlap := false
 	for i, f := range first {
 		text = append(text, f.String())
-		overlap = overlap || i > 0 && f.At < first[i-1].At+first[i-1].For
+		overlap = overlap || i > 0 && f.At < first[i-1].At+first[i-1].Length
 	}
 	if !overlap {
 		t.Error("no faults overlap")
@@ -144,14 +144,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d of %d delivered, %d ended without a call", res.Service.Delivered, res.Requests, res.Service.Untried)
+	t.Logf("%d of %d delivered, %d ended without a call", res.DeliveryCounts.Delivered, res.Requests, res.DeliveryCounts.Untried)
 	const served, failed = 0.97, 0.03
-	if float64(res.Service.Delivered) < (served-failed)*float64(res.Requests) {
-		t.Errorf("%d of %d delivered in time, want %v", res.Service.Delivered, res.Requests, served-failed)
+	if float64(res.DeliveryCounts.Delivered) < (served-failed)*float64(res.Requests) {
+		t.Errorf("%d of %d delivered in time, want %v", res.DeliveryCounts.Delivered, res.Requests, served-failed)
 	}
-	if 50*res.Service.Untried >= res.Service.Taken {
+	if 50*res.DeliveryCounts.Untried >= res.DeliveryCounts.Taken {
 		t.Errorf("%d of %d accepted messages ended without a call, want under one in fifty",
-			res.Service.Untried, res.Service.Taken)
+			res.DeliveryCounts.Untried, res.DeliveryCounts.Taken)
 	}
 }
 
