--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -38,6 +38,7 @@
 // maxExamples bounds the examples kept in a finding.
 const maxExamples = 5
 
+// check counts a check, and a violation with an example if ok is not set.
 func (f *Finding) check(ok bool, example func() string) {
 	f.Checked++
 	if ok {
@@ -321,10 +322,11 @@
 		return false
 	}
 	call := c.Calls[0]
-	return call.AnswerWritten.Add(giveUpMargin).Before(c.Deadline) && slices.ContainsFunc(a.record.processes, func(l *Process) bool {
-		return l.Node == c.Node && l.Ended.After(call.AnswerWritten) && l.Ended.Before(c.Notices[0].At) &&
-			l.KillSent.Before(call.AnswerWritten.Add(giveUpMargin))
-	})
+	return call.AnswerWritten.Add(giveUpMargin).Before(c.Deadline) &&
+		slices.ContainsFunc(a.record.processes, func(l *Process) bool {
+			return l.Node == c.Node && l.Ended.After(call.AnswerWritten) && l.Ended.Before(c.Notices[0].At) &&
+				l.KillSent.Before(call.AnswerWritten.Add(giveUpMargin))
+		})
 }
 
 // checkOrder checks that messages of one key take effect in the order in which they were handed in.
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -51,6 +51,7 @@
 	return p, nil
 }
 
+// serve starts an HTTP server at an address of its own, behind a network.
 func (p *Platform) serve(h http.Handler, network *Network) (*server, error) {
 	l, err := net.Listen("tcp", p.IP+":0")
 	if err != nil {
@@ -67,6 +68,7 @@
 // connKey is the context key of a request's connection.
 type connKey struct{}
 
+// withConn adds the connection to the context of its requests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
@@ -135,8 +137,8 @@
 // oldAddressGrace is how long connections to an agent's old address stay open after a move.
 const oldAddressGrace = 1500 * time.Millisecond
 
-// ChangeAddress moves the agent to a new address. The old one accepts no new connections and closes those it has after
-// oldAddressGrace.
+// ChangeAddress moves the agent to a new address. The old one accepts no new connections and closes those it has
+// after oldAddressGrace.
 func (a *Agent) ChangeAddress() error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", a.watch)
@@ -185,6 +187,7 @@
 // line every eighth of it.
 const keepAliveTime = 2 * time.Second
 
+// watch serves the list of hosts, as a stream of its revisions.
 func (a *Agent) watch(w http.ResponseWriter, r *http.Request) {
 	last := int64(-1)
 	for r.Context().Err() == nil {
@@ -230,6 +233,7 @@
 	})
 }
 
+// notices records the notices of a request, and answers it unless the agent is mute.
 func (a *Agent) notices(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -300,6 +304,7 @@
 // maxHostDelay bounds the time that a host takes for an answer.
 const maxHostDelay = 20 * time.Millisecond
 
+// drawOutcome draws the outcome of one message by the host's behaviour.
 func (h *Host) drawOutcome() outcome {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -344,6 +349,7 @@
 	outcome   outcome
 }
 
+// serve handles one call: it records the call and acts out the drawn outcomes of its messages.
 func (h *Host) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/internal/emulator/record.go
+++ b/internal/emulator/record.go
@@ -53,7 +53,7 @@
 	AnswerBegun   time.Time     // start of the answer, zero for none
 	AnswerWritten time.Time     // end of the write of the answer, zero for none
 	Finished      time.Time     // end of the call: by its answer or the end of its connection
-	RetryAfter    time.Duration // that the host asked the relay to keep, 0 for none
+	RetryAfter    time.Duration // wait that the host asked for, 0 for none
 	Timeout       time.Duration // time that the relay said it waits for the answer, 0 if it said none
 
 	conn *faultyConn // connection that carried the call
@@ -151,6 +151,7 @@
 	r.addPeriod(&r.writeFaults, node, length)
 }
 
+// addPeriod adds a period of a node from now on to spans.
 func (r *Record) addPeriod(spans *[]nodePeriod, node int, length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -428,7 +429,8 @@
 // holds mu.
 func (r *Record) sentWhileLeaving(c *History) bool {
 	for _, l := range r.processes {
-		if l.Node == c.Node && !l.StopSent.IsZero() && c.Sent.After(l.StopSent) && c.Sent.Before(l.StopSent.Add(newConnectionsFor)) {
+		if l.Node == c.Node && !l.StopSent.IsZero() && c.Sent.After(l.StopSent) &&
+			c.Sent.Before(l.StopSent.Add(newConnectionsFor)) {
 			return true
 		}
 	}
--- a/internal/shim/call.go
+++ b/internal/shim/call.go
@@ -110,6 +110,7 @@
 	t.process.countHit(k)
 }
 
+// read injects faults into a read.
 func (t *tracer) read(pid int, regs *unix.PtraceRegs) {
 	if !isSocket(pid, regs.Rdi) {
 		t.fail(pid, regs, FileReadFails, t.fdInState(pid, regs.Rdi), unix.EIO)
@@ -124,6 +125,7 @@
 	}
 }
 
+// write injects faults into a write.
 func (t *tracer) write(pid int, regs *unix.PtraceRegs) {
 	if !isSocket(pid, regs.Rdi) {
 		t.writeFile(pid, regs)
@@ -148,6 +150,7 @@
 	}
 }
 
+// writeFile injects faults into a write to a file of the state directory.
 func (t *tracer) writeFile(pid int, regs *unix.PtraceRegs) {
 	if !t.fdInState(pid, regs.Rdi) {
 		return
@@ -185,10 +188,12 @@
 	t.process.countHit(WallClock)
 }
 
+// isSocket reports whether a descriptor of a process refers to a socket.
 func isSocket(pid int, fd uint64) bool {
 	return strings.HasPrefix(fdTarget(pid, fd), "socket:")
 }
 
+// fdTarget returns the file or socket that a descriptor of a process refers to, as /proc names it.
 func fdTarget(pid int, fd uint64) string {
 	name, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", pid, int32(fd)))
 	return name
--- a/internal/shim/shim.go
+++ b/internal/shim/shim.go
@@ -162,11 +162,13 @@
 // Exit returns the exit status. It is valid once Done is closed.
 func (p *Process) Exit() syscall.WaitStatus { return p.exit }
 
+// isActive reports whether a kind of fault is active.
 func (p *Process) isActive(k Kind) bool {
 	on, _ := p.active.Load(k)
 	return on == true
 }
 
+// countHit counts an injected fault.
 func (p *Process) countHit(k Kind) {
 	p.mu.Lock()
 	p.hits[k]++
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -22,8 +22,8 @@
 // node is one relay over all of its processes.
 type node struct {
 	run    *run
-	number int
-	dir    string // holds the configuration file and the state directory
+	number int    // node number, from 0
+	dir    string // contains the configuration file and the state directory
 	addr   string // listen address
 	agent  *emulator.Agent
 
@@ -156,6 +156,7 @@
 // startTimeout is how long a process may take to become ready.
 const startTimeout = 30 * time.Second
 
+// awaitReady waits until a new process answers its readiness check.
 func (n *node) awaitReady(p *shim.Process, life *emulator.Process) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -244,7 +245,7 @@
 
 const (
 	// maxCPUShare is the share of a core above which a process is taken to have been busy-looping: it carries
-	// only a hundred messages a second.
+	// only a hundred messages per second.
 	maxCPUShare = 0.6
 	// minCPURun is the shortest process lifetime that maxCPUShare is applied to.
 	minCPURun = 2 * time.Second
@@ -296,12 +297,14 @@
 	}
 }
 
+// halfCloses reports whether clients half-close their connections after requests at present.
 func (n *node) halfCloses() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.clientsHalfClose
 }
 
+// abandonsRequests reports whether clients close their connections within requests at present.
 func (n *node) abandonsRequests() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -58,12 +58,13 @@
 
 // Result is the result of a run.
 type Result struct {
-	Seed           uint64                  `json:"seed"`
-	Findings       []*emulator.Finding     `json:"findings"`
-	Hits           map[Kind]int            `json:"faults"`
-	Violations     []string                `json:"violations,omitempty"` // reported by processes, and their unexpected exits
+	Seed     uint64              `json:"seed"`
+	Findings []*emulator.Finding `json:"findings"`
+	Hits     map[Kind]int        `json:"faults"` // number of injected faults by kind
+	// Violations are the rule violations that processes reported, and their unexpected exits.
+	Violations     []string                `json:"violations,omitempty"`
 	Requests       int                     `json:"requests"`
-	Replies        map[string]int          `json:"replies"`
+	Replies        map[string]int          `json:"replies"` // number of requests by status or connection end
 	DeliveryCounts emulator.DeliveryCounts `json:"service"`
 	Connections    int                     `json:"accepted"`        // number of connections to hosts
 	Lag            time.Duration           `json:"lag_ns"`          // largest delay of the emulator's own timers
@@ -92,9 +93,9 @@
 	mu     sync.Mutex
 	hits   map[Kind]int
 	active map[Kind]map[int]int // number of active faults by kind and node or host
-	errs   []string
-	lag    time.Duration
-	maxCPU float64 // largest share of a core that a process used
+	errs   []string             // errors in injecting faults
+	lag    time.Duration        // largest delay of the emulator's own timers
+	maxCPU float64              // largest share of a core that a process used
 }
 
 // hostKinds are the kinds of hosts, used in turn: "small" ones take one message per call, "large" ones several.
@@ -274,12 +275,14 @@
 	return slices.ContainsFunc(r.opt.Faults, func(f Fault) bool { return f.Kind == k })
 }
 
+// countHit counts an injected fault.
 func (r *run) countHit(k Kind) {
 	r.mu.Lock()
 	r.hits[k]++
 	r.mu.Unlock()
 }
 
+// recordError records an error, if any, as a violation of the run.
 func (r *run) recordError(err error) {
 	if err != nil {
 		r.mu.Lock()
@@ -338,7 +341,8 @@
 		r.countHit(k)
 	}
 	behaviours := map[Kind]emulator.Behaviour{HostFails: emulator.Failing, HostFull: emulator.Overloaded,
-		HostHangs: emulator.Hanging, HostCuts: emulator.Disconnecting, HostForgets: emulator.ClosingAfterAnswer, HostBlank: emulator.NoStatus}
+		HostHangs: emulator.Hanging, HostCuts: emulator.Disconnecting,
+		HostForgets: emulator.ClosingAfterAnswer, HostBlank: emulator.NoStatus}
 	if behaviour, is := behaviours[k]; is {
 		if !on {
 			behaviour = emulator.Healthy
@@ -415,6 +419,7 @@
 	}
 }
 
+// isSyscallFault reports whether a kind is one of package shim's.
 func isSyscallFault(k Kind) bool {
 	for _, s := range shim.Kinds {
 		if Kind(s) == k {
--- a/internal/soak/scenario.go
+++ b/internal/soak/scenario.go
@@ -86,6 +86,7 @@
 	return all, nil
 }
 
+// parseFault parses one fault.
 func parseFault(text string) (f Fault, err error) {
 	kind, rest, _ := strings.Cut(text, "@")
 	where, rest, _ := strings.Cut(rest, "+")
@@ -221,7 +222,8 @@
 	return all
 }
 
-// drawShortFaults draws the short faults of one node or host: 50 to 350 ms apart, 30 to 280 ms long, some kinds longer.
+// drawShortFaults draws the short faults of one node or host: 50 to 350 ms apart, 30 to 280 ms long,
+// some kinds longer.
 func drawShortFaults(r *rand.Rand, where int, length time.Duration, kinds []Kind) (all []Fault) {
 	for at := between(r, 0, time.Second); len(kinds) > 0 && at < length; at += between(r,
 		50*time.Millisecond, 350*time.Millisecond) {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -120,8 +120,8 @@
 	os.Exit(status)
 }
 
-// TestLogTailFindsViolationsAndPanics guards against violations and panics in a process's log that are missed, also where a line arrives in
-// several writes.
+// TestLogTailFindsViolationsAndPanics guards against violations and panics in a process's log that are missed, also
+// where a line arrives in several writes.
 func TestLogTailFindsViolationsAndPanics(t *testing.T) {
 	var tail logTail
 	for _, text := range []string{"{\"cause\":\"count\"}\n{\"cause\":",
@@ -144,7 +144,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d of %d delivered, %d ended without a call", res.DeliveryCounts.Delivered, res.Requests, res.DeliveryCounts.Untried)
+	t.Logf("%d of %d delivered, %d ended without a call",
+		res.DeliveryCounts.Delivered, res.Requests, res.DeliveryCounts.Untried)
 	const served, failed = 0.97, 0.03
 	if float64(res.DeliveryCounts.Delivered) < (served-failed)*float64(res.Requests) {
 		t.Errorf("%d of %d delivered in time, want %v", res.DeliveryCounts.Delivered, res.Requests, served-failed)
@@ -243,8 +244,8 @@
 	return strings.Join(faults, ",")
 }
 
-// TestAuditFindsNodesThatTrustRepeatedAnswers guards against an audit that misses the effects of repeated answers: nodes
-// that accept every answer of their hosts must break an invariant.
+// TestAuditFindsNodesThatTrustRepeatedAnswers guards against an audit that misses the effects of repeated answers:
+// nodes that accept every answer of their hosts must break an invariant.
 func TestAuditFindsNodesThatTrustRepeatedAnswers(t *testing.T) {
 	t.Parallel()
 	program := build(t)
