--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -60,10 +60,10 @@
 
 // newHistory returns the history of the next request, with its ID, class and key.
 func (c *Client) newHistory() *History {
-	lane := c.Classes[c.r.IntN(len(c.Classes))]
+	class := c.Classes[c.r.IntN(len(c.Classes))]
 	c.lastNumber++
-	x := &History{ID: fmt.Sprintf("%s-%d", c.Name, c.lastNumber), Node: c.Node, Class: lane, Number: c.lastNumber}
-	if lane.Ordered {
+	x := &History{ID: fmt.Sprintf("%s-%d", c.Name, c.lastNumber), Node: c.Node, Class: class, Number: c.lastNumber}
+	if class.Ordered {
 		x.Key = c.Name
 	}
 	return x
--- a/internal/emulator/record.go
+++ b/internal/emulator/record.go
@@ -151,18 +151,18 @@
 	r.addPeriod(&r.writeFaults, node, length)
 }
 
-// addPeriod adds a period of a node from now on to spans.
-func (r *Record) addPeriod(spans *[]nodePeriod, node int, length time.Duration) {
+// addPeriod adds a period of a node from now on to periods.
+func (r *Record) addPeriod(periods *[]nodePeriod, node int, length time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	*spans = append(*spans, nodePeriod{node, now, now.Add(length)})
+	*periods = append(*periods, nodePeriod{node, now, now.Add(length)})
 }
 
 // covers reports whether the periods of a node together cover all of a time range. The periods must be in the
 // order of their starts.
-func covers(spans []nodePeriod, node int, from, to time.Time) bool {
-	for _, s := range spans {
+func covers(periods []nodePeriod, node int, from, to time.Time) bool {
+	for _, s := range periods {
 		if s.node == node && s.from.Before(from) && s.to.After(from) {
 			from = s.to
 		}
@@ -171,8 +171,8 @@
 }
 
 // overlaps reports whether a period of a node overlaps a time range.
-func overlaps(spans []nodePeriod, node int, from, to time.Time) bool {
-	return slices.ContainsFunc(spans, func(s nodePeriod) bool {
+func overlaps(periods []nodePeriod, node int, from, to time.Time) bool {
+	return slices.ContainsFunc(periods, func(s nodePeriod) bool {
 		return s.node == node && s.from.Before(to) && s.to.After(from)
 	})
 }
