--- a/internal/mqtt/encode.go
+++ b/internal/mqtt/encode.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// AppendVarint appends a variable byte integer.
+// AppendVarint appends v as a variable byte integer (MQTT 5.0, 1.5.5).
 func AppendVarint(b []byte, v int) []byte {
 	for v >= 0x80 {
 		b = append(b, byte(v)|0x80)
@@ -11,6 +11,7 @@
 	return append(b, byte(v))
 }
 
+// sizeVarint returns the encoded length of v as a variable byte integer, in bytes.
 func sizeVarint(v int) int {
 	n := 1
 	for ; v >= 0x80; v >>= 7 {
@@ -29,10 +30,10 @@
 	return append(b, s...)
 }
 
-// appendProps appends the properties that hold a value, without their length.
+// appendProps appends the properties that are set, without the length field that precedes them.
 func appendProps(b []byte, p *Props) []byte {
-	u8 := func(id, v byte, there bool) {
-		if there {
+	u8 := func(id, v byte, isSet bool) {
+		if isSet {
 			b = append(b, id, v)
 		}
 	}
@@ -80,18 +81,19 @@
 	return b
 }
 
-// Offers are the properties of a CONNACK that say what is not offered here:
-// retained messages, wildcard and shared subscriptions, subscription ids.
-func Offers() Props {
+// UnsupportedFeatures returns the CONNACK properties that declare retained messages, wildcard
+// and shared subscriptions and subscription identifiers as unavailable.
+func UnsupportedFeatures() Props {
 	return Props{set: 1<<pRetainAvailable | 1<<pWildcard | 1<<pSubIDs | 1<<pShared}
 }
 
-// packet appends fixed header and body.
-func packet(b []byte, first byte, body []byte) []byte {
+// appendPacket appends a fixed header, with first as its first byte, and the body.
+func appendPacket(b []byte, first byte, body []byte) []byte {
 	return append(AppendVarint(append(b, first), len(body)), body...)
 }
 
-// AppendConnack appends a CONNACK. Code is of the version spoken.
+// AppendConnack appends a CONNACK. The values of code are those of the given
+// protocol version: a reason code in 5.0, a return code in 3.1.1.
 func AppendConnack(b []byte, version byte, present bool, code byte, p *Props) []byte {
 	body := []byte{0, code}
 	if present {
@@ -101,13 +103,13 @@
 		props := appendProps(nil, p)
 		body = append(AppendVarint(body, len(props)), props...)
 	}
-	return packet(b, CONNACK<<4, body)
+	return appendPacket(b, CONNACK<<4, body)
 }
 
-// AppendConnect appends a CONNECT.
+// AppendConnect appends a CONNECT. It does not write a will.
 func AppendConnect(b []byte, c *Connect) []byte {
 	flags := byte(0)
-	if c.Clean {
+	if c.CleanStart {
 		flags |= 2
 	}
 	if c.HasUser {
@@ -130,7 +132,7 @@
 	if c.Password != nil {
 		body = appendBytes(body, c.Password)
 	}
-	return packet(b, CONNECT<<4, body)
+	return appendPacket(b, CONNECT<<4, body)
 }
 
 // AppendPublish appends a PUBLISH.
@@ -162,8 +164,8 @@
 	return append(b, p.Payload...)
 }
 
-// AppendAck appends a PUBACK, PUBREC, PUBREL or PUBCOMP; the reason string is
-// left out if empty.
+// AppendAck appends a PUBACK, PUBREC, PUBREL or PUBCOMP. An empty reason string
+// is omitted.
 func AppendAck(b []byte, version, kind byte, id uint16, code byte, reason string) []byte {
 	first := kind << 4
 	if kind == PUBREL {
@@ -177,10 +179,10 @@
 			body = append(AppendVarint(body, len(props)), props...)
 		}
 	}
-	return packet(b, first, body)
+	return appendPacket(b, first, body)
 }
 
-// AppendSubscribe appends a SUBSCRIBE.
+// AppendSubscribe appends a SUBSCRIBE without properties.
 func AppendSubscribe(b []byte, version byte, id uint16, filters ...Filter) []byte {
 	body := binary.BigEndian.AppendUint16(nil, id)
 	if version == V5 {
@@ -189,10 +191,11 @@
 	for _, f := range filters {
 		body = append(appendString(body, f.Topic), f.QoS)
 	}
-	return packet(b, SUBSCRIBE<<4|2, body)
+	return appendPacket(b, SUBSCRIBE<<4|2, body)
 }
 
-// AppendSuback appends a SUBACK or an UNSUBACK.
+// AppendSuback appends a SUBACK or an UNSUBACK without properties. An UNSUBACK
+// of 3.1.1 carries no codes.
 func AppendSuback(b []byte, version, kind byte, id uint16, codes []byte) []byte {
 	body := binary.BigEndian.AppendUint16(nil, id)
 	if version == V5 {
@@ -201,17 +204,17 @@
 	if version == V5 || kind == SUBACK {
 		body = append(body, codes...)
 	}
-	return packet(b, kind<<4, body)
+	return appendPacket(b, kind<<4, body)
 }
 
-// AppendDisconnect appends a DISCONNECT; only 5.0 servers send one.
+// AppendDisconnect appends a DISCONNECT of MQTT 5.0; servers of 3.1.1 send none.
 func AppendDisconnect(b []byte, code byte, reason string) []byte {
 	body := []byte{code}
 	if reason != "" {
 		props := appendProps(nil, &Props{ReasonString: reason})
 		body = append(AppendVarint(body, len(props)), props...)
 	}
-	return packet(b, DISCONNECT<<4, body)
+	return appendPacket(b, DISCONNECT<<4, body)
 }
 
 // AppendEmpty appends a PINGREQ or PINGRESP.
--- a/internal/mqttfront/conn.go
+++ b/internal/mqttfront/conn.go
@@ -18,96 +18,98 @@
 
 // conn is one client's connection.
 type conn struct {
-	front   *Front
-	nb      *engine.Conn
-	sec     *secure.Conn // nil without TLS
-	out     io.Writer
-	named   string // by a verified client certificate
-	opened  time.Time
-	last    atomic.Int64 // unix ns of the last packet
-	since   atomic.Int64 // a half packet began; 0 for none
-	held    atomic.Int64 // bytes of it
-	ended   atomic.Bool
-	wmu     sync.Mutex  // held to write: nothing follows DISCONNECT (3.14)
-	polite  atomic.Bool // DISCONNECT came, the will is off
-	greeted atomic.Bool // a CONNACK of 5.0 is out
+	front         *Front
+	nb            *engine.Conn
+	sec           *secure.Conn // nil without TLS
+	out           io.Writer    // nb, or sec with TLS
+	certName      string       // common name of the verified client certificate, empty for none
+	openedAt      time.Time
+	lastPacket    atomic.Int64 // time of the last packet, as of front.Now
+	partialSince  atomic.Int64 // start of the partially received packet, as of front.Now; 0 for none
+	partialBytes  atomic.Int64 // bytes of the partially received packet
+	ended         atomic.Bool
+	writeMu       sync.Mutex  // held for each write and to set ended, as nothing may follow DISCONNECT (3.14)
+	discardWill   atomic.Bool // DISCONNECT received that discards the will
+	canDisconnect atomic.Bool // CONNACK of MQTT 5.0 sent, so that DISCONNECT may be sent
 
-	// Reading; under mu, which is held by whoever handles packets.
-	mu      sync.Mutex
-	buf     []byte
-	state   state
-	version byte
-	s       *session
-	keep    time.Duration // 0 for none
-	aliases map[uint16]string
+	// Input state; guarded by mu, which is held while packets are handled.
+	mu        sync.Mutex
+	buf       []byte // received, not yet handled
+	state     state
+	version   byte
+	session   *session
+	keepAlive time.Duration // 0 for none
+	aliases   map[uint16]string
 
-	// Set at CONNECT, under the session's mu from then on.
-	window  int    // client's Receive Maximum
-	largest int    // client's Maximum Packet Size
-	problem bool   // reason strings are wanted
-	obuf    []byte // to write once the session is let go
-	dirty   bool
+	// Set at CONNECT, guarded by the session's mu from then on.
+	receiveMax      int    // Receive Maximum of the client
+	clientMaxPacket int    // Maximum Packet Size of the client, 0 for none
+	wantReason      bool   // the client wants reason strings
+	outQueue        []byte // packets to write before the session's mu is released
+	dirty           bool   // on writeLoop's list of connections to flush
 }
 
+// state is the progress of a connection towards its session.
 type state int
 
 const (
-	fresh state = iota
-	checking
+	awaitingConnect state = iota
+	authenticating
 	connected
 )
 
-// later queues bytes until flush; under the session's mu.
-func (c *conn) later(b []byte) {
-	if c.largest > 0 && len(b) > c.largest {
-		return // 3.1.2.11.4: as if it had been sent
+// enqueue queues a packet until flush; under the session's mu.
+func (c *conn) enqueue(b []byte) {
+	if c.clientMaxPacket > 0 && len(b) > c.clientMaxPacket {
+		return // over the client's Maximum Packet Size: treated as sent (3.1.2.11.4)
 	}
-	c.obuf = append(c.obuf, b...)
+	c.outQueue = append(c.outQueue, b...)
 }
 
-// flush writes what later queued.
+// flush writes the queued packets.
 func (c *conn) flush() {
-	c.s.mu.Lock()
-	c.write()
-	c.s.mu.Unlock()
+	c.session.mu.Lock()
+	c.writeQueued()
+	c.session.mu.Unlock()
 }
 
-// write is flush under the session's mu, for the order; it never blocks, and an
-// error closes the connection.
-func (c *conn) write() {
-	b := c.obuf
-	c.obuf, c.dirty = nil, false
+// writeQueued writes the queued packets; the caller holds the session's mu, which keeps
+// their order. It never blocks, and an error closes the connection.
+func (c *conn) writeQueued() {
+	b := c.outQueue
+	c.outQueue, c.dirty = nil, false
 	if len(b) == 0 {
 		return
 	}
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	if !c.ended.Load() {
 		_, _ = c.out.Write(b)
 	}
 }
 
+// reason returns text if the client wants reason strings, else "".
 func (c *conn) reason(text string) string {
-	if !c.problem {
+	if !c.wantReason {
 		return ""
 	}
 	return text
 }
 
-// end says why, where the version has a way to, and closes. It reports false for a
-// connection that has ended before.
+// end closes the connection, in MQTT 5.0 after a DISCONNECT with code and reason. It
+// returns false if the connection has ended before.
 func (c *conn) end(code byte, reason string) bool {
-	c.wmu.Lock()
+	c.writeMu.Lock()
 	if c.ended.Swap(true) {
-		c.wmu.Unlock()
+		c.writeMu.Unlock()
 		return false
 	}
-	if c.greeted.Load() {
+	if c.canDisconnect.Load() {
 		_, _ = c.out.Write(mqtt.AppendDisconnect(nil, code, reason))
 	}
-	c.wmu.Unlock()
+	c.writeMu.Unlock()
 	c.front.opt.Observer.Closed(code)
-	if code == mqtt.QuotaExceeded { // its memory is wanted now
+	if code == mqtt.QuotaExceeded { // frees its buffers at once
 		_ = c.nb.Close()
 		return true
 	}
@@ -115,48 +117,50 @@
 	return true
 }
 
-// Data takes in what the socket gave.
+// Data accepts bytes received on the socket.
 func (c *conn) Data(b []byte) {
 	if c.sec != nil {
 		c.sec.Data(b)
 		return
 	}
-	c.plain(b)
+	c.handlePlaintext(b)
 }
 
-// ready goes on after the TLS handshake.
-func (c *conn) ready(s *secure.Conn, err error) func([]byte) {
+// handshakeDone is called after the TLS handshake and returns the receiver of the
+// plaintext.
+func (c *conn) handshakeDone(s *secure.Conn, err error) func([]byte) {
 	c.front.opt.Observer.Handshake(err)
 	if err != nil {
 		return nil
 	}
-	if certs := s.ConnectionState().PeerCertificates; len(certs) > 0 { // verified, or the handshake had failed
+	if certs := s.ConnectionState().PeerCertificates; len(certs) > 0 { // verified by the handshake
 		c.mu.Lock()
-		c.named = certs[0].Subject.CommonName
+		c.certName = certs[0].Subject.CommonName
 		c.mu.Unlock()
 	}
-	return c.plain
+	return c.handlePlaintext
 }
 
-func (c *conn) plain(b []byte) {
+// handlePlaintext accepts received MQTT bytes.
+func (c *conn) handlePlaintext(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.process(b)
 }
 
-// process handles whole packets and keeps the rest; under mu.
+// process handles complete packets and keeps the rest; under mu.
 func (c *conn) process(b []byte) {
-	own := len(c.buf) > 0
-	if own {
+	buffered := len(c.buf) > 0
+	if buffered {
 		c.front.reserve(c, len(b))
 		c.buf = append(c.buf, b...)
 		b = c.buf
 	}
 	limit := c.front.max
 	if c.state != connected {
-		limit = min(limit, firstPacket)
+		limit = min(limit, maxBeforeConnack)
 	}
-	for !c.ended.Load() && c.state != checking {
+	for !c.ended.Load() && c.state != authenticating {
 		first, body, rest, ok, err := mqtt.Frame(b, limit)
 		if err != nil {
 			c.end(err.Code, err.Text)
@@ -165,10 +169,10 @@
 		if !ok {
 			break
 		}
-		c.last.Store(front.Now())
-		c.since.Store(0)
+		c.lastPacket.Store(front.Now())
+		c.partialSince.Store(0)
 		b = rest
-		if err := c.packet(first, body); err != nil {
+		if err := c.handlePacket(first, body); err != nil {
 			c.refuse(err)
 			break
 		}
@@ -177,31 +181,32 @@
 	if c.ended.Load() {
 		b = nil
 	}
-	if c.state == checking && len(b) > firstPacket {
+	if c.state == authenticating && len(b) > maxBeforeConnack {
 		c.end(mqtt.QuotaExceeded, "too much sent before the CONNACK")
 		b = nil
 	}
-	if c.s != nil {
+	if c.session != nil {
 		c.flush()
 	}
 	switch {
 	case len(b) == 0:
 		c.buf = nil
-		c.since.Store(0)
-	case own:
+		c.partialSince.Store(0)
+	case buffered:
 		c.buf = b[:len(b):len(b)]
 	default:
 		c.buf = bytes.Clone(b)
 	}
-	if len(b) > 0 && c.since.Load() == 0 {
-		c.since.Store(front.Now())
+	if len(b) > 0 && c.partialSince.Load() == 0 {
+		c.partialSince.Store(front.Now())
 	}
-	c.front.reserve(c, len(b)-int(c.held.Load()))
+	c.front.reserve(c, len(b)-int(c.partialBytes.Load()))
 }
 
-// refuse ends the connection for a fault, within CONNACK if none was sent.
+// refuse closes the connection for an error of the client, with a CONNACK of the error's
+// code if none was sent.
 func (c *conn) refuse(err *mqtt.Error) {
-	if c.s != nil || c.ended.Load() {
+	if c.session != nil || c.ended.Load() {
 		c.end(err.Code, err.Text)
 		return
 	}
@@ -231,25 +236,26 @@
 	c.end(err.Code, err.Text)
 }
 
-// overdue ends a connection whose time for something is over.
-func (c *conn) overdue(now time.Time) {
+// checkTimeouts closes a connection that exceeds the time limit of a packet, of CONNECT
+// or of its keep-alive.
+func (c *conn) checkTimeouts(now time.Time) {
 	wait := c.front.opt.Handshake
-	if since := c.since.Load(); since != 0 && front.Nanos(now)-since > int64(wait) {
+	if since := c.partialSince.Load(); since != 0 && front.Nanos(now)-since > int64(wait) {
 		c.end(mqtt.ProtocolError, "packet was not finished in time")
 		return
 	}
 	c.mu.Lock()
-	st, keep := c.state, c.keep
+	st, keep := c.state, c.keepAlive
 	c.mu.Unlock()
 	switch {
-	case st != connected && now.Sub(c.opened) > wait:
+	case st != connected && now.Sub(c.openedAt) > wait:
 		c.end(mqtt.ProtocolError, "no CONNECT in time")
-	case st == connected && keep > 0 && front.Nanos(now)-c.last.Load() > int64(keep+keep/2):
+	case st == connected && keep > 0 && front.Nanos(now)-c.lastPacket.Load() > int64(keep+keep/2):
 		c.end(mqtt.KeepAliveTimeout, "nothing came within one and a half keep-alive times")
 	}
 }
 
-// Closed takes in the end of the connection.
+// Closed is called when the connection has ended. It detaches the session.
 func (c *conn) Closed() {
 	f := c.front
 	if c.sec != nil {
@@ -260,9 +266,9 @@
 	f.mu.Unlock()
 	c.mu.Lock()
 	c.ended.Store(true)
-	s := c.s
+	s := c.session
 	c.buf = nil
-	f.reserve(c, -int(c.held.Load()))
+	f.reserve(c, -int(c.partialBytes.Load()))
 	c.mu.Unlock()
 	if s == nil {
 		return
@@ -272,22 +278,22 @@
 		s.mu.Unlock()
 		return
 	}
-	s.conn, s.away, s.open = nil, time.Now(), 0
-	if c.polite.Load() {
+	s.conn, s.disconnectedAt, s.inFlight = nil, time.Now(), 0
+	if c.discardWill.Load() {
 		s.will = nil
 	}
 	if s.will != nil {
-		s.willAt = s.away.Add(time.Duration(s.will.Props.WillDelay) * time.Second)
+		s.willAt = s.disconnectedAt.Add(time.Duration(s.will.Props.WillDelay) * time.Second)
 	}
-	s.due()
+	s.scheduleExpiry()
 	s.mu.Unlock()
 	f.expire(s, time.Now())
 }
 
-// packet handles one packet.
-func (c *conn) packet(first byte, body []byte) *mqtt.Error {
+// handlePacket handles one packet.
+func (c *conn) handlePacket(first byte, body []byte) *mqtt.Error {
 	kind := first >> 4
-	if c.state == fresh {
+	if c.state == awaitingConnect {
 		if kind != mqtt.CONNECT {
 			return &mqtt.Error{Code: mqtt.ProtocolError, Text: "first packet is no CONNECT"}
 		}
@@ -301,20 +307,20 @@
 		if err != nil {
 			return err
 		}
-		c.s.mu.Lock()
-		c.s.acked(a)
-		c.s.mu.Unlock()
+		c.session.mu.Lock()
+		c.session.handleAck(a)
+		c.session.mu.Unlock()
 	case mqtt.PUBREL:
-		return c.release(first, body)
+		return c.handlePubrel(first, body)
 	case mqtt.SUBSCRIBE, mqtt.UNSUBSCRIBE:
 		return c.subscribe(first, body)
 	case mqtt.PINGREQ:
 		if first&0x0f != 0 || len(body) > 0 {
 			return &mqtt.Error{Code: mqtt.MalformedPacket, Text: "PINGREQ with flags or content"}
 		}
-		c.s.mu.Lock()
-		c.later(mqtt.AppendEmpty(nil, mqtt.PINGRESP))
-		c.s.mu.Unlock()
+		c.session.mu.Lock()
+		c.enqueue(mqtt.AppendEmpty(nil, mqtt.PINGRESP))
+		c.session.mu.Unlock()
 	case mqtt.DISCONNECT:
 		return c.disconnect(first, body)
 	case mqtt.AUTH:
@@ -325,33 +331,36 @@
 	return nil
 }
 
+// disconnect handles DISCONNECT.
 func (c *conn) disconnect(first byte, body []byte) *mqtt.Error {
 	d, err := mqtt.ParseDisconnect(c.version, first, body)
 	if err != nil {
 		return err
 	}
-	s := c.s
+	s := c.session
 	s.mu.Lock()
 	if d.Props.HasSessionExpiry() {
 		if s.expiry == 0 && d.Props.SessionExpiry != 0 {
 			s.mu.Unlock()
 			return &mqtt.Error{Code: mqtt.ProtocolError, Text: "session expiry was 0 and stays so"}
 		}
-		s.expiry = c.front.expiry(d.Props.SessionExpiry)
-		s.keep()
+		s.expiry = c.front.boundedExpiry(d.Props.SessionExpiry)
+		s.persist()
 	}
 	s.mu.Unlock()
-	c.polite.Store(d.Code != mqtt.DisconnectWithWill)
+	c.discardWill.Store(d.Code != mqtt.DisconnectWithWill)
 	c.ended.Store(true)
 	c.nb.Finish(front.Farewell)
 	return nil
 }
 
-func (f *Front) expiry(seconds uint32) time.Duration {
+// boundedExpiry returns a Session Expiry Interval, limited to Options.SessionExpiry.
+func (f *Front) boundedExpiry(seconds uint32) time.Duration {
 	return min(time.Duration(seconds)*time.Second, f.opt.SessionExpiry)
 }
 
-// connect handles CONNECT: checks, then the password on another goroutine, then the session.
+// connect handles CONNECT: it checks the packet, checks the password on another goroutine
+// unless it is cached, and then admits the client.
 func (c *conn) connect(first byte, body []byte) *mqtt.Error {
 	in, err := mqtt.ParseConnect(first, body)
 	if in != nil {
@@ -366,7 +375,7 @@
 		return &mqtt.Error{Code: mqtt.BadAuthMethod, Text: "enhanced authentication is not offered"}
 	}
 	if in.ClientID == "" {
-		if in.Version == mqtt.V311 && !in.Clean {
+		if in.Version == mqtt.V311 && !in.CleanStart {
 			return &mqtt.Error{Code: mqtt.BadIdentifier, Text: "an empty client identifier needs a clean session"}
 		}
 		in.Props.AssignedID = "auto-" + rand.Text()
@@ -385,11 +394,11 @@
 		if len(w.Payload) > c.front.opt.Body {
 			return &mqtt.Error{Code: mqtt.PacketTooLarge, Text: "will payload is over the limit"}
 		}
-		w.Payload = bytes.Clone(w.Payload) // it outlives the packet
+		w.Payload = bytes.Clone(w.Payload) // the packet's memory is reused
 		w.Props.Correlation = bytes.Clone(w.Props.Correlation)
 	}
-	if c.named != "" { // its certificate is its user name, and stands for the password
-		in.User = c.named
+	if c.certName != "" { // the certificate's name is the user name; no password is needed
+		in.User = c.certName
 		return c.admit(in)
 	}
 	if len(c.front.opt.Users) == 0 {
@@ -398,12 +407,12 @@
 	if !in.HasUser {
 		return &mqtt.Error{Code: mqtt.BadUserOrPassword, Text: "user name and password are needed"}
 	}
-	if ok, _ := c.front.auth.quick(in.User, in.Password); ok {
+	if ok, _ := c.front.auth.checkCached(in.User, in.Password); ok {
 		return c.admit(in)
 	}
 	in.Password = bytes.Clone(in.Password)
 	in.Props.Correlation = nil
-	c.state = checking
+	c.state = authenticating
 	go func() {
 		ok, err := c.front.auth.check(in.User, in.Password)
 		c.mu.Lock()
@@ -411,7 +420,7 @@
 		if c.ended.Load() {
 			return
 		}
-		c.state = fresh
+		c.state = awaitingConnect
 		var fail *mqtt.Error
 		switch {
 		case err != nil:
@@ -432,11 +441,12 @@
 	return nil
 }
 
-// admit gives the client its session and says CONNACK.
+// admit attaches the client's session or a new one to the connection and sends CONNACK
+// and what is due to the client.
 func (c *conn) admit(in *mqtt.Connect) *mqtt.Error {
 	f := c.front
 	keep := time.Duration(in.KeepAlive) * time.Second
-	ack := mqtt.Offers()
+	ack := mqtt.UnsupportedFeatures()
 	if in.Version == mqtt.V5 && f.opt.KeepAlive > 0 && (keep == 0 || keep > f.opt.KeepAlive) {
 		keep = f.opt.KeepAlive
 		ack.ServerKeepAlive = uint16(min(keep/time.Second, 65535))
@@ -444,11 +454,11 @@
 	expiry := time.Duration(0)
 	switch {
 	case in.Version == mqtt.V5:
-		expiry = f.expiry(in.Props.SessionExpiry)
+		expiry = f.boundedExpiry(in.Props.SessionExpiry)
 		if time.Duration(in.Props.SessionExpiry)*time.Second != expiry {
 			ack.SessionExpiry = uint32(expiry / time.Second)
 		}
-	case !in.Clean:
+	case !in.CleanStart:
 		expiry = f.opt.SessionExpiry
 	}
 	f.mu.Lock()
@@ -466,42 +476,43 @@
 		return &mqtt.Error{Code: mqtt.QuotaExceeded, Text: "as many sessions as are kept"}
 	}
 	s := old
-	var before *conn
+	var previous *conn
 	var will *mqtt.Will
 	if s != nil {
 		s.mu.Lock()
-		before, will = s.conn, s.will
-		if s.conn == nil && !time.Now().Before(s.away.Add(s.expiry)) || in.Clean {
-			s.dead, s.conn = true, nil
-			s.due()
+		previous, will = s.conn, s.will
+		if s.conn == nil && !time.Now().Before(s.disconnectedAt.Add(s.expiry)) || in.CleanStart {
+			s.removed, s.conn = true, nil
+			s.scheduleExpiry()
 			s.mu.Unlock()
 			s = nil
 		}
 	}
 	present := s != nil
 	if s == nil {
-		s = &session{id: in.ClientID, user: in.User, born: time.Now().UnixNano(), front: f, subs: map[string]byte{}, newest: map[string]*pending{}}
+		s = &session{id: in.ClientID, user: in.User, createdAt: time.Now().UnixNano(), front: f,
+			subs: map[string]byte{}, newest: map[string]*pending{}}
 		f.sessions[in.ClientID] = s
 		s.mu.Lock()
 	}
 	s.conn, s.version, s.expiry, s.will = c, in.Version, expiry, in.Will
 	s.epoch++
-	s.open = len(s.rel)
-	for _, fl := range s.rel {
+	s.inFlight = len(s.qos2Flows)
+	for _, fl := range s.qos2Flows {
 		fl.epoch = s.epoch
 	}
-	c.s, c.state, c.keep = s, connected, keep
-	c.window, c.largest, c.problem = 65535, 0, true
+	c.session, c.state, c.keepAlive = s, connected, keep
+	c.receiveMax, c.clientMaxPacket, c.wantReason = 65535, 0, true
 	if in.Props.HasReceiveMaximum() {
-		c.window = int(in.Props.ReceiveMaximum)
+		c.receiveMax = int(in.Props.ReceiveMaximum)
 	}
 	if in.Props.HasMaximumPacket() {
-		c.largest = int(in.Props.MaximumPacket)
+		c.clientMaxPacket = int(in.Props.MaximumPacket)
 	}
 	if in.Props.HasRequestProblem() {
-		c.problem = in.Props.RequestProblem == 1
+		c.wantReason = in.Props.RequestProblem == 1
 	}
-	s.due()
+	s.scheduleExpiry()
 	ack.AssignedID = in.Props.AssignedID
 	ack.ReceiveMaximum = uint16(f.opt.ReceiveMaximum)
 	ack.AliasMaximum = uint16(f.opt.TopicAliases)
@@ -509,26 +520,29 @@
 	if in.Props.RequestResponse == 1 {
 		ack.ResponseInfo = answersTopic(s.id)
 	}
-	s.keep()
-	c.later(mqtt.AppendConnack(nil, c.version, present, mqtt.Success, &ack))
-	s.resume()
-	c.write()
-	c.greeted.Store(c.version == mqtt.V5)
+	s.persist()
+	c.enqueue(mqtt.AppendConnack(nil, c.version, present, mqtt.Success, &ack))
+	s.resendUnacked()
+	c.writeQueued()
+	c.canDisconnect.Store(c.version == mqtt.V5)
 	s.mu.Unlock()
 	f.mu.Unlock()
-	if before != nil {
-		go before.end(mqtt.SessionTakenOver, "another connection has this client identifier")
+	if previous != nil {
+		go previous.end(mqtt.SessionTakenOver, "another connection has this client identifier")
 	}
-	// A will of a connection that was taken over, or of a session that ends
-	// with it, is due at once unless its delay runs on with the session.
-	if will != nil && (!present || before != nil && will.Props.WillDelay == 0) {
+	// The will of a connection that was taken over is due now if it has no delay, and so is
+	// any will of a session that has ended. Else its delay continues with the session.
+	if will != nil && (!present || previous != nil && will.Props.WillDelay == 0) {
 		go f.publishWill(s, will)
 	}
 	return nil
 }
 
+// answersTopic returns the topic of a client's answers, unless a PUBLISH names another by
+// its Response Topic.
 func answersTopic(clientID string) string { return "answers/" + clientID }
 
+// publish handles PUBLISH.
 func (c *conn) publish(first byte, body []byte) *mqtt.Error {
 	p, err := mqtt.ParsePublish(c.version, first, body)
 	if err != nil {
@@ -560,7 +574,7 @@
 	if len(p.Payload) > c.front.opt.Body {
 		return &mqtt.Error{Code: mqtt.PacketTooLarge, Text: "payload is over the limit"}
 	}
-	return c.s.publish(c, &p)
+	return c.session.publish(c, &p)
 }
 
 // subscribe handles SUBSCRIBE and UNSUBSCRIBE.
@@ -572,7 +586,7 @@
 	if in.Props.SubscriptionID != 0 {
 		return &mqtt.Error{Code: mqtt.SubIDsNotSupported, Text: "subscription identifiers are not offered"}
 	}
-	s := c.s
+	s := c.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	codes := make([]byte, 0, len(in.Filters))
@@ -594,7 +608,7 @@
 			code = mqtt.WildcardNotSupported
 		case strings.HasPrefix(f.Topic, "send/") || strings.HasPrefix(f.Topic, "$"):
 			code = mqtt.NotAuthorized
-		case !there && len(s.subs) >= mostSubscriptions:
+		case !there && len(s.subs) >= maxSubscriptions:
 			code = mqtt.QuotaExceeded
 		default:
 			s.subs[f.Topic] = f.QoS
@@ -608,8 +622,8 @@
 	if first>>4 == mqtt.UNSUBSCRIBE {
 		kind = mqtt.UNSUBACK
 	}
-	c.later(mqtt.AppendSuback(nil, c.version, kind, in.ID, codes))
-	s.keep()
-	s.pump()
+	c.enqueue(mqtt.AppendSuback(nil, c.version, kind, in.ID, codes))
+	s.persist()
+	s.sendAnswers()
 	return nil
 }
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -1,10 +1,10 @@
-// Package secure puts crypto/tls over non-blocking connections of an
-// engine. A handshake has a goroutine for as long as it lasts; after it, records
-// are opened on the connection's goroutine of the engine.
+// Package secure runs crypto/tls over the non-blocking connections of package
+// engine. Each handshake runs on a goroutine of its own; after it, records are
+// decrypted on the engine's goroutine of the connection.
 //
-// What makes it work: where the connection beneath has nothing to read,
-// tls.Conn.Read passes a temporary net.Error on, keeps the part of a record that
-// it has, and goes on with it at the next call.
+// It relies on tls.Conn.Read: when the underlying connection has nothing to read
+// and returns a temporary net.Error, Read returns that error, keeps the part of a
+// record that it has read, and continues with it at the next call.
 package secure
 
 import (
@@ -21,234 +21,256 @@
 	"basaltcross.example/basaltcross/internal/engine"
 )
 
-// errNothing says that no bytes are there now.
-type errNothing struct{}
+// errWouldBlock is the temporary error of a non-blocking read with no bytes
+// available.
+type errWouldBlock struct{}
 
-func (errNothing) Error() string   { return "secure: nothing to read now" }
-func (errNothing) Timeout() bool   { return true }
-func (errNothing) Temporary() bool { return true }
+func (errWouldBlock) Error() string   { return "secure: no data available to read" }
+func (errWouldBlock) Timeout() bool   { return true }
+func (errWouldBlock) Temporary() bool { return true }
 
-// ErrFlood ends a connection whose reader cannot keep up with it.
-var ErrFlood = errors.New("secure: too much is waiting to be read")
+// ErrReadBufferFull is the error of a connection that is closed because over 1 MiB received
+// from its peer has not been read.
+var ErrReadBufferFull = errors.New("secure: more than 1 MiB received and not yet read")
 
-// farewell is how long the peer may take to read what was written before a close.
-const farewell = time.Second
+// closeTimeout is the time that the peer has to read what was written before the
+// connection is closed.
+const closeTimeout = time.Second
 
-// most bytes that wait for a blocking reader.
-const most = 1 << 20
+// maxBuffered is the number of received bytes, still encrypted, that are held for a
+// blocking reader.
+const maxBuffered = 1 << 20
 
-// Slots bound the handshakes that compute at once. One that waits for its peer
-// holds none, so that clients that stall hold no others up.
-type Slots chan struct{}
+// HandshakeSlots limits the handshakes that compute at the same time to its capacity. A
+// handshake that waits for its peer holds no slot, so that clients that stall do not
+// delay others.
+type HandshakeSlots chan struct{}
 
-// feed is the net.Conn beneath a tls.Conn: reads come from what the engine
-// hands over, writes go to the engine, which never blocks.
-type feed struct {
+// transport is the net.Conn beneath a tls.Conn. Reads return the bytes that the
+// engine delivered; writes go to the engine and never block.
+type transport struct {
 	nb    *engine.Conn
-	slots Slots
-	write func(*engine.Conn, []byte) (int, error) // nil for the engine's
+	slots HandshakeSlots
+	write func(*engine.Conn, []byte) (int, error) // nil for nb.Write
 
-	mu       sync.Mutex
-	some     sync.Cond
-	buf      []byte
-	err      error
-	calm     bool // reads do not block
-	deadline time.Time
-	timer    *time.Timer
+	mu          sync.Mutex
+	changed     sync.Cond
+	buf         []byte
+	err         error
+	nonBlocking bool // reads return errWouldBlock instead of waiting
+	deadline    time.Time
+	timer       *time.Timer
 }
 
-func newFeed(nb *engine.Conn, slots Slots) *feed {
-	f := &feed{nb: nb, slots: slots}
-	f.some.L = &f.mu
-	return f
+func newTransport(nb *engine.Conn, slots HandshakeSlots) *transport {
+	tr := &transport{nb: nb, slots: slots}
+	tr.changed.L = &tr.mu
+	return tr
 }
 
-func (f *feed) put(b []byte) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.buf)+len(b) > most {
-		f.err = ErrFlood
-		f.buf = nil
-		go f.nb.Close()
-	} else if f.err == nil {
-		f.buf = append(f.buf, b...)
+// deliver appends received bytes for Read. Beyond maxBuffered it closes the
+// connection with ErrReadBufferFull.
+func (tr *transport) deliver(b []byte) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if len(tr.buf)+len(b) > maxBuffered {
+		tr.err = ErrReadBufferFull
+		tr.buf = nil
+		go tr.nb.Close()
+	} else if tr.err == nil {
+		tr.buf = append(tr.buf, b...)
 	}
-	f.some.Broadcast()
+	tr.changed.Broadcast()
 }
 
-func (f *feed) end(err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.err == nil {
-		f.err = err
+// fail makes reads return err once the buffered bytes are read, unless an earlier
+// error is set.
+func (tr *transport) fail(err error) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if tr.err == nil {
+		tr.err = err
 	}
-	if f.timer != nil {
-		f.timer.Stop()
+	if tr.timer != nil {
+		tr.timer.Stop()
 	}
-	f.some.Broadcast()
+	tr.changed.Broadcast()
 }
 
-func (f *feed) Read(b []byte) (int, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for len(f.buf) == 0 {
+// Read returns buffered bytes. While none are there it waits until the read
+// deadline, without its handshake slot, or returns errWouldBlock if reads are
+// non-blocking.
+func (tr *transport) Read(b []byte) (int, error) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	for len(tr.buf) == 0 {
 		switch {
-		case f.err != nil:
-			return 0, f.err
-		case f.calm:
-			return 0, errNothing{}
-		case !f.deadline.IsZero() && !time.Now().Before(f.deadline):
+		case tr.err != nil:
+			return 0, tr.err
+		case tr.nonBlocking:
+			return 0, errWouldBlock{}
+		case !tr.deadline.IsZero() && !time.Now().Before(tr.deadline):
 			return 0, os.ErrDeadlineExceeded
 		}
-		if f.slots != nil {
-			<-f.slots
+		if tr.slots != nil {
+			<-tr.slots
 		}
-		f.some.Wait()
-		if f.slots != nil {
-			f.mu.Unlock()
-			f.slots <- struct{}{}
-			f.mu.Lock()
+		tr.changed.Wait()
+		if tr.slots != nil {
+			tr.mu.Unlock()
+			tr.slots <- struct{}{}
+			tr.mu.Lock()
 		}
 	}
-	n := copy(b, f.buf)
-	if f.buf = f.buf[n:]; len(f.buf) == 0 {
-		f.buf = nil
+	n := copy(b, tr.buf)
+	if tr.buf = tr.buf[n:]; len(tr.buf) == 0 {
+		tr.buf = nil
 	}
 	return n, nil
 }
 
-func (f *feed) Write(b []byte) (int, error) {
-	if f.write != nil {
-		return f.write(f.nb, b)
+func (tr *transport) Write(b []byte) (int, error) {
+	if tr.write != nil {
+		return tr.write(tr.nb, b)
 	}
-	return f.nb.Write(b)
+	return tr.nb.Write(b)
 }
 
-func (f *feed) Close() error {
-	f.nb.Finish(farewell) // behind the alert that ends TLS
+// Close half-closes the connection, so that the peer can read what was written. It is
+// closed when the peer closes it too, or after closeTimeout.
+func (tr *transport) Close() error {
+	tr.nb.Finish(closeTimeout) // sends the pending close_notify alert first
 	return nil
 }
 
-func (f *feed) LocalAddr() net.Addr              { return f.nb.LocalAddr() }
-func (f *feed) RemoteAddr() net.Addr             { return f.nb.RemoteAddr() }
-func (f *feed) SetWriteDeadline(time.Time) error { return nil } // writes never block
-func (f *feed) SetDeadline(t time.Time) error    { return f.SetReadDeadline(t) }
+func (tr *transport) LocalAddr() net.Addr              { return tr.nb.LocalAddr() }
+func (tr *transport) RemoteAddr() net.Addr             { return tr.nb.RemoteAddr() }
+func (tr *transport) SetWriteDeadline(time.Time) error { return nil } // writes never block
+func (tr *transport) SetDeadline(t time.Time) error    { return tr.SetReadDeadline(t) }
 
-func (f *feed) SetReadDeadline(t time.Time) error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.deadline = t
-	if f.timer != nil {
-		f.timer.Stop()
-		f.timer = nil
+// SetReadDeadline sets the deadline of blocking reads, zero for none, and wakes a
+// read that waits.
+func (tr *transport) SetReadDeadline(t time.Time) error {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.deadline = t
+	if tr.timer != nil {
+		tr.timer.Stop()
+		tr.timer = nil
 	}
 	if !t.IsZero() {
-		f.timer = time.AfterFunc(time.Until(t), func() {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			f.some.Broadcast()
+		tr.timer = time.AfterFunc(time.Until(t), func() {
+			tr.mu.Lock()
+			defer tr.mu.Unlock()
+			tr.changed.Broadcast()
 		})
 	}
-	f.some.Broadcast()
+	tr.changed.Broadcast()
 	return nil
 }
 
-// Conn is one TLS connection.
+// Conn is one TLS connection over an engine.Conn.
 type Conn struct {
 	*tls.Conn
-	feed *feed
+	transport *transport
 
-	mu   sync.Mutex
-	open bool
-	got  func([]byte)
+	mu       sync.Mutex
+	switched bool
+	onData   func([]byte)
 }
 
-// Server begins TLS on an accepted connection. Raw bytes are to be handed to
-// Data, its end to End. After the handshake, within the time given, ready is
-// called on a goroutine of its own; it returns what takes in the plaintext, on
-// the connection's goroutine from then on, or nil: then it has used the connection as a
-// blocking one, and is done with it.
-func Server(nb *engine.Conn, cfg *tls.Config, slots Slots, within time.Duration,
+// Server starts TLS on an accepted connection. The caller passes received bytes to
+// Data and calls End when the connection has ended. The handshake must finish within
+// timeout. After it, ready is called on the handshake's goroutine, with the error if
+// it failed. If ready returns a function, this is called with the plaintext on the
+// connection's goroutine from then on. If it returns nil, it has used c as a blocking
+// connection until its end.
+func Server(nb *engine.Conn, cfg *tls.Config, slots HandshakeSlots, timeout time.Duration,
 	ready func(c *Conn, err error) func([]byte)) *Conn {
-	f := newFeed(nb, slots)
-	c := &Conn{Conn: tls.Server(f, cfg), feed: f}
+	tr := newTransport(nb, slots)
+	c := &Conn{Conn: tls.Server(tr, cfg), transport: tr}
 	go func() {
 		slots <- struct{}{}
-		ctx, cancel := context.WithTimeout(context.Background(), within)
-		_ = f.SetReadDeadline(time.Now().Add(within))
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
+		_ = tr.SetReadDeadline(time.Now().Add(timeout))
 		err := c.HandshakeContext(ctx)
 		cancel()
 		<-slots
-		f.mu.Lock()
-		f.slots = nil
-		f.mu.Unlock()
-		_ = f.SetReadDeadline(time.Time{})
-		got := ready(c, err)
+		tr.mu.Lock()
+		tr.slots = nil
+		tr.mu.Unlock()
+		_ = tr.SetReadDeadline(time.Time{})
+		onData := ready(c, err)
 		if err != nil {
-			nb.Finish(farewell) // the alert that says why is read
+			nb.Finish(closeTimeout) // lets the peer read the alert that tells why
 			return
 		}
-		if got != nil {
-			c.calm(got)
+		if onData != nil {
+			c.switchToNonBlocking(onData)
 		}
 	}()
 	return c
 }
 
-// calm goes over from the handshake's goroutine to the connection's.
-func (c *Conn) calm(got func([]byte)) {
+// switchToNonBlocking ends the blocking reads of the handshake's goroutine. From then
+// on Data reads the plaintext, on the connection's goroutine, and passes it to onData.
+func (c *Conn) switchToNonBlocking(onData func([]byte)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.feed.mu.Lock()
-	c.feed.calm = true
-	c.feed.mu.Unlock()
-	c.open, c.got = true, got
-	c.drain()
+	c.transport.mu.Lock()
+	c.transport.nonBlocking = true
+	c.transport.mu.Unlock()
+	c.switched, c.onData = true, onData
+	c.readPlaintext()
 }
 
-// Data takes in raw bytes, on the connection's goroutine.
+// Data accepts received bytes. It is called on the connection's goroutine.
 func (c *Conn) Data(b []byte) {
-	c.feed.put(b)
+	c.transport.deliver(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open {
-		c.drain()
+	if c.switched {
+		c.readPlaintext()
 	}
 }
 
-// buffers for plaintext, for the time of one drain.
-var buffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
+// plaintextBuffers holds buffers that readPlaintext uses for one call.
+var plaintextBuffers = sync.Pool{New: func() any { b := make([]byte, 16<<10); return &b }}
 
-func (c *Conn) drain() {
-	b := buffers.Get().(*[]byte)
-	defer buffers.Put(b)
+// readPlaintext passes all plaintext available to onData and closes the connection
+// on an error; under mu.
+func (c *Conn) readPlaintext() {
+	b := plaintextBuffers.Get().(*[]byte)
+	defer plaintextBuffers.Put(b)
 	for {
 		n, err := c.Read(*b)
 		if n > 0 {
-			c.got((*b)[:n])
+			c.onData((*b)[:n])
 		}
 		if err != nil {
-			if !errors.Is(err, errNothing{}) {
-				_ = c.feed.nb.Close()
+			if !errors.Is(err, errWouldBlock{}) {
+				_ = c.transport.nb.Close()
 			}
 			return
 		}
 	}
 }
 
-// End says that the connection beneath has ended.
-func (c *Conn) End() { c.feed.end(io.EOF) }
+// End must be called when the underlying connection has ended.
+func (c *Conn) End() { c.transport.fail(io.EOF) }
 
-// swap is a connection whose inside is exchanged after the handshake.
-type swap struct{ net.Conn }
+// swapConn is a net.Conn whose underlying connection is replaced after the handshake.
+type swapConn struct{ net.Conn }
 
-// Client does the handshake on a connected socket, then hands it to the engine;
-// a wrapped socket that has an Unwrap is unwrapped for that.
-// Records are written by write, which must not block. made is called with the
-// engine's connection before any data can come.
+// Client does the TLS handshake on a connected socket, with blocking reads and
+// writes, then passes the socket to the engine; a wrapper that has an Unwrap method is
+// removed first. Records are written by write, which must not block. newHandler is
+// called with the engine's connection before any data can arrive, onData with the
+// plaintext from then on.
 func Client(ctx context.Context, raw net.Conn, cfg *tls.Config, sockets *engine.Engine,
-	write func(*engine.Conn, []byte) (int, error), made func(*engine.Conn, *Conn) engine.Handler, got func([]byte)) error {
-	s := &swap{raw}
+	write func(*engine.Conn, []byte) (int, error), newHandler func(*engine.Conn, *Conn) engine.Handler,
+	onData func([]byte)) error {
+	s := &swapConn{raw}
 	tc := tls.Client(s, cfg)
 	if err := tc.HandshakeContext(ctx); err != nil {
 		_ = raw.Close()
@@ -259,17 +281,17 @@
 	}
 	c := &Conn{Conn: tc}
 	_, err := sockets.Adopt(raw, func(nb *engine.Conn) engine.Handler {
-		c.feed = newFeed(nb, nil)
-		c.feed.write = write
-		s.Conn = c.feed
-		return made(nb, c)
+		c.transport = newTransport(nb, nil)
+		c.transport.write = write
+		s.Conn = c.transport
+		return newHandler(nb, c)
 	})
 	if err != nil {
 		return err
 	}
-	c.calm(got)
+	c.switchToNonBlocking(onData)
 	return nil
 }
 
-// Handshakes counts by result, for metrics.
+// Handshakes counts TLS handshakes by their result, for metrics.
 type Handshakes struct{ OK, Failed atomic.Int64 }
--- a/internal/webpush/front.go
+++ b/internal/webpush/front.go
@@ -1,7 +1,10 @@
-// Package webpush is the relay's Web Push front: the application server's side
-// of RFC 8030 with VAPID (RFC 8292), over HTTP/1.1 and HTTP/2. What is pushed to
-// /push/<class>/<partner> is handed to the core like any message; its final
-// answer comes as a receipt. Encrypted content (RFC 8291) is carried as it is.
+// Package webpush is the relay's Web Push server: the part of a push service that
+// application servers use (RFC 8030), with VAPID (RFC 8292), over HTTP/1.1 and HTTP/2.
+// A message POSTed to /push/<class>/<partner> is handed in to the core, and its final
+// answer is given as a push receipt.
+//
+// It serves no user agents, and forwards encrypted content (RFC 8291) unchanged. Section
+// numbers in comments without an RFC are those of RFC 8030.
 package webpush
 
 import (
@@ -25,83 +28,88 @@
 	"basaltcross.example/basaltcross/internal/secure"
 )
 
-// Observer is told what passes.
+// Observer receives the front's metrics and log lines.
 type Observer interface {
-	// Push tells connections, messages and receipt subscriptions kept now.
-	Push(connections, messages, boxes int)
+	// Push reports, at each tick, the number of connections, of messages and of receipt
+	// subscriptions.
+	Push(connections, messages, subscriptions int)
+	// NotTaken is called for each message that the core does not accept, with the reason.
 	NotTaken(reason string)
+	// Handshake is called after each TLS handshake, with its error or nil.
 	Handshake(err error)
 	Logf(format string, args ...any)
 }
 
-// Options of a Front.
+// Options configures a Front.
 type Options struct {
-	Listen      []string // without TLS
-	TLSListen   []string
-	TLS         *tls.Config
-	Slots       secure.Slots
-	Names       front.Names
-	Unsafe      []bool              // by class: needs an Idempotency-Key
-	Audience    []string            // origins that tokens may be for
-	Keys        map[string][]string // resources by VAPID key; nil: any key, any resource
-	Anyone      bool                // no token is needed; on loopback only
-	Body        int
-	Header      int
-	Connections int
-	Streams     int // at once on one HTTP/2 connection
-	Messages    int // kept, ended ones included
-	Boxes       int // receipt subscriptions
-	Pending     int // receipts owed to one subscription
-	Polls       int // long polls that wait
-	Keep        time.Duration
-	Poll        time.Duration // longest wait of a long poll
-	Handshake   time.Duration // for a TLS handshake, and for the rest of a begun request
-	Idle        time.Duration // connections without a request close after it
-	WriteBuffer int
-	Door        front.Door
-	Observer    Observer
-	Keeper      front.Keeper // nil: nothing outlives the process
+	Listen                []string // addresses to listen on without TLS
+	TLSListen             []string // addresses to listen on with TLS
+	TLS                   *tls.Config
+	HandshakeSlots        secure.HandshakeSlots
+	Names                 front.Names
+	RequireIdempotencyKey []bool              // by class: a POST must have an Idempotency-Key
+	Audience              []string            // origins accepted as the audience of a VAPID token
+	Keys                  map[string][]string // allowed resources by VAPID key, none for all; empty: any key
+	AllowAnonymous        bool                // requests without a token are accepted; for loopback addresses only
+	Body                  int                 // largest content of a request, in bytes
+	Header                int                 // largest header of a request, in bytes
+	Connections           int                 // at this limit new ones are closed at once
+	Streams               int                 // concurrent streams of an HTTP/2 connection
+	Messages              int                 // messages kept, with those that have ended
+	Subscriptions         int                 // receipt subscriptions kept
+	Pending               int                 // messages without acknowledged receipt, per subscription
+	Polls                 int                 // long polls waiting; at this limit polls are answered at once
+	Retention             time.Duration       // how long ended messages and unused subscriptions are kept
+	MaxPollWait           time.Duration       // longest wait of a long poll
+	Handshake             time.Duration       // time limit of a TLS handshake, and of receiving a request
+	Idle                  time.Duration       // connections without a request are closed after this time
+	WriteBuffer           int                 // unsent bytes of one connection
+	Door                  front.Door
+	Observer              Observer
+	Keeper                front.Keeper // stores subscriptions and answers for a restart; nil for none
 }
 
-// Front serves Web Push.
+// Front is a Web Push server.
 type Front struct {
-	opt       Options
-	listeners []*front.Listeners
-	addrs     []string
-	tlsAt     []string
-	vapid     *vapid
-	h2        *http2.Server
-	out       *front.Outbox[*push]
-	stop      chan struct{}
-	done      sync.WaitGroup
+	opt        Options
+	listeners  []*front.Listeners
+	addrs      []string
+	tlsAddrs   []string
+	vapid      *vapid
+	h2         *http2.Server
+	outbox     *front.Outbox[*push]
+	stop       chan struct{}
+	goroutines sync.WaitGroup
 
-	conMu sync.Mutex
-	conns map[*conn]struct{}
+	connMu sync.Mutex
+	conns  map[*conn]struct{}
 
-	mu         sync.Mutex
-	pushes     map[string]*push
-	byIdentity map[string]*push
-	topics     map[string]*push
-	unread     map[string]*push // by identity: the newest whose receipt is to come or not acknowledged
-	ended      *list.List       // of pushes, oldest first
-	boxes      map[string]*box
-	polls      int
-	swept      time.Time
-	calls      []func() // responses, for when mu is let go
+	mu            sync.Mutex
+	pushes        map[string]*push // by id
+	byIdentity    map[string]*push
+	topics        map[string]*push // by topic: messages not ended that a newer one replaces
+	unread        map[string]*push // by identity: the newest one without acknowledged receipt
+	ended         *list.List       // of *push, in the order in which they ended
+	subscriptions map[string]*subscription
+	polls         int // long polls waiting
+	lastSweep     time.Time
+	deferred      []func() // responses to send after mu is unlocked
 }
 
-// New makes a front that does not listen yet: what an earlier run kept may be
-// restored first.
+// New returns a front that does not listen yet, so that Restore and RestoreMessage can restore the
+// state of an earlier run before Start.
 func New(opt Options) *Front {
-	return &Front{opt: opt, vapid: newVAPID(opt.Audience), out: front.NewOutbox[*push](), stop: make(chan struct{}),
+	return &Front{opt: opt, vapid: newVAPID(opt.Audience), outbox: front.NewOutbox[*push](),
+		stop:  make(chan struct{}),
 		conns: map[*conn]struct{}{}, pushes: map[string]*push{}, byIdentity: map[string]*push{},
-		topics: map[string]*push{}, unread: map[string]*push{}, ended: list.New(), boxes: map[string]*box{},
+		topics: map[string]*push{}, unread: map[string]*push{}, ended: list.New(),
+		subscriptions: map[string]*subscription{},
 		h2: &http2.Server{MaxConcurrentStreams: uint32(opt.Streams), MaxReadFrameSize: 16 << 10, IdleTimeout: opt.Idle,
 			MaxUploadBufferPerConnection: 1 << 20, MaxUploadBufferPerStream: 256 << 10,
 			MaxDecoderHeaderTableSize: 4096, MaxEncoderHeaderTableSize: 4096}}
 }
 
-// Start opens the listeners.
+// Start opens the listeners and starts the front.
 func (f *Front) Start() error {
 	opt := &f.opt
 	for i, addrs := range [][]string{opt.Listen, opt.TLSListen} {
@@ -109,60 +117,66 @@
 			continue
 		}
 		l, err := front.Listen(front.Sockets{Name: "webpush", Addrs: addrs, ReadBuffer: 32 << 10,
-			WriteBuffer: opt.WriteBuffer, Open: func(nb *engine.Conn, _ time.Duration) front.Conn { return f.open(nb, i == 1) },
-			Failed: func(err error) { opt.Observer.Logf("webpush: accept: %v", err) }})
+			WriteBuffer: opt.WriteBuffer,
+			Open:        func(nb *engine.Conn, _ time.Duration) front.Conn { return f.open(nb, i == 1) },
+			Failed:      func(err error) { opt.Observer.Logf("webpush: accept: %v", err) }})
 		if err != nil {
-			f.closeAll()
+			f.closeListeners()
 			return err
 		}
 		if f.listeners = append(f.listeners, l); i == 1 {
-			f.tlsAt = l.Addrs
+			f.tlsAddrs = l.Addrs
 		} else {
 			f.addrs = l.Addrs
 		}
 	}
-	f.done.Add(2)
+	f.goroutines.Add(2)
 	go func() {
-		defer f.done.Done()
-		f.out.Run(f.stop, func(list []front.Said[*push]) {
+		defer f.goroutines.Done()
+		f.outbox.Run(f.stop, func(list []front.Said[*push]) {
 			f.mu.Lock()
 			defer f.unlock()
 			for _, s := range list {
-				f.said(s)
+				f.handleReply(s)
 			}
 		})
 	}()
-	go f.janitor()
+	go f.expiryLoop()
 	return nil
 }
 
-// Addrs and TLSAddrs are the addresses listened on.
-func (f *Front) Addrs() []string    { return f.addrs }
-func (f *Front) TLSAddrs() []string { return f.tlsAt }
+// Addrs returns the addresses that the front listens on without TLS.
+func (f *Front) Addrs() []string { return f.addrs }
 
-func (f *Front) closeAll() {
+// TLSAddrs returns the addresses that the front listens on with TLS.
+func (f *Front) TLSAddrs() []string { return f.tlsAddrs }
+
+func (f *Front) closeListeners() {
 	for _, l := range f.listeners {
 		l.Close()
 	}
 }
 
-// Close ends everything; what the core said before is handed on first.
+// Close passes on the replies received from the core, answers all long polls, and closes
+// listeners and connections.
 func (f *Front) Close() {
 	close(f.stop)
-	f.done.Wait()
+	f.goroutines.Wait()
 	f.mu.Lock()
 	for _, p := range f.pushes {
-		release(&p.waiting)
+		endPolls(&p.longPolls)
 	}
-	for _, b := range f.boxes {
-		release(&b.waiting)
+	for _, b := range f.subscriptions {
+		endPolls(&b.longPolls)
 	}
 	f.unlock()
-	f.closeAll()
+	f.closeListeners()
 }
 
-func (f *Front) janitor() {
-	defer f.done.Done()
+// expiryLoop removes expired messages and subscriptions, closes connections over their
+// time limit and reports to the observer, every 200 ms, until the front stops.
+func (f *Front) expiryLoop() {
+	defer f.goroutines.Done()
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -172,9 +186,9 @@
 		case now := <-tick.C:
 			f.mu.Lock()
 			f.sweep(now)
-			messages, boxes := len(f.pushes), len(f.boxes)
+			messages, subscriptions := len(f.pushes), len(f.subscriptions)
 			f.mu.Unlock()
-			f.conMu.Lock()
+			f.connMu.Lock()
 			n := len(f.conns)
 			var late []*conn
 			for c := range f.conns {
@@ -182,89 +196,92 @@
 					late = append(late, c)
 				}
 			}
-			f.conMu.Unlock()
+			f.connMu.Unlock()
 			for _, c := range late {
 				c.nb.Finish(front.Farewell)
 			}
-			f.opt.Observer.Push(n, messages, boxes)
+			f.opt.Observer.Push(n, messages, subscriptions)
 		}
 	}
 }
 
-// conn is one connection.
+// conn is a client's connection.
 type conn struct {
-	front *Front
-	nb    *engine.Conn
-	sec   *secure.Conn // nil without TLS
-	out   io.Writer
-	since atomic.Int64 // by front.Now: a request began, or the connection idles since
-	busy  atomic.Int32 // 0 idles, 1 within a request, 2 answering, 3 HTTP/2
+	front      *Front
+	nb         *engine.Conn
+	sec        *secure.Conn // nil without TLS
+	out        io.Writer    // nb, or sec with TLS
+	stateSince atomic.Int64 // when the request or the idle time began, as of front.Now
+	state      atomic.Int32 // 0 idle, 1 receiving a request, 2 waiting for its response, 3 HTTP/2
 
-	mu   sync.Mutex
-	req  http1.Request
-	rest []byte // after a request that is being answered
-	shut bool
+	mu        sync.Mutex
+	req       http1.Request
+	pipelined []byte // received while a request waits for its response
+	closed    bool
 }
 
+// open accepts a connection, or returns nil at the limit of connections.
 func (f *Front) open(nb *engine.Conn, secured bool) front.Conn {
 	c := &conn{front: f, nb: nb, out: nb}
-	c.since.Store(front.Now())
+	c.stateSince.Store(front.Now())
 	c.req.Reset(http1.Limits{Header: f.opt.Header, Body: f.opt.Body})
-	f.conMu.Lock()
+	f.connMu.Lock()
 	full := len(f.conns) >= f.opt.Connections
 	if !full {
 		f.conns[c] = struct{}{}
 	}
-	f.conMu.Unlock()
+	f.connMu.Unlock()
 	if full {
 		return nil
 	}
 	if secured {
-		c.sec = secure.Server(nb, f.opt.TLS, f.opt.Slots, f.opt.Handshake, c.ready)
+		c.sec = secure.Server(nb, f.opt.TLS, f.opt.HandshakeSlots, f.opt.Handshake, c.handshakeDone)
 		c.out = c.sec
 	}
 	return c
 }
 
-// ready goes on after the handshake.
-func (c *conn) ready(s *secure.Conn, err error) func([]byte) {
+// handshakeDone is called after the TLS handshake. It serves HTTP/2 until the end of the
+// connection and returns nil, or returns the receiver of the plaintext of HTTP/1.1.
+func (c *conn) handshakeDone(s *secure.Conn, err error) func([]byte) {
 	c.front.opt.Observer.Handshake(err)
 	if err != nil {
 		return nil
 	}
-	c.since.Store(front.Now())
+	c.stateSince.Store(front.Now())
 	if s.ConnectionState().NegotiatedProtocol == "h2" {
-		c.busy.Store(3)
+		c.state.Store(3)
 		c.front.h2.ServeConn(s.Conn, &http2.ServeConnOpts{Handler: http.HandlerFunc(c.front.serveHTTP),
 			BaseConfig: &http.Server{MaxHeaderBytes: c.front.opt.Header}})
 		return nil
 	}
-	return c.plain
+	return c.handlePlaintext
 }
 
-// Data takes in what the socket gave.
+// Data accepts bytes received on the socket.
 func (c *conn) Data(b []byte) {
 	if c.sec != nil {
 		c.sec.Data(b)
 		return
 	}
-	c.plain(b)
+	c.handlePlaintext(b)
 }
 
-// Closed takes in the end of the connection.
+// Closed is called when the connection has ended.
 func (c *conn) Closed() {
 	if c.sec != nil {
 		c.sec.End()
 	}
-	c.front.conMu.Lock()
+	c.front.connMu.Lock()
 	delete(c.front.conns, c)
-	c.front.conMu.Unlock()
+	c.front.connMu.Unlock()
 }
 
-// overdue tells whether a connection idled too long, or its request does not end.
+// overdue reports whether a connection exceeded its idle time or the time limit of
+// receiving a request.
 func (c *conn) overdue(now time.Time) bool {
-	age := front.Nanos(now) - c.since.Load()
-	switch c.busy.Load() {
+	age := front.Nanos(now) - c.stateSince.Load()
+	switch c.state.Load() {
 	case 0:
 		return age > int64(c.front.opt.Idle)
 	case 1:
@@ -273,25 +290,25 @@
 	return false
 }
 
-// plain takes in bytes of HTTP/1.1.
-func (c *conn) plain(b []byte) {
+// handlePlaintext accepts received bytes of HTTP/1.1.
+func (c *conn) handlePlaintext(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy.Load() == 2 { // answered first; pipelined ones wait, bounded
-		if c.rest = append(c.rest, b...); len(c.rest) > c.front.opt.Header+c.front.opt.Body {
+	if c.state.Load() == 2 { // pipelined requests wait for this response, up to a limit
+		if c.pipelined = append(c.pipelined, b...); len(c.pipelined) > c.front.opt.Header+c.front.opt.Body {
 			_ = c.nb.Close()
-			c.rest = nil
+			c.pipelined = nil
 		}
 		return
 	}
 	c.parse(b)
 }
 
-// parse goes through requests until one must wait for its answer; under mu.
+// parse handles requests until one must wait for its response; under mu.
 func (c *conn) parse(b []byte) {
-	for len(b) > 0 && !c.shut {
-		if c.busy.CompareAndSwap(0, 1) {
-			c.since.Store(front.Now())
+	for len(b) > 0 && !c.closed {
+		if c.state.CompareAndSwap(0, 1) {
+			c.stateSince.Store(front.Now())
 		}
 		rest, err := c.req.Feed(b, &c.req)
 		if err != nil {
@@ -300,7 +317,7 @@
 				status = http.StatusRequestEntityTooLarge
 			}
 			c.req.Keep = false
-			c.write(say(status, "%v", err))
+			c.write(textResponse(status, "%v", err))
 			return
 		}
 		if !c.req.Done() {
@@ -310,42 +327,42 @@
 			}
 			return
 		}
-		c.busy.Store(2)
-		c.rest = append(c.rest[:0], rest...)
+		c.state.Store(2)
+		c.pipelined = append(c.pipelined[:0], rest...)
 		q := &request{method: c.req.Method, path: c.req.Path, header: c.req.Header, body: c.req.Body}
-		var when sync.Mutex
-		var now *response // it came before serve returned
-		later := false
+		var responseMu sync.Mutex
+		var immediate *response // response that came before serve returned
+		async := false
 		c.front.serve(q, func(r response) {
-			when.Lock()
-			if !later {
-				now = &r
-				when.Unlock()
+			responseMu.Lock()
+			if !async {
+				immediate = &r
+				responseMu.Unlock()
 				return
 			}
-			when.Unlock()
+			responseMu.Unlock()
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.write(r)
-			next := c.rest
-			c.rest = nil
+			next := c.pipelined
+			c.pipelined = nil
 			c.parse(next)
 		})
-		when.Lock()
-		later = now == nil
-		when.Unlock()
-		if later {
-			return // the answer goes on from there
+		responseMu.Lock()
+		async = immediate == nil
+		responseMu.Unlock()
+		if async {
+			return // the callback writes the response and continues to parse
 		}
-		c.write(*now)
-		b = c.rest
-		c.rest = nil
+		c.write(*immediate)
+		b = c.pipelined
+		c.pipelined = nil
 	}
 }
 
-// write sends a response and readies the connection for the next request; under mu.
+// write sends a response and prepares the connection for the next request; under mu.
 func (c *conn) write(r response) {
-	if c.shut {
+	if c.closed {
 		return
 	}
 	b := make([]byte, 0, 256+len(r.body))
@@ -362,24 +379,25 @@
 	b = append(append(b, "\r\n"...), r.body...)
 	_, err := c.out.Write(b)
 	if !c.req.Keep || err != nil {
-		c.shut = true
+		c.closed = true
 		c.nb.Finish(front.Farewell)
 		return
 	}
 	c.req.Reset(http1.Limits{Header: c.front.opt.Header, Body: c.front.opt.Body})
 	c.req.Body = nil
-	c.since.Store(front.Now())
-	c.busy.Store(0)
+	c.stateSince.Store(front.Now())
+	c.state.Store(0)
 }
 
-// serveHTTP is the way of HTTP/2 requests.
+// serveHTTP handles a request of HTTP/2.
 func (f *Front) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	var body bytes.Buffer
 	if _, err := body.ReadFrom(io.LimitReader(r.Body, int64(f.opt.Body)+1)); err != nil {
 		return
 	}
 	if body.Len() > f.opt.Body {
-		http.Error(w, fmt.Sprintf("content is over its limit of %d bytes", f.opt.Body), http.StatusRequestEntityTooLarge)
+		http.Error(w, fmt.Sprintf("content is over its limit of %d bytes", f.opt.Body),
+			http.StatusRequestEntityTooLarge)
 		return
 	}
 	done := make(chan response, 1)
@@ -392,6 +410,6 @@
 		}
 		w.WriteHeader(a.status)
 		_, _ = w.Write(a.body)
-	case <-r.Context().Done(): // reset or gone; what was handed in goes on
+	case <-r.Context().Done(): // stream reset or connection lost; a message that was handed in is still delivered
 	}
 }
