--- a/internal/emulator/audit.go
+++ b/internal/emulator/audit.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Limits of the protocol, as the audit holds them.
+// Tolerances of the audit: limits of the protocol, and allowances for real sockets and processes.
 const (
-	overdue      = 300 * time.Millisecond  // a notice may come so long after its message's time
-	afterRestart = 1500 * time.Millisecond // and none is overdue until so long after a relay is ready again
-	waitGrace    = 100 * time.Millisecond  // calls that arrive so soon after the wait was told pass
-	socketGrace  = 50 * time.Millisecond   // every time limit is longer by this on sockets
-	latestPause  = 150 * time.Millisecond  // a relay may be held up so long between its clock and a write
-	longestRetry = 16 * time.Millisecond   // a relay tries a socket that took nothing again after this at the latest
-	onTheWay     = 2 * LongestHold         // bytes may be so long, in both directions or in two pieces
+	noticeGrace   = 300 * time.Millisecond  // a notice may arrive this long after the message's deadline
+	restartGrace  = 1500 * time.Millisecond // after a restart, no notice is overdue until this long after readiness
+	waitGrace     = 100 * time.Millisecond  // a call may still arrive this long after the host asked for a wait
+	socketGrace   = 50 * time.Millisecond   // every time limit is extended by this on sockets
+	maxRelayPause = 150 * time.Millisecond  // a relay may be delayed this long between reading its clock and a write
+	maxWriteRetry = 16 * time.Millisecond   // a relay retries a write that failed for lack of buffers within this time
+	transitGrace  = 2 * MaxDelay            // bytes may be this late: delayed in both directions, or in two pieces
 )
 
-// doubtedFor is how long an answer may turn out to be another's.
-const doubtedFor = 5 * time.Second
+// doubtPeriod is how long after an answer a relay may find that it belongs to another call.
+const doubtPeriod = 5 * time.Second
 
-// soon after an answer a process has not given its call up by itself.
-const soon = 300 * time.Millisecond
+// giveUpMargin is the time after an answer within which a process does not give up the call on its own.
+const giveUpMargin = 300 * time.Millisecond
 
-// DrainGrace is that of the settings that the audit holds.
+// DrainGrace is the drain grace period that the settings of the audited relays must have.
 const DrainGrace = 500 * time.Millisecond
 
-// Finding is one invariant and what was found of it.
+// Finding counts the checks and violations of one invariant.
 type Finding struct {
 	Invariant string   `json:"invariant"`
 	Checked   int      `json:"checked"`
@@ -35,53 +35,54 @@
 	Examples  []string `json:"examples,omitempty"`
 }
 
-// mostExamples of a finding are kept.
-const mostExamples = 5
+// maxExamples bounds the examples kept in a finding.
+const maxExamples = 5
 
+// check counts a check, and a violation with an example if ok is not set.
 func (f *Finding) check(ok bool, example func() string) {
 	f.Checked++
 	if ok {
 		return
 	}
-	if f.Broken++; len(f.Examples) < mostExamples {
+	if f.Broken++; len(f.Examples) < maxExamples {
 		f.Examples = append(f.Examples, example())
 	}
 }
 
-// Audit holds a record against the rules. lag is how late the emulator's own timers were at
-// most: every time that it took itself may be wrong by so much. now is when the record ends.
+// Audit checks the record against all invariants. lag is the largest delay measured for the emulator's own timers:
+// every time that it took itself may be off by that much. now is the end of the record.
 func (r *Record) Audit(lag time.Duration, now time.Time) []*Finding {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a := &audit{record: r, lag: lag, now: now}
-	ids := make([]string, 0, len(r.courses))
-	for id := range r.courses {
+	ids := make([]string, 0, len(r.histories))
+	for id := range r.histories {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	a.networks = r.networks()
 	for _, id := range ids {
-		c := r.courses[id]
-		a.replies(c)
-		a.answered(c)
-		a.welcomed(c)
-		a.refusals(c)
-		a.owed(c)
-		a.repeats(c)
-		a.ended(c)
-		a.served(c)
+		c := r.histories[id]
+		a.checkReplies(c)
+		a.checkAnswered(c)
+		a.checkNewConnection(c)
+		a.checkRefusal(c)
+		a.checkTaken(c)
+		a.checkRepeats(c)
+		a.checkEnded(c)
+		a.checkServed(c)
 	}
-	a.orders()
-	a.waits()
-	a.drained()
-	a.untried()
-	a.strangers()
+	a.checkOrder()
+	a.checkWaits()
+	a.checkDrained()
+	a.checkUntried()
+	a.checkUnknown()
 	return a.findings
 }
 
-// networks are those of the hosts that were called; under mu.
+// networks returns the networks of the hosts that were called. The caller holds mu.
 func (r *Record) networks() (all []*Network) {
-	for _, c := range r.courses {
+	for _, c := range r.histories {
 		for _, x := range c.Calls {
 			if x.conn != nil && !slices.Contains(all, x.conn.network) {
 				all = append(all, x.conn.network)
@@ -91,6 +92,7 @@
 	return all
 }
 
+// audit is one pass over a record.
 type audit struct {
 	record   *Record
 	lag      time.Duration
@@ -99,7 +101,8 @@
 	networks []*Network // of the hosts that were called
 }
 
-func (a *audit) of(invariant string) *Finding {
+// finding returns the finding of an invariant, new at its first use.
+func (a *audit) finding(invariant string) *Finding {
 	for _, f := range a.findings {
 		if f.Invariant == invariant {
 			return f
@@ -110,83 +113,89 @@
 	return f
 }
 
-// killed tells whether a process of a node ended between two moments.
-func (a *audit) killed(node int, from, to time.Time) bool {
-	return slices.ContainsFunc(a.record.lives, func(l *Life) bool {
+// processEnding reports whether a process of a node was ending at some time between two times. It counts as
+// ending from SIGKILL until its end is observed.
+func (a *audit) processEnding(node int, from, to time.Time) bool {
+	return slices.ContainsFunc(a.record.processes, func(l *Process) bool {
 		if l.Node != node || l.Ended.IsZero() {
 			return false
 		}
 		begin := l.Ended
-		if !l.Killed.IsZero() {
-			begin = l.Killed
+		if !l.KillSent.IsZero() {
+			begin = l.KillSent
 		}
 		return l.Ended.After(from.Add(-a.lag)) && begin.Before(to.Add(a.lag+socketGrace))
 	})
 }
 
-// replies: a response is complete, or there is none at all and nothing came of the request.
-func (a *audit) replies(c *Course) {
-	died := a.killed(c.Node, c.Sent, c.Reply.At)
-	a.of("a response is complete").check(c.Reply.Complete || c.Reply.Text == "" || died, c.String)
+// checkReplies checks that a response is complete, or that there is none and the request was not read.
+func (a *audit) checkReplies(c *History) {
+	died := a.processEnding(c.Node, c.Sent, c.Reply.At)
+	a.finding("a response is complete").check(c.Reply.Complete || c.Reply.Text == "" || died, c.String)
 	if c.Reply.End == "eof" || c.Reply.End == "reset" {
 		read := !c.Read.IsZero() || len(c.Calls) > 0 || len(c.Notices) > 0
-		a.of("a request that was read is not closed unanswered").check(!read || died, c.String)
+		a.finding("a request that was read is not closed unanswered").check(!read || died, c.String)
 	}
 	if c.Reply.Status == 429 || c.Reply.Status == 503 || c.Reply.Status == 202 {
-		a.of("a connection has one response for a request").check(c.Reply.End != "more", c.String)
+		a.finding("a connection has one response for a request").check(c.Reply.End != "more", c.String)
 	}
 }
 
-// answered: a request that the relay read whole hears its answer while its client waits. What
-// the relay read only when that was over is not its doing, nor is what it had handed in time to
-// a socket that took nothing from then on.
-func (a *audit) answered(c *Course) {
-	until := c.Sent.Add(clientWaits)
+// checkAnswered checks that a request that the relay read whole is answered while its client waits. The relay is
+// not to blame for a request that it could read only after that, nor for a response written in time to a socket
+// that accepted nothing from then on.
+func (a *audit) checkAnswered(c *History) {
+	until := c.Sent.Add(clientTimeout)
 	if c.Read.IsZero() || c.Reply.At.IsZero() || c.Read.After(until.Add(-socketGrace)) {
 		return
 	}
-	if !c.Handed.IsZero() && c.Handed.Before(until) && covers(a.record.writes, c.Node, c.Handed, until.Add(-longestRetry)) {
+	if !c.Responded.IsZero() && c.Responded.Before(until) &&
+		covers(a.record.writeFaults, c.Node, c.Responded, until.Add(-maxWriteRetry)) {
 		return
 	}
-	died := a.killed(c.Node, c.Sent, until)
-	a.of("a request that was read is answered in time").check(c.Reply.Complete || c.Reply.End != "timeout" || died, c.String)
+	died := a.processEnding(c.Node, c.Sent, until)
+	a.finding("a request that was read is answered in time").
+		check(c.Reply.Complete || c.Reply.End != "timeout" || died, c.String)
 }
 
-// welcomed: a connection that comes up while clients still come to a relay that leaves is
-// accepted and answered, however long it stood in the listener's queue.
-func (a *audit) welcomed(c *Course) {
-	if !c.Reply.Fresh || c.Reply.End == "left" || !a.record.leavesAt(c) || a.killed(c.Node, c.Sent, c.Sent.Add(clientWaits)) {
+// checkNewConnection checks that a connection opened soon after its relay's SIGTERM, while clients still connect
+// to it, is accepted and answered, however long it was in the listener's queue.
+func (a *audit) checkNewConnection(c *History) {
+	if !c.Reply.Fresh || c.Reply.End == "left" || !a.record.sentWhileLeaving(c) ||
+		a.processEnding(c.Node, c.Sent, c.Sent.Add(clientTimeout)) {
 		return
 	}
-	if within(a.record.shut, c.Node, c.Sent.Add(-a.lag-clientWaits), c.Reply.At.Add(a.lag)) {
+	if overlaps(a.record.closePeriods, c.Node, c.Sent.Add(-a.lag-clientTimeout), c.Reply.At.Add(a.lag)) {
 		return
 	}
-	a.of("a new connection is answered while the relay leaves").check(c.Reply.Complete || c.Reply.Text != "" || c.Reply.End == "timeout", c.String)
+	a.finding("a new connection is answered while the relay leaves").
+		check(c.Reply.Complete || c.Reply.Text != "" || c.Reply.End == "timeout", c.String)
 }
 
-// refusals: what was answered 429 or 503 is never forwarded from then on.
-func (a *audit) refusals(c *Course) {
+// checkRefusal checks that a message answered with 429 or 503 is not forwarded after that.
+func (a *audit) checkRefusal(c *History) {
 	if !c.Reply.Complete || c.Reply.Status != 429 && c.Reply.Status != 503 {
 		return
 	}
-	late := c.Reply.At.Add(latestPause + onTheWay + socketGrace + a.lag)
-	a.of("a refused request is not forwarded").check(!slices.ContainsFunc(c.Calls, func(x Call) bool { return x.At.After(late) }), c.String)
+	late := c.Reply.At.Add(maxRelayPause + transitGrace + socketGrace + a.lag)
+	a.finding("a refused request is not forwarded").
+		check(!slices.ContainsFunc(c.Calls, func(x Call) bool { return x.At.After(late) }), c.String)
 }
 
-// owed: what was taken is delivered, or ends by a notice in time.
-func (a *audit) owed(c *Course) {
+// checkTaken checks that an accepted message is delivered, or ends by a notice in time.
+func (a *audit) checkTaken(c *History) {
 	if !c.taken() {
 		return
 	}
-	by := c.Due.Add(overdue + onTheWay + a.lag)
-	for _, l := range a.record.lives { // no notice is overdue around a restart
-		if l.Node != c.Node || l.Told.IsZero() || l.Told.After(by) {
+	by := c.Deadline.Add(noticeGrace + transitGrace + a.lag)
+	for _, l := range a.record.processes { // a restart extends the time limit of notices
+		if l.Node != c.Node || l.StopSent.IsZero() || l.StopSent.After(by) {
 			continue
 		}
 		until := a.now
-		for _, next := range a.record.lives {
+		for _, next := range a.record.processes {
 			if next.Node == l.Node && next.Started.After(l.Started) && !next.Ready.IsZero() {
-				until = next.Ready.Add(afterRestart + a.lag)
+				until = next.Ready.Add(restartGrace + a.lag)
 				break
 			}
 		}
@@ -195,31 +204,33 @@
 		}
 	}
 	if c.delivered() || !a.now.After(by) {
-		a.of("what was taken is delivered or ends in time").Checked++
+		a.finding("what was taken is delivered or ends in time").Checked++
 		return
 	}
-	a.of("what was taken is delivered or ends in time").check(slices.ContainsFunc(c.Notices, func(n Notice) bool { return !n.At.After(by) }), c.String)
+	a.finding("what was taken is delivered or ends in time").
+		check(slices.ContainsFunc(c.Notices, func(n Notice) bool { return !n.At.After(by) }), c.String)
 }
 
-// repeats: no second effect where that does harm, none after the window, none in parallel.
-func (a *audit) repeats(c *Course) {
-	var first time.Time // the first call that may have run
+// checkRepeats checks that an at-most-once message is not repeated, that a deduplicated one is not repeated after
+// its window, and that calls of one message do not overlap.
+func (a *audit) checkRepeats(c *History) {
+	var first time.Time // first call that may have taken effect
 	for i, x := range c.Calls {
 		if i > 0 {
 			before := c.Calls[i-1]
-			over := !before.Over.IsZero() && before.Over.Before(x.At.Add(onTheWay+socketGrace+a.lag))
-			a.of("one call of a message is out at a time").check(over, c.String)
+			over := !before.Finished.IsZero() && before.Finished.Before(x.At.Add(transitGrace+socketGrace+a.lag))
+			a.finding("one call of a message is out at a time").check(over, c.String)
 		}
 		if !first.IsZero() {
-			switch c.Lane.Effect {
+			switch c.Class.Effect {
 			case AtMostOnce:
-				a.of("a message that may not be repeated is not sent again").check(false, c.String)
+				a.finding("a message that may not be repeated is not sent again").check(false, c.String)
 			case Deduplicated:
-				end := first.Add(c.Lane.Window + latestPause + onTheWay + socketGrace + a.lag)
-				a.of("a repeat leaves within its window").check(!x.At.After(end), c.String)
+				end := first.Add(c.Class.Window + maxRelayPause + transitGrace + socketGrace + a.lag)
+				a.finding("a repeat leaves within its window").check(!x.At.After(end), c.String)
 			}
-		} else if c.Lane.Effect == AtMostOnce {
-			a.of("a message that may not be repeated is not sent again").Checked++
+		} else if c.Class.Effect == AtMostOnce {
+			a.finding("a message that may not be repeated is not sent again").Checked++
 		}
 		refused := x.Status == 429 || x.Status == 503 || x.Status == 504 || x.Status == 410
 		if first.IsZero() && !refused {
@@ -228,175 +239,187 @@
 	}
 }
 
-// ended: no call begins for a message that has ended, or whose time is over.
-func (a *audit) ended(c *Course) {
-	late := latestPause + onTheWay + socketGrace + a.lag
+// checkEnded checks that no call begins for a message that has ended or is past its deadline, and that a message
+// that may have taken effect, or was delivered before a restart, is not reported as refused.
+func (a *audit) checkEnded(c *History) {
+	late := maxRelayPause + transitGrace + socketGrace + a.lag
 	for _, x := range c.Calls {
-		a.of("no call after a message's time").check(!x.At.After(c.Due.Add(late)), c.String)
+		a.finding("no call after a message's time").check(!x.At.After(c.Deadline.Add(late)), c.String)
 		if len(c.Notices) > 0 {
-			a.of("no call after the notice").check(!x.At.After(c.Notices[0].At.Add(late)), c.String)
+			a.finding("no call after the notice").check(!x.At.After(c.Notices[0].At.Add(late)), c.String)
 		}
 	}
-	if c.Lane.Effect == AtMostOnce {
-		a.of("what may have run is not told as refused").check(!c.mayHaveRun() || len(c.Notices) == 0 || c.Notices[0].Result != "bounced", c.String)
+	if c.Class.Effect == AtMostOnce {
+		a.finding("what may have run is not told as refused").
+			check(!c.mayHaveRun() || len(c.Notices) == 0 || c.Notices[0].Result != "bounced", c.String)
 	}
 	if len(c.Notices) > 0 && c.Notices[0].Result == "bounced" {
-		a.of("a message delivered before a restart has no refusal").check(!a.forgotten(c), c.String)
+		a.finding("a message delivered before a restart has no refusal").check(!a.refusedAfterDelivery(c), c.String)
 	}
 }
 
-// served: a message whose host answered 200, while the relay waited for it and long before the
-// message's time, is not told as refused or failed, but by a later process where the folder failed
-// when the end had to be recorded. Where a second copy of an answer came to its relay before the
-// notice, that can't know whose the answer was: a message may be told as dead, and
-// one whose repeat does no harm as refused. So may be told as dead one whose host ended the connection
-// soon behind its answer: that may have been a copy, and the host at work on the call. A notice for a
-// message that is over does no harm (PROTOCOL).
-func (a *audit) served(c *Course) {
+// checkServed checks that a message is not reported as refused or failed if its host answered 200 while the
+// relay waited for the answer and long before the message's deadline. There are two exceptions.
+//
+// A later process may report it, if the state directory failed when the end had to be recorded.
+//
+// If a second copy of an answer reached the relay before the notice, the relay cannot know which call the answer
+// belongs to. It may then report a message as dead, and one that may be repeated without harm as refused. The
+// same holds for reporting as dead a message whose host closed the connection soon after its answer: the answer
+// may have been a copy, and the host still at work on the call. A notice for a message that is over does no harm.
+func (a *audit) checkServed(c *History) {
 	for _, x := range c.Calls {
-		if x.Status != 200 || x.Told.IsZero() || x.Told.Add(soon+clientWaits).After(c.Due) {
+		if x.Status != 200 || x.AnswerWritten.IsZero() || x.AnswerWritten.Add(giveUpMargin+clientTimeout).After(c.Deadline) {
 			continue
 		}
-		heard := x.Told.Add(onTheWay + socketGrace + a.lag)
-		if heard.After(x.At.Add(x.Waited)) || a.killed(c.Node, x.At, heard.Add(soon)) {
+		heard := x.AnswerWritten.Add(transitGrace + socketGrace + a.lag)
+		if heard.After(x.At.Add(x.Timeout)) || a.processEnding(c.Node, x.At, heard.Add(giveUpMargin)) {
 			continue
 		}
-		unrecorded := within(a.record.folder, c.Node, x.Told, heard)
-		if unrecorded && len(c.Notices) > 0 && a.endedBetween(c.Node, x.Told, c.Notices[0].At) {
+		unrecorded := overlaps(a.record.diskFaults, c.Node, x.AnswerWritten, heard)
+		if unrecorded && len(c.Notices) > 0 && a.endedBetween(c.Node, x.AnswerWritten, c.Notices[0].At) {
 			continue
 		}
 		if len(c.Notices) > 0 && a.doubtful(c, &x, c.Notices[0]) {
 			continue
 		}
-		a.of("what its host has served is not told as refused").check(len(c.Notices) == 0, c.String)
+		a.finding("what its host has served is not told as refused").check(len(c.Notices) == 0, c.String)
 	}
 }
 
-// doubtful tells whether a relay could not know that an answer was its call's own.
-func (a *audit) doubtful(c *Course, x *Call, told Notice) bool {
-	late := told.At.After(x.Told.Add(doubtedFor)) && !a.endedBetween(c.Node, x.Told, told.At) // the next process may tell it
-	if x.conn == nil || told.Result != "dead" && c.Lane.Effect == AtMostOnce || late {
+// doubtful reports whether the relay could not know that an answer belonged to its call.
+func (a *audit) doubtful(c *History, x *Call, told Notice) bool {
+	// After a restart the next process may send the notice later.
+	late := told.At.After(x.AnswerWritten.Add(doubtPeriod)) && !a.endedBetween(c.Node, x.AnswerWritten, told.At)
+	if x.conn == nil || told.Result != "dead" && c.Class.Effect == AtMostOnce || late {
 		return false
 	}
-	from, to := x.At.Add(-LongestHold-soon), told.At.Add(LongestHold) // reads may fail for a while
-	if x.conn.copiedOn(x.At.Add(-doubtedFor), to) || told.Result == "dead" && x.conn.brokeBefore(x.Begun, told.At) {
+	// Reads may fail for a while, so a copy written earlier may be read now.
+	from, to := x.At.Add(-MaxDelay-giveUpMargin), told.At.Add(MaxDelay)
+	if x.conn.repeatedWithin(x.At.Add(-doubtPeriod), to) ||
+		told.Result == "dead" && x.conn.brokeBetween(x.AnswerBegun, told.At) {
 		return true
 	}
 	for _, network := range a.networks {
-		if network.copiedTo(c.Node, from, to) {
+		if network.repeatedTo(c.Node, from, to) {
 			return true
 		}
 	}
 	return false
 }
 
-// endedBetween tells whether a process of a node ended between two moments.
+// endedBetween reports whether a process of a node ended between two times.
 func (a *audit) endedBetween(node int, from, to time.Time) bool {
-	return slices.ContainsFunc(a.record.lives, func(l *Life) bool { return l.Node == node && l.Ended.After(from) && l.Ended.Before(to) })
+	return slices.ContainsFunc(a.record.processes, func(l *Process) bool {
+		return l.Node == node && l.Ended.After(from) && l.Ended.Before(to)
+	})
 }
 
-// forgotten tells whether a message was answered 200 in time with its one call, and refused
-// by a later process. Within one process a call may be given up while its answer is on its way.
-func (a *audit) forgotten(c *Course) bool {
-	if len(c.Calls) != 1 || c.Calls[0].Status != 200 || c.Calls[0].Told.IsZero() {
+// refusedAfterDelivery reports whether a message's only call was answered 200 in time and a later process
+// reported the message as refused. Within one process a call may be given up while its answer is in transit.
+func (a *audit) refusedAfterDelivery(c *History) bool {
+	if len(c.Calls) != 1 || c.Calls[0].Status != 200 || c.Calls[0].AnswerWritten.IsZero() {
 		return false
 	}
 	call := c.Calls[0]
-	return call.Told.Add(soon).Before(c.Due) && slices.ContainsFunc(a.record.lives, func(l *Life) bool {
-		return l.Node == c.Node && l.Ended.After(call.Told) && l.Ended.Before(c.Notices[0].At) && l.Killed.Before(call.Told.Add(soon))
-	})
+	return call.AnswerWritten.Add(giveUpMargin).Before(c.Deadline) &&
+		slices.ContainsFunc(a.record.processes, func(l *Process) bool {
+			return l.Node == c.Node && l.Ended.After(call.AnswerWritten) && l.Ended.Before(c.Notices[0].At) &&
+				l.KillSent.Before(call.AnswerWritten.Add(giveUpMargin))
+		})
 }
 
-// orders: messages of one key take effect in the order in which they were handed in.
-func (a *audit) orders() {
-	f := a.of("messages of one key keep their order")
-	for _, ids := range a.record.order {
+// checkOrder checks that messages of one key take effect in the order in which they were handed in.
+func (a *audit) checkOrder() {
+	f := a.finding("messages of one key keep their order")
+	for _, ids := range a.record.effectOrder {
 		last := -1
 		for _, id := range ids {
-			c := a.record.courses[id]
+			c := a.record.histories[id]
 			f.check(c.Number >= last, func() string { return fmt.Sprintf("after number %d: %s", last, c) })
 			last = max(last, c.Number)
 		}
 	}
 }
 
-// waits: a relay that was told to wait sends nothing to that host until then; a restart ends
-// the wait.
-func (a *audit) waits() {
-	f := a.of("a told wait is kept")
+// checkWaits checks that a relay sends nothing to a host during a wait that the host asked for. A restart ends the
+// wait.
+func (a *audit) checkWaits() {
+	f := a.finding("a told wait is kept")
 	type told struct{ from, until time.Time }
-	all := map[string][]told{} // by node and host
-	where := func(c *Course, x Call) string { return fmt.Sprint(c.Node, " ", x.Host) }
-	for _, c := range a.record.courses {
+	all := map[string][]told{} // keyed by node and host
+	where := func(c *History, x Call) string { return fmt.Sprint(c.Node, " ", x.Host) }
+	for _, c := range a.record.histories {
 		for _, x := range c.Calls {
-			if x.Wait > 0 && !x.Told.IsZero() {
-				all[where(c, x)] = append(all[where(c, x)], told{x.Told.Add(waitGrace + LongestHold + a.lag), x.Begun.Add(x.Wait - a.lag)})
+			if x.RetryAfter > 0 && !x.AnswerWritten.IsZero() {
+				all[where(c, x)] = append(all[where(c, x)],
+					told{x.AnswerWritten.Add(waitGrace + MaxDelay + a.lag), x.AnswerBegun.Add(x.RetryAfter - a.lag)})
 			}
 		}
 	}
-	for _, c := range a.record.courses {
+	for _, c := range a.record.histories {
 		for _, x := range c.Calls {
 			for _, w := range all[where(c, x)] {
 				early := x.At.After(w.from) && x.At.Before(w.until)
-				f.check(!early || a.killed(c.Node, w.from.Add(-time.Second), x.At), c.String)
+				f.check(!early || a.processEnding(c.Node, w.from.Add(-time.Second), x.At), c.String)
 			}
 		}
 	}
 }
 
-// drained: no new work reaches a host later than the grace after the relay was told that it
-// wants none.
-func (a *audit) drained() {
-	f := a.of("no work for a host that drains")
-	slices.SortStableFunc(a.record.drains, func(x, y drain) int { return x.at.Compare(y.at) })
-	grace := DrainGrace + socketGrace + latestPause + LongestHold + a.lag
-	for _, c := range a.record.courses {
+// checkDrained checks that a host gets no new work once the drain grace period is over, counted from when the
+// relay was told that the host is draining.
+func (a *audit) checkDrained() {
+	f := a.finding("no work for a host that drains")
+	slices.SortStableFunc(a.record.hostStates, func(x, y hostState) int { return x.at.Compare(y.at) })
+	grace := DrainGrace + socketGrace + maxRelayPause + MaxDelay + a.lag
+	for _, c := range a.record.histories {
 		for _, x := range c.Calls {
 			wants, since := true, time.Time{}
-			for _, d := range a.record.drains {
+			for _, d := range a.record.hostStates {
 				if d.node != c.Node || d.host != x.Host || d.at.After(x.At) {
 					continue
 				}
-				if wants && !d.wants {
+				if wants && !d.acceptsWork {
 					since = d.at
 				}
-				wants = d.wants
+				wants = d.acceptsWork
 			}
 			f.check(wants || !x.At.After(since.Add(grace)), func() string {
-				return fmt.Sprintf("%s told %s before %s", x.Host, x.At.Sub(since).Round(time.Millisecond), c)
+				return fmt.Sprintf("%s was listed as draining %s before %s", x.Host, x.At.Sub(since).Round(time.Millisecond), c)
 			})
 		}
 	}
 }
 
-// untried: of what restarts found taken on, with no call and half of its time left, not over
-// half is given up early with no call (STANDING).
-func (a *audit) untried() {
+// checkUntried checks that, of the accepted messages that a restart finds without a call and with at least half
+// of their time left, at most half are ended early without a call.
+func (a *audit) checkUntried() {
 	found, given := 0, 0
-	for _, l := range a.record.lives {
-		next := a.next(l)
+	for _, l := range a.record.processes {
+		next := a.nextProcess(l)
 		if l.Ended.IsZero() || next == nil {
 			continue
 		}
-		for _, c := range a.record.courses {
+		for _, c := range a.record.histories {
 			if c.Node != l.Node || !c.taken() || c.Reply.At.After(l.Ended) || c.Sent.Before(l.Started) ||
-				c.Due.Sub(next.Ready) < c.Due.Sub(c.Sent)/2 || c.over(l.Ended) {
+				c.Deadline.Sub(next.Ready) < c.Deadline.Sub(c.Sent)/2 || c.triedBy(l.Ended) {
 				continue
 			}
 			found++
-			if len(c.Calls) == 0 && len(c.Notices) > 0 && c.Notices[0].At.Before(c.Due.Add(-socketGrace-a.lag)) {
+			if len(c.Calls) == 0 && len(c.Notices) > 0 && c.Notices[0].At.Before(c.Deadline.Add(-socketGrace-a.lag)) {
 				given++
 			}
 		}
 	}
-	a.of("restarts try what they find untried").check(2*given <= found, func() string {
-		return fmt.Sprintf("%d of %d given up early with no call", given, found)
+	a.finding("restarts try what they find untried").check(2*given <= found, func() string {
+		return fmt.Sprintf("%d of %d messages ended early without a call", given, found)
 	})
 }
 
-// next is the process that followed one, nil if none was ready.
-func (a *audit) next(l *Life) *Life {
-	for _, n := range a.record.lives {
+// nextProcess returns the first later process of the same node that became ready, nil for none.
+func (a *audit) nextProcess(l *Process) *Process {
+	for _, n := range a.record.processes {
 		if n.Node == l.Node && n.Started.After(l.Started) && !n.Ready.IsZero() {
 			return n
 		}
@@ -404,7 +427,8 @@
 	return nil
 }
 
-func (a *audit) strangers() {
-	f := a.of("nothing is sent that nobody handed in")
-	f.check(len(a.record.strange) == 0, func() string { return strings.Join(a.record.strange, ", ") })
+// checkUnknown checks that all calls and notices belong to messages that a client sent.
+func (a *audit) checkUnknown() {
+	f := a.finding("nothing is sent that nobody handed in")
+	f.check(len(a.record.unknown) == 0, func() string { return strings.Join(a.record.unknown, ", ") })
 }
