--- a/internal/badday/audit.go
+++ b/internal/badday/audit.go
@@ -12,15 +12,15 @@
 	"basaltcross.example/basaltcross/internal/standin"
 )
 
-// Rule is what the audit found of one rule.
+// Rule holds the audit's findings on one rule.
 type Rule struct {
 	Name      string   `json:"name"`
-	Occasions int      `json:"occasions"` // times that it could have been broken
+	Occasions int      `json:"occasions"` // number of situations in which the rule could have been broken
 	Broken    int      `json:"broken"`
 	Examples  []string `json:"examples,omitempty"`
 }
 
-// Report is what came of a day.
+// Report is the result of a run and its audit.
 type Report struct {
 	Rules    []*Rule        `json:"rules"`
 	Answers  map[string]int `json:"answers"`
@@ -29,7 +29,7 @@
 	Served   float64        `json:"delivered_share"`
 }
 
-// Broken counts the rules that were broken.
+// Broken returns the number of rules that were broken.
 func (r *Report) Broken() (n int) {
 	for _, x := range r.Rules {
 		if x.Broken > 0 {
@@ -39,7 +39,7 @@
 	return n
 }
 
-// Print writes the report; its last line tells the rules broken.
+// Print writes the report; its last line gives the number of broken rules.
 func (r *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "messages %d, delivered %.1f%%; answers %v; calls %v\n", r.Messages, 100*r.Served, r.Answers, r.Calls)
 	for _, x := range r.Rules {
@@ -57,15 +57,15 @@
 	}
 }
 
-// Allowances of the audit: what loopback, goroutines and the records' own
-// clocks may add. A planted fault goes far beyond them.
+// Tolerances of the audit for delays that loopback, goroutine scheduling and the time stamps
+// of the records add. A planted fault exceeds them by far.
 const (
-	answerSlack = 300 * time.Millisecond // answers on their way to the client
-	seenSlack   = 100 * time.Millisecond // between a socket's event and its record
-	listSlack   = 500 * time.Millisecond // until a relay has read a new list
+	answerSlack = 300 * time.Millisecond // transfer of an answer to the client
+	seenSlack   = 100 * time.Millisecond // from an event on a socket to its record
+	listSlack   = 500 * time.Millisecond // until a relay has loaded a new endpoint list
 )
 
-// call is a record with what its body tells.
+// call is a stand-in's record of a call, with the fields parsed from its body.
 type call struct {
 	standin.Call
 	id     string
@@ -73,7 +73,7 @@
 	client string
 }
 
-// over is when a call was no longer out, as far as the stand-in can tell.
+// over returns when the call stopped being in flight, as far as the stand-in can tell.
 func (c *call) over() time.Time {
 	if !c.Left.IsZero() && c.Left.Before(c.End) {
 		return c.Left
@@ -112,9 +112,10 @@
 	return r
 }
 
-// dueOf is until when the answer to a hand-in is owed. Where the one before it was lost on
-// the way, the relay may have that, and the later one has joined it: with its time, which
-// the client rounds down to whole seconds when it asks again.
+// dueOf returns the time by which a hand-in must be answered. If the connection was lost during
+// an earlier hand-in of the same message, the relay may have received that one and joined the
+// later hand-in to it. The deadline of the earlier one then holds: the client rounds the
+// remaining time down to whole seconds when it retries.
 func dueOf(h *handIn, hands []*handIn) time.Time {
 	due := h.at.Add(h.left)
 	for _, before := range hands {
@@ -127,9 +128,9 @@
 	return due
 }
 
-// answersTo are the answers to a hand-in. Where its client handed the message in again at the
-// relay before any came, the two have joined and the answer is to both; the client books it
-// on the newest.
+// answersTo returns the answers to a hand-in. If the client handed the message in again at the
+// same relay before an answer came, the relay joins the two hand-ins and answers both at once;
+// the client records that answer on the newest hand-in.
 func answersTo(h *handIn, hands []*handIn) []client.Answer {
 	if len(h.answers) > 0 {
 		return h.answers
@@ -147,8 +148,8 @@
 	return joined.answers
 }
 
-// auditAnswers: exactly one final answer in time for each message taken by a
-// relay that ran on, and nothing goes out after it.
+// auditAnswers checks that each message accepted by a relay that was not killed afterwards gets
+// exactly one final answer, in time, and that no call of it starts after the answer.
 func (d *day) auditAnswers(hands []*handIn, byID map[string][]*call, r *Report) *Rule {
 	x := &Rule{Name: "one answer, in time, and the last"}
 	got, all := map[string]bool{}, map[string]bool{}
@@ -178,12 +179,13 @@
 		}
 		due := dueOf(h, hands)
 		for _, s := range d.relays[h.relay].stalls {
-			if h.at.After(s[0].Add(-answerSlack)) && h.at.Before(s[1]) { // it lay in the kernel: taken only then
+			// waited in the socket buffer while the relay was stopped; accepted only afterwards
+			if h.at.After(s[0].Add(-answerSlack)) && h.at.Before(s[1]) {
 				due = s[1].Add(h.left)
 			}
 		}
 		for _, s := range d.relays[h.relay].stalls {
-			if !due.Before(s[0].Add(-answerSlack)) && due.Before(s[1]) { // it stood still when the time was up
+			if !due.Before(s[0].Add(-answerSlack)) && due.Before(s[1]) { // the relay was stopped when the deadline passed
 				due = s[1]
 			}
 		}
@@ -207,7 +209,7 @@
 	return x
 }
 
-// course of a message, as its client knows it.
+// course describes the hand-ins of a message as its client saw them.
 func (d *day) course(h *handIn) string {
 	for _, s := range d.senders {
 		if s.name == h.client {
@@ -217,8 +219,8 @@
 	return ""
 }
 
-// away tells whether the client was not connected to that relay when its
-// answer fell due: it gets it when it returns.
+// away reports whether the client was disconnected when its answer fell due; the answer is
+// delivered when it reconnects.
 func (d *day) away(h *handIn, due time.Time) bool {
 	for _, s := range d.senders {
 		if s.name == h.client {
@@ -232,13 +234,13 @@
 	return false
 }
 
-// auditEffects: what may have run is resent only as its class allows, and two
-// attempts of a message are never out at once.
+// auditEffects checks that a message that may have taken effect is resent only as its class
+// allows, and that a relay never has two attempts of one message in flight at once.
 func auditEffects(byID map[string][]*call) *Rule {
 	x := &Rule{Name: "no effect twice"}
 	for id, l := range byID {
 		effects := 0
-		var ran *call // the first that may have run
+		var ran *call // first call that may have taken effect
 		for i, c := range l {
 			if c.Effect {
 				effects++
@@ -272,7 +274,8 @@
 	return x
 }
 
-// auditDrains: nothing new to an endpoint past the grace after the list said so.
+// auditDrains checks that no call to an endpoint starts later than the drain grace period after
+// the list marked the endpoint as draining or left it out.
 func (d *day) auditDrains(calls []*call) *Rule {
 	x := &Rule{Name: "drains kept"}
 	told := map[string]time.Time{}
@@ -303,8 +306,9 @@
 	return x
 }
 
-// auditReturns: no partner is pushed over when it returns by relays that had
-// met a failure there.
+// auditReturns checks that a partner returning from an outage is not overloaded by relays that
+// had seen it fail. An overload breaks the rule if at least two thirds of its calls came from
+// such relays.
 func (d *day) auditReturns() *Rule {
 	x := &Rule{Name: "no returning partner pushed over"}
 	for _, p := range d.partners {
@@ -325,8 +329,8 @@
 	return x
 }
 
-// auditOrder: messages of a key go one at a time, in the order that the relay
-// took them, with a rest after an attempt whose end is unsure.
+// auditOrder checks that a relay sends the messages of a key one at a time, in the order of their
+// hand-ins, and waits for the settle time after an attempt whose outcome is unknown.
 func (d *day) auditOrder(calls []*call) *Rule {
 	x := &Rule{Name: "order kept"}
 	last := map[string]*call{}
@@ -355,7 +359,7 @@
 	return x
 }
 
-// key of a call by what its client handed in, not by what the relay made of it.
+// key returns the key of a call as its client handed it in, independent of what the relay sent.
 func (d *day) key(c *call) string {
 	for _, s := range d.senders {
 		if s.name == c.client {
@@ -371,8 +375,8 @@
 	return ""
 }
 
-// auditWaits: silence towards a partner until a told wait is over. Calls that
-// were under way when it was told do not count.
+// auditWaits checks that a relay sends nothing to a partner until the wait that the partner asked
+// for has passed. Calls already in flight when the relay was told to wait do not count.
 func (d *day) auditWaits(calls []*call) *Rule {
 	x := &Rule{Name: "waits heeded"}
 	until := map[string][2]time.Time{}
@@ -397,7 +401,7 @@
 	return x
 }
 
-// restarted tells whether a relay was killed, stopped or stood still in between.
+// restarted reports whether a relay was killed, stopped or stalled between two times.
 func (d *day) restarted(name string, from, to time.Time) bool {
 	for _, r := range d.relays {
 		if r.name() != name {
@@ -407,7 +411,7 @@
 			slices.ContainsFunc(r.stops, func(k time.Time) bool { return k.After(from) && k.Before(to) }) {
 			return true
 		}
-		for _, s := range r.stalls { // an answer that lay in the kernel while it stood still is told later
+		for _, s := range r.stalls { // a response that waited in the socket buffer during the stall is read later
 			if s[0].Before(to) && s[1].Add(seenSlack).After(from) {
 				return true
 			}
@@ -416,7 +420,7 @@
 	return false
 }
 
-// Summary is a line for a list of days.
+// Summary returns a one-line summary, for a list of several runs.
 func (r *Report) Summary() string {
 	var parts []string
 	for _, k := range slices.Sorted(maps.Keys(r.Answers)) {
--- a/internal/badday/audit_test.go
+++ b/internal/badday/audit_test.go
@@ -7,8 +7,9 @@
 	"basaltcross.example/basaltcross/internal/client"
 )
 
-// Guards against an answer that counts as late although the hand-in had joined an earlier
-// one, which the relay has though its client never heard so; and only then.
+// Guards against a false report of a late answer for a hand-in that joined an earlier one. The
+// relay has received the earlier one, but its client lost the connection before it was told so.
+// In all other cases the hand-in's own deadline must hold.
 func TestDueOfAJoinedHandIn(t *testing.T) {
 	at := time.Unix(100, 0)
 	first := handIn{id: "m", relay: 1, at: at, left: deadline, unknown: true}
@@ -31,9 +32,10 @@
 	}
 }
 
-// The course of client-4-2971 on a mixed day: two hand-ins were open at once, since the client
-// had two reasons to come again. They join, the one answer is to both, and it must be in time
-// for the first. Any other hand-in without an answer breaks the rule.
+// Guards against a false report of a missing answer when a client has two hand-ins of a message
+// open at once, having had two reasons to retry. The relay joins them and answers both at once,
+// and that answer must be in time for the first. Any other hand-in without an answer breaks the
+// rule.
 func TestAnswerToJoinedHandIns(t *testing.T) {
 	at := time.Unix(100, 0)
 	for _, c := range []struct {
--- a/internal/badday/crash.go
+++ b/internal/badday/crash.go
@@ -23,7 +23,7 @@
 	"basaltcross.example/basaltcross/internal/pause"
 )
 
-// CrashOptions of a run in which one relay with a journal is killed again and again.
+// CrashOptions configures a run in which a relay with a journal is killed repeatedly.
 type CrashOptions struct {
 	Binary  string
 	Plant   string
@@ -31,10 +31,10 @@
 	Seed    uint64
 	Clients int
 	Out     io.Writer
-	Keep    string // folder for configuration, journal and log; empty for one that is removed
+	Keep    string // directory for configuration, journal and log; empty for a temporary one
 }
 
-// CrashReport is what came of it; all but the first five must be 0.
+// CrashReport is the result of a crash run; each of the counters from Twice to Untrue must be 0.
 type CrashReport struct {
 	Kills    int            `json:"kills"`
 	Early    int            `json:"kills_during_start"`
@@ -50,7 +50,7 @@
 	Examples []string       `json:"examples,omitempty"`
 }
 
-// Broken counts the promises that were broken.
+// Broken returns the number of broken guarantees.
 func (r *CrashReport) Broken() int {
 	return r.Twice + r.Again + r.Lost + r.Changed + r.Disorder + r.Untrue
 }
@@ -66,14 +66,14 @@
 	crashWindow   = 20 * time.Second
 )
 
-// crashClient hands messages in one after the other; one that was not taken for
-// certain comes again, on the next connection, under its own name.
+// crashClient hands in messages one after the other. A message that was not confirmed as
+// accepted is handed in again on the next connection, with the same ID.
 type crashClient struct {
 	name string
 	push *client.PushSession // nil for MQTT
 	mu   sync.Mutex
-	got  map[string][]string // answers by message
-	sent []string            // taken, in order
+	got  map[string][]string // answers by message ID, in order of arrival
+	sent []string            // IDs of accepted messages, in order
 }
 
 func (c *crashClient) on(a client.Answer) {
@@ -88,8 +88,9 @@
 	return slices.ContainsFunc(c.sent, func(id string) bool { return len(c.got[id]) == 0 })
 }
 
-// run until stop is closed and all that was taken is answered, or ctx ends.
-func (c *crashClient) run(ctx context.Context, addr, origin string, trust *tls.Config, seed uint64, stop <-chan struct{}) {
+// run hands in messages until stop is closed and each accepted message is answered, or ctx ends.
+func (c *crashClient) run(ctx context.Context, addr, origin string, trust *tls.Config, seed uint64,
+	stop <-chan struct{}) {
 	chance := rand.New(rand.NewPCG(seed, 1))
 	n := 0
 	stopping := func() bool {
@@ -102,7 +103,8 @@
 	}
 	next := func() client.Message {
 		n++
-		m := client.Message{ID: fmt.Sprintf("%s-%d", c.name, n), Class: []string{"status", "order", "charge", "charge"}[chance.IntN(4)],
+		m := client.Message{ID: fmt.Sprintf("%s-%d", c.name, n),
+			Class:   []string{"status", "order", "charge", "charge"}[chance.IntN(4)],
 			Partner: fmt.Sprint("p", chance.IntN(4)), QoS: byte(1 + chance.IntN(2))}
 		if m.Class == "charge" {
 			m.Key = fmt.Sprintf("%s/%d", c.name, chance.IntN(2))
@@ -157,13 +159,13 @@
 			}
 		}
 		cl.Cut()
-		if lost && c.push != nil { // the client itself looks again only when it sends
+		if lost && c.push != nil { // the push client reconnects only when it sends
 			pause.For(ctx, 5*time.Millisecond)
 		}
 	}
 }
 
-// Crash kills a relay again and again under load and audits what it promised.
+// Crash kills a relay repeatedly under load and audits its guarantees.
 func Crash(ctx context.Context, opt CrashOptions) (*CrashReport, error) {
 	dir := opt.Keep
 	if dir == "" {
@@ -177,7 +179,8 @@
 	rec := standin.NewRecorder(mostCalls)
 	var list strings.Builder
 	for i := range 4 {
-		p := standin.NewPartner(fmt.Sprint("p", i), standin.Model{Service: 4 * time.Millisecond, Spread: 0.9, Window: crashWindow}, opt.Seed)
+		p := standin.NewPartner(fmt.Sprint("p", i),
+			standin.Model{Service: 4 * time.Millisecond, Spread: 0.9, Window: crashWindow}, opt.Seed)
 		for range 2 {
 			e, err := standin.Start("127.0.0.1:0", p, rec)
 			if err != nil {
@@ -200,7 +203,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, _, err := authority.Issue(dir, "server", time.Now().Add(-time.Minute), time.Now().Add(time.Hour), "127.0.0.1"); err != nil {
+	if _, _, err := authority.Issue(dir, "server", time.Now().Add(-time.Minute),
+		time.Now().Add(time.Hour), "127.0.0.1"); err != nil {
 		return nil, err
 	}
 	trust := &tls.Config{RootCAs: authority.CertPool()}
@@ -223,7 +227,8 @@
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(filepath.Join(dir, "list.cue"), []byte("endpoints: [\n"+list.String()+"]\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "list.cue"), []byte("endpoints: [\n"+list.String()+"]\n"),
+		0o600); err != nil {
 		return nil, err
 	}
 	run, cancel := context.WithCancel(ctx)
@@ -272,7 +277,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if early := chance.IntN(10) == 0; early { // while it starts and recovers
+		if early := chance.IntN(10) == 0; early { // kill it during start-up and recovery
 			r.Early++
 			pause.For(ctx, time.Duration(chance.Float64()*float64(60*time.Millisecond)))
 		} else {
@@ -280,7 +285,7 @@
 				_ = cmd.Process.Kill()
 				_ = cmd.Wait()
 				out, _ := os.ReadFile(log.Name())
-				return nil, fmt.Errorf("badday: the relay did not come up:\n%s", out[max(0, len(out)-2000):])
+				return nil, fmt.Errorf("badday: relay not ready in time:\n%s", out[max(0, len(out)-2000):])
 			}
 			pause.For(ctx, time.Duration(chance.ExpFloat64()*float64(150*time.Millisecond)))
 		}
@@ -297,10 +302,10 @@
 	if !up() {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		return nil, errors.New("badday: the relay did not come up after the last kill")
+		return nil, errors.New("badday: relay not ready in time after the last kill")
 	}
 	close(stop)
-	time.AfterFunc(3*crashDeadline, cancel) // what is owed comes by then
+	time.AfterFunc(3*crashDeadline, cancel) // all answers due arrive by then
 	done.Wait()
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	_ = cmd.Wait()
@@ -311,7 +316,7 @@
 	return r, nil
 }
 
-// audit goes by what clients and stand-ins saw.
+// audit checks the guarantees against what clients and stand-ins observed.
 func (r *CrashReport) audit(clients []*crashClient, calls []standin.Call) {
 	r.Calls = len(calls)
 	byID := map[string][]standin.Call{}
@@ -365,16 +370,19 @@
 					r.fail(&r.Changed, "%s: %s, then %s", id, l[0], a)
 				}
 			}
-			if l[0] == "delivered" && !slices.ContainsFunc(byID[id], func(k standin.Call) bool { return k.What == standin.Served || k.What == standin.Repeat }) {
+			if l[0] == "delivered" && !slices.ContainsFunc(byID[id], func(k standin.Call) bool {
+				return k.What == standin.Served || k.What == standin.Repeat
+			}) {
 				r.fail(&r.Untrue, "%s: delivered, but no partner served it", id)
 			}
 		}
 	}
 }
 
-// Print writes the report.
+// Print writes the report; its last line gives the number of broken guarantees.
 func (r *CrashReport) Print(w io.Writer) {
-	fmt.Fprintf(w, "killed %d times, %d of them during the start; %d messages taken, answers %v, %d calls\n", r.Kills, r.Early,
+	fmt.Fprintf(w, "killed %d times, %d of them during the start; %d messages taken, answers %v, %d calls\n",
+		r.Kills, r.Early,
 		r.Taken, r.Answers, r.Calls)
 	for _, l := range []struct {
 		name string
--- a/internal/badday/day.go
+++ b/internal/badday/day.go
@@ -24,19 +24,19 @@
 	"basaltcross.example/basaltcross/internal/pause"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Binary string   // the program to start relays with
-	Env    []string // added to their environment
-	Plant  string   // a fault for all relays
+	Binary string   // path of the program that runs the relays
+	Env    []string // additions to the relays' environment
+	Plant  string   // fault to plant in all relays; empty for none
 	Out    io.Writer
-	Keep   string // folder for configurations and logs; empty for one that is removed
+	Keep   string // directory for configurations and logs; empty for a temporary one
 	// AcknowledgeEvery is the time between the MQTT clients' batches of acknowledgements; 0
 	// for clients that acknowledge each answer at once.
 	AcknowledgeEvery time.Duration
 }
 
-// Figures of the day's deployment; all of it is on loopback.
+// Settings of the simulated deployment, which runs on loopback only.
 const (
 	aim         = time.Second
 	deadline    = 4 * time.Second
@@ -48,37 +48,38 @@
 	factor      = 2.0
 	orderSettle = 50 * time.Millisecond
 	service     = 20 * time.Millisecond
-	roomy       = 1.5 // a partner's limit over its part of the traffic
+	roomy       = 1.5 // a partner's rate limit as a multiple of its share of the traffic
 	mostCalls   = 2_000_000
 )
 
+// day is one run of a script.
 type day struct {
 	opt      Options
 	script   Script
 	dir      string
-	until    time.Time // nothing is handed in after it
+	until    time.Time // end of the traffic; nothing is handed in later
 	rand     *rand.Rand
 	rec      *standin.Recorder
 	partners []*standin.Partner
 	relays   []*relayProc
 	senders  []*sender
 	trust    *tls.Config
-	consul   *standin.Consul // nil where the list is a file
+	consul   *standin.Consul // nil if relays read a list file
 
 	mu     sync.Mutex
 	ends   []*end
-	broken bool    // the list file is broken now
-	rate   float64 // factor
-	hot    float64 // share of messages of one key at the first partner
-	caller float64 // share of messages from the first client
+	broken bool    // the list file is written truncated
+	rate   float64 // factor on the script's message rate
+	hot    float64 // fraction of messages that go to one key at the first partner
+	caller float64 // fraction of messages that the first client sends
 }
 
-// end is one endpoint with its place on the list.
+// end is one endpoint with its state on the list.
 type end struct {
 	*standin.Endpoint
 	state  string
-	told   time.Time         // the list said draining or gone from then on
-	second *standin.Endpoint // a second address of the same endpoint, nil for none
+	told   time.Time         // when the list first had it as draining or gone
+	second *standin.Endpoint // second address of the endpoint; nil if it has only one
 }
 
 // relayProc is one relay process.
@@ -87,7 +88,7 @@
 	index  int
 	config string
 	listen string
-	origin string // of its Web Push front
+	origin string // URL of its Web Push listener
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	done   chan struct{}
@@ -152,10 +153,10 @@
 		}
 	}
 	_ = cmd.Process.Kill()
-	return fmt.Errorf("badday: %s was not up after 10 s", r.name())
+	return fmt.Errorf("badday: %s not ready after 10 s", r.name())
 }
 
-// stop ends the process with a signal and waits for it.
+// stop signals the process to end and waits for it; after 15 s it is killed.
 func (r *relayProc) stop(sig syscall.Signal) {
 	r.mu.Lock()
 	cmd, done := r.cmd, r.done
@@ -175,7 +176,7 @@
 	}
 }
 
-// stall stops the process for a while.
+// stall suspends the process for a given duration.
 func (r *relayProc) stall(ctx context.Context, d time.Duration) {
 	r.mu.Lock()
 	cmd := r.cmd
@@ -189,7 +190,7 @@
 	r.mu.Unlock()
 }
 
-// weight of a partner's part of the traffic: a few get much.
+// weight returns the relative traffic of the i-th partner; a few partners get most of it.
 func weight(i int) float64 { return 1 / float64(i+1) }
 
 func (d *day) share(i int) float64 {
@@ -217,12 +218,12 @@
 	return n, nil
 }
 
-// twoAddresses tells whether the script strikes addresses: then each endpoint has two.
+// twoAddresses reports whether endpoints have two addresses, as faults at single addresses need.
 func (d *day) twoAddresses() bool {
 	return slices.ContainsFunc(d.script.Troubles, func(t Trouble) bool { return t.Name == "address_dead" })
 }
 
-// instance is an endpoint as the catalogue has it.
+// instance returns the endpoint's entry in the catalogue.
 func (e *end) instance(draining bool) standin.Instance {
 	host, port, _ := net.SplitHostPort(e.Addr)
 	n, _ := strconv.Atoi(port)
@@ -234,7 +235,7 @@
 	return i
 }
 
-// register puts the endpoints into the catalogue.
+// register brings the catalogue up to date with the endpoints' states.
 func (d *day) register() {
 	d.mu.Lock()
 	var has []standin.Instance
@@ -251,7 +252,8 @@
 	d.consul.Delete(gone...)
 }
 
-// list writes the endpoint list, whole, by renaming.
+// list publishes the endpoints' states: in the catalogue, or in the list file, which it replaces
+// atomically by a rename.
 func (d *day) list() error {
 	if d.consul != nil {
 		d.register()
@@ -283,7 +285,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// set changes an endpoint's state on the list; list makes it known.
+// set changes an endpoint's state; list publishes it.
 func (d *day) set(e *end, state string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -304,7 +306,7 @@
 	return
 }
 
-// Run plays a script and audits it.
+// Run runs a script and audits the result.
 func Run(ctx context.Context, s Script, opt Options) (*Report, error) {
 	d := &day{opt: opt, script: s, dir: opt.Keep, rand: rand.New(rand.NewPCG(s.Seed, 2)),
 		rec: standin.NewRecorder(mostCalls), rate: 1}
@@ -351,7 +353,7 @@
 	for i := range s.Relays {
 		r := &relayProc{day: d, index: i, config: filepath.Join(d.dir, fmt.Sprintf("relay-%d.cue", i))}
 		d.relays = append(d.relays, r)
-		// A fixed port, so that a relay returns where its clients look for it.
+		// A fixed port, so that clients find the relay again after a restart.
 		port, err := freePort()
 		if err != nil {
 			return nil, err
@@ -395,7 +397,7 @@
 	}
 	d.traffic(day)
 	troubles.Wait()
-	pause.For(day, deadline+time.Second) // what is owed comes by then
+	pause.For(day, deadline+time.Second) // all answers due arrive by then
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -404,7 +406,7 @@
 	return d.audit(), nil
 }
 
-// makeKeys makes an authority and the relays' certificate.
+// makeKeys creates a certificate authority and the relays' certificate.
 func (d *day) makeKeys() error {
 	a, err := keys.NewAuthority("bad day", time.Hour)
 	if err != nil {
@@ -427,7 +429,7 @@
 	return port, err
 }
 
-// traffic hands messages to the clients, by chance and at the script's rate.
+// traffic passes messages to random clients, as a Poisson process at the script's rate.
 func (d *day) traffic(ctx context.Context) {
 	at := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
@@ -466,7 +468,7 @@
 	}
 }
 
-// directory is where a relay has its list from.
+// directory returns the part of a relay's configuration that sets up endpoint discovery.
 func (d *day) directory(r *relayProc) string {
 	if d.consul == nil {
 		return `directory: file: "list.cue"`
--- a/internal/badday/plant.go
+++ b/internal/badday/plant.go
@@ -1,6 +1,9 @@
-// Package badday plays a scripted bad day on real sockets: relays as processes
-// of their own, stand-ins, clients, troubles; then audits the six rules from
-// what stand-ins and clients saw, never from the relays' own records.
+// Package badday runs scripted fault-injection tests on real sockets. It starts relays as
+// separate processes, with stand-ins for the partners' hosts and with clients, and injects the
+// faults of the script.
+//
+// Afterwards it audits six rules by what stand-ins and clients observed. It never uses the
+// relays' own records.
 package badday
 
 import (
@@ -21,11 +24,11 @@
 	"basaltcross.example/basaltcross/internal/relay"
 )
 
-// Breaks are the faults that can be planted in a relay.
+// Breaks lists the faults that can be planted in a relay to check that the audit finds them.
 var Breaks = []string{"double-send", "send-to-drained", "early-after-wait", "out-of-order", "no-answer",
 	"late-answer", "flood-cold"}
 
-// Plant returns hooks that break one rule now and then.
+// Plant returns hooks that make a relay break one rule, in part of the cases.
 func Plant(name string, cfg *config.Config) (relay.Hooks, error) {
 	var h relay.Hooks
 	switch name {
@@ -39,12 +42,12 @@
 	case "answer-before-sync":
 		h.Journal = func(j core.Journal) core.Journal { return &hastyJournal{j} }
 	default:
-		return h, fmt.Errorf("badday: no fault %q; there are %s", name, strings.Join(Breaks, ", "))
+		return h, fmt.Errorf("badday: unknown fault %q; known faults: %s", name, strings.Join(Breaks, ", "))
 	}
 	return h, nil
 }
 
-// badCaller sends twice, or hides from the core what it should heed.
+// badCaller sends calls twice, or hides waits and failures from the core.
 type badCaller struct {
 	core.Caller
 	name string
@@ -79,7 +82,7 @@
 	return b.Caller.Send(c)
 }
 
-// deafSink never hears of a drain.
+// deafSink hides drains and removals of endpoints from the relay.
 type deafSink struct {
 	directory.Sink
 	mu   sync.Mutex
@@ -102,7 +105,7 @@
 	d.Sink.List(l)
 }
 
-// badDoor loses the order, or answers.
+// badDoor removes the keys of messages, or suppresses or delays answers.
 type badDoor struct {
 	front.Door
 	name string
@@ -131,7 +134,7 @@
 	}
 }
 
-// hastyJournal says that all is on disk while it is not even on the way there.
+// hastyJournal reports records as synced to disk before they are even queued for writing.
 type hastyJournal struct{ core.Journal }
 
 func (h *hastyJournal) RecordMessage(m journal.Message) {
--- a/internal/badday/script.cue
+++ b/internal/badday/script.cue
@@ -1,6 +1,7 @@
 #Dur: string & =~"^([0-9]+(\\.[0-9]+)?(ms|s|m))+$"
 
-// One trouble: from at, for so long, at a part of what it strikes, with a size.
+// One injected fault. It starts at the time `at` and lasts for the duration `for`. `part` is the
+// fraction of targets that it affects, `size` its strength; the meaning depends on the fault.
 #Trouble: {
 	name: "burst" | "hot_caller" | "hot_key" | "hang" | "crash" | "fast_errors" | "slow" | "shared_slow" |
 		"heavy_tail" | "pauses" | "vanish" | "throttle" | "give_up" | "answer_lost" | "class_fail" |
@@ -18,10 +19,10 @@
 	relays:   int & >=1 & <=16 | *3
 	clients:  int & >=1 & <=64 | *9
 	partners: int & >=1 & <=64 | *6
-	// Messages a second of all clients together.
+	// Messages per second of all clients together.
 	rate:  number & >0 | *150
 	lasts: #Dur | *"20s"
-	// Relays follow a catalogue, and each other there, instead of a list file.
+	// Relays discover endpoints and one another through a service catalogue instead of a list file.
 	catalogue: bool | *false
 	troubles: [...#Trouble] | *[]
 }
--- a/internal/badday/script.go
+++ b/internal/badday/script.go
@@ -17,7 +17,7 @@
 //go:embed script.cue
 var scriptSchema string
 
-// Trouble is one entry of a script.
+// Trouble is one injected fault of a script.
 type Trouble struct {
 	Name string
 	At   config.Duration
@@ -26,7 +26,7 @@
 	Size float64
 }
 
-// Script is a day.
+// Script describes a run: the deployment, its traffic and the faults to inject.
 type Script struct {
 	Seed      uint64
 	Relays    int
@@ -38,7 +38,7 @@
 	Troubles  []Trouble
 }
 
-// Kinds are the kinds of trouble there are, each with a size that hurts.
+// Kinds lists the kinds of injected faults, each with a part and a size that have a clear effect.
 var Kinds = []struct {
 	Name string
 	Part float64
@@ -50,10 +50,11 @@
 	{"answer_lost", 0.5, 0.25}, {"class_fail", 0.5, 0.9}, {"idle_reap", 1, 0.2}, {"handshake_slow", 0.7, 0.3},
 	{"deploy", 0.6, 0}, {"preempt", 0.4, 0}, {"discovery_down", 1, 0}, {"balancer_crash", 0.34, 0},
 	{"balancer_roll", 1, 0}, {"balancer_stall", 0.34, 0},
-	{"address_dead", 0.7, 0}, {"catalogue_down", 1, 0}, {"catalogue_half", 1, 0}, {"catalogue_back", 1, 0}, {"flap", 0.4, 0},
+	{"address_dead", 0.7, 0}, {"catalogue_down", 1, 0}, {"catalogue_half", 1, 0}, {"catalogue_back", 1, 0},
+	{"flap", 0.4, 0},
 }
 
-// Mixed is the default day: a bit of much, in well under a minute.
+// Mixed is the default script: faults of many kinds, in well under a minute.
 const Mixed = `
 lasts: "22s"
 troubles: [
@@ -68,19 +69,20 @@
 	{name: "give_up", at: "17s", for: "1s", part: 0.4},
 ]`
 
-// One is the day of a single kind of trouble.
+// One returns a script with a single kind of fault.
 func One(kind string) (string, error) {
 	for _, k := range Kinds {
 		if k.Name == kind {
 			catalogue := strings.HasPrefix(kind, "catalogue_") || kind == "flap"
-			return fmt.Sprintf("lasts: \"14s\"\ncatalogue: %v\ntroubles: [{name: %q, at: \"2s\", for: \"5s\", part: %g, size: %g}]",
+			return fmt.Sprintf(
+				"lasts: \"14s\"\ncatalogue: %v\ntroubles: [{name: %q, at: \"2s\", for: \"5s\", part: %g, size: %g}]",
 				catalogue, k.Name, k.Part, k.Size), nil
 		}
 	}
-	return "", fmt.Errorf("badday: no trouble %q", kind)
+	return "", fmt.Errorf("badday: unknown kind of trouble %q", kind)
 }
 
-// Load reads a script file.
+// Load reads and checks a script file.
 func Load(path string) (Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -89,7 +91,7 @@
 	return Parse(path, string(text))
 }
 
-// Parse checks a script.
+// Parse parses a script and checks it against the schema.
 func Parse(name, text string) (s Script, err error) {
 	ctx := cuecontext.New()
 	schema := ctx.CompileString(scriptSchema).LookupPath(cue.ParsePath("#Script"))
@@ -108,7 +110,7 @@
 	return s, nil
 }
 
-// ForBreak is the day on which a planted fault shows.
+// ForBreak returns a script under which a planted fault becomes visible.
 func ForBreak(name string) string {
 	trouble := map[string]string{
 		"send-to-drained":  `{name: "deploy", at: "2s", for: "4s", part: 0.6}`,
--- a/internal/badday/sender.go
+++ b/internal/badday/sender.go
@@ -10,24 +10,24 @@
 	"basaltcross.example/basaltcross/internal/client"
 )
 
-// handIn is one time that a client handed a message in, and what came of it.
+// handIn is one hand-in of a message by a client, and its result.
 type handIn struct {
 	id, class, partner, key, client string
 	relay                           int
-	number                          int // of the client's hand-ins, in order
+	number                          int // sequence number among the client's hand-ins
 	try                             int
-	first                           time.Time // when the message was first handed in
+	first                           time.Time // time of the message's first hand-in
 	at                              time.Time
-	left                            time.Duration // asked for: what is left of its time
-	taken                           bool          // the relay said so
-	sure                            time.Time     // when it had
-	unknown                         bool          // the connection was lost before the relay said anything
-	orphan                          bool          // its relay was killed while it was owed an answer
+	left                            time.Duration // remaining time requested for the message
+	taken                           bool          // the relay confirmed the hand-in
+	sure                            time.Time     // time of that confirmation
+	unknown                         bool          // the connection was lost before the relay confirmed or refused it
+	orphan                          bool          // the relay was killed before it answered
 	answers                         []client.Answer
 }
 
-// sender is one client program. It hands messages in one after the other, so
-// that those of a key have an order, and comes again as clients do.
+// sender is one client. It hands in messages one after the other, so that the messages of a key
+// have a defined order, and retries refused and lost hand-ins.
 type sender struct {
 	day   *day
 	name  string
@@ -36,17 +36,17 @@
 
 	mu     sync.Mutex
 	hands  []*handIn
-	last   map[string]*handIn // newest hand-in by message
+	last   map[string]*handIn // newest hand-in by message ID
 	cl     carrier
-	push   []*client.PushSession // by relay, of those that push
-	stray  int                   // answers to nothing
+	push   []*client.PushSession // by relay; nil for MQTT clients
+	stray  int                   // answers to unknown messages
 	number int
-	gaps   [][2]time.Time         // not connected
-	keys   map[string]string      // by message, for the audit
-	acks   map[string][]time.Time // when answers were acknowledged, by message
+	gaps   [][2]time.Time         // periods without a connection
+	keys   map[string]string      // keys by message ID, filled by the audit
+	acks   map[string][]time.Time // times of acknowledgements by message ID
 }
 
-// carrier is a connection to a relay by either front.
+// carrier is a connection to a relay, over MQTT or Web Push.
 type carrier interface {
 	Send(context.Context, client.Message) error
 	Lost() <-chan struct{}
@@ -59,7 +59,7 @@
 	sendTime  = 8 * time.Second
 )
 
-// newSender makes the i-th client; each third one pushes.
+// newSender returns the i-th client; every third client uses Web Push, the others MQTT.
 func newSender(d *day, i int) (*sender, error) {
 	s := &sender{day: d, name: fmt.Sprintf("client-%d", i), relay: i % d.script.Relays,
 		queue: make(chan *handIn, 100000), last: map[string]*handIn{}, acks: map[string][]time.Time{}}
@@ -90,14 +90,14 @@
 	}
 }
 
-// acknowledged notes that the acknowledgement of an answer was written.
+// acknowledged records the time at which the acknowledgement of an answer was written.
 func (s *sender) acknowledged(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.acks[id] = append(s.acks[id], time.Now())
 }
 
-// again hands a message in once more after a while; under mu.
+// again schedules another hand-in of a message. The caller holds mu.
 func (s *sender) again(h *handIn, after time.Duration) {
 	n := &handIn{id: h.id, class: h.class, partner: h.partner, key: h.key, client: h.client, try: h.try + 1,
 		first: h.first}
@@ -108,7 +108,7 @@
 	})
 }
 
-// connect finds a relay that lets it in.
+// connect tries the relays in turn until one accepts a connection; nil if ctx ends first.
 func (s *sender) connect(ctx context.Context) carrier {
 	for ctx.Err() == nil {
 		var cl carrier
@@ -165,7 +165,7 @@
 			} else if h.left = (deadline - h.at.Sub(h.first)).Truncate(time.Second); h.left < time.Second {
 				s.mu.Unlock()
 				next = nil
-				continue // nobody waits for it any more
+				continue // less than a second is left; the client gives up
 			}
 			s.number++
 			h.number = s.number
@@ -174,7 +174,7 @@
 			s.mu.Unlock()
 			next = nil
 			send, cancel := context.WithTimeout(ctx, sendTime)
-			go func() { // a lost connection does not end a publish by itself
+			go func() { // Send does not return by itself when the connection is lost
 				select {
 				case <-cl.Lost():
 					cancel()
@@ -192,10 +192,10 @@
 			s.mu.Lock()
 			if err == nil {
 				h.taken, h.sure = true, time.Now()
-			} else if connected { // turned away at the door: that was no try
+			} else if connected { // refused on hand-in, with the connection up; does not count as a try
 				h.try--
 				s.again(h, 200*time.Millisecond)
-			} else { // nobody knows: safe or keyed comes again
+			} else { // outcome unknown; retry unless the message is unsafe to repeat
 				h.unknown = true
 				if h.class != "charge" && h.try < mostTries {
 					s.again(h, 100*time.Millisecond)
@@ -207,10 +207,11 @@
 	}
 }
 
-// lost deals with the end of a connection: what a dead relay held comes again
-// at another, unless it may have taken effect and may not be repeated.
+// lost handles the end of a connection. Messages that a killed relay had accepted are handed in
+// again, except those that may have taken effect and must not be repeated.
 func (s *sender) lost(relay int) {
-	time.Sleep(20 * time.Millisecond) // the day notes a kill before it kills; a roll's last answers come in
+	// Lets the last answers of a relay that shuts down arrive. A kill is recorded before it is sent.
+	time.Sleep(20 * time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range s.hands {
@@ -226,7 +227,7 @@
 	}
 }
 
-// course tells all that is known of a message's hand-ins; times count from the first.
+// course describes all hand-ins of a message; times are relative to the first one.
 func (s *sender) course(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/badday/trouble.go
+++ b/internal/badday/trouble.go
@@ -12,14 +12,14 @@
 	"basaltcross.example/basaltcross/internal/pause"
 )
 
-// some picks a part of n things, one at least, by chance.
+// some returns a random selection of the indices below n: the fraction part of them, at least one.
 func (d *day) some(n int, part float64) []int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rand.Perm(n)[:max(1, int(math.Round(part*float64(n))))]
 }
 
-// trouble plays one trouble from begin to end.
+// trouble injects one fault, keeps it up for its duration and removes it.
 func (d *day) trouble(ctx context.Context, t Trouble) {
 	lasts := t.For.D()
 	during := func(on, off func()) {
@@ -66,7 +66,7 @@
 	case "handshake_slow":
 		d.strike(ctx, t, false, standin.Trouble{Handshake: time.Duration(t.Size * float64(time.Second))})
 	case "give_up":
-		for range 3 { // clients go without a word and come back for their answers
+		for range 3 { // clients drop their connections without a close and reconnect for their answers
 			for _, i := range d.some(len(d.senders), t.Part) {
 				s := d.senders[i]
 				s.mu.Lock()
@@ -88,7 +88,7 @@
 		d.astray(ctx, lasts, standin.CatalogTrouble{Down: true})
 	case "catalogue_half":
 		d.astray(ctx, lasts, standin.CatalogTrouble{Half: true})
-	case "catalogue_back": // restored from nothing: its index begins anew, and it fills up again
+	case "catalogue_back": // restored without data: its index restarts, and services register again
 		d.consul.Reset()
 		d.astray(ctx, lasts, standin.CatalogTrouble{Empty: true})
 		d.consul.Reset()
@@ -132,7 +132,7 @@
 	}
 }
 
-// strike puts a trouble on all endpoints of a part of the partners.
+// strike injects a fault at all endpoints of a fraction of the partners.
 func (d *day) strike(ctx context.Context, t Trouble, outage bool, what standin.Trouble) {
 	var struck []*standin.Partner
 	for _, i := range d.some(len(d.partners), t.Part) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// strikeOne puts a trouble on one endpoint of a part of the partners.
+// strikeOne injects a fault at one endpoint each of a fraction of the partners.
 func (d *day) strikeOne(ctx context.Context, t Trouble, what standin.Trouble) {
 	var struck []*end
 	for _, i := range d.some(len(d.partners), t.Part) {
@@ -172,8 +172,8 @@
 	}
 }
 
-// crash closes all endpoints of a part of the partners; they come back cold.
-// No call arrives meanwhile: all relays count as having met a failure.
+// crash closes all endpoints of a fraction of the partners; they return with reduced capacity.
+// No call reaches them meanwhile, so that all relays count as having seen a failure.
 func (d *day) crash(ctx context.Context, t Trouble) {
 	var names []string
 	for _, r := range d.relays {
@@ -205,7 +205,7 @@
 	}
 }
 
-// addresses are all that an endpoint listens on.
+// addresses returns the listeners of an endpoint, one for each address.
 func (e *end) addresses() []*standin.Endpoint {
 	if e.second == nil {
 		return []*standin.Endpoint{e.Endpoint}
@@ -213,8 +213,8 @@
 	return []*standin.Endpoint{e.Endpoint, e.second}
 }
 
-// deploy drains endpoints and replaces them, one after the other. Without
-// drain time the old one goes away soon after it is listed as draining.
+// deploy drains endpoints and replaces them, one after the other. With a drain time of 0 the
+// replacement starts only when the old endpoint is removed, soon after it is listed as draining.
 func (d *day) deploy(ctx context.Context, t Trouble, drain time.Duration) {
 	var parts []*end
 	for _, p := range d.partners {
@@ -241,14 +241,14 @@
 				_, _ = d.newEnd(old.Partner)
 				_ = d.list()
 			}
-			// It stays open for the audit: what still comes is seen.
+			// The old endpoint stays open, so that the audit sees calls that still arrive.
 		}()
 		pause.For(ctx, each)
 	}
 }
 
-// deadAddresses breaks one of the two addresses of a part of the endpoints: one
-// in three takes calls and hangs, the others refuse connections.
+// deadAddresses breaks one of the two addresses of a fraction of the endpoints. About a third of
+// these addresses accept calls and do not answer, the others refuse connections.
 func (d *day) deadAddresses(ctx context.Context, t Trouble) {
 	var all []*end
 	for _, p := range d.partners {
@@ -272,14 +272,15 @@
 	}
 }
 
-// astray makes trouble at the catalogue for a while.
+// astray injects a fault at the catalogue for a given duration.
 func (d *day) astray(ctx context.Context, lasts time.Duration, t standin.CatalogTrouble) {
 	d.consul.Set(t)
 	pause.For(ctx, lasts)
 	d.consul.Set(standin.CatalogTrouble{})
 }
 
-// flap takes endpoints in and out of service ten times a second; they end drained.
+// flap marks endpoints as draining and as ready again ten times a second. In the end they stay
+// drained.
 func (d *day) flap(ctx context.Context, t Trouble) {
 	var ends []*end
 	for _, i := range d.some(len(d.partners), t.Part) {
--- a/internal/fleet/address.go
+++ b/internal/fleet/address.go
@@ -13,45 +13,46 @@
 	"basaltcross.example/basaltcross/internal/addr"
 )
 
-// Learns is what is remembered of addresses from one connection to the next.
+// Learns selects what is remembered about addresses from one connection to the next.
 type Learns string
 
-// The ways compared: the program's books and family health; books alone, so that
-// a dead family is met at each endpoint; and nothing, as a dialler that starts
-// over at each call and waits RFC 8305's delay.
+// The policies compared: All uses the program's address selectors and the health of address
+// families; Books uses selectors alone, so that a dead family is detected at each endpoint
+// anew; NoMemory keeps no state, as a dialler that starts afresh for each connection and waits
+// for the connection attempt delay of RFC 8305.
 const (
 	All      Learns = "books and families"
 	Books    Learns = "books alone"
 	NoMemory Learns = "no memory"
 )
 
-// AddressSettings of a run on connections alone: relays call endpoints that have
+// AddressSettings configures a simulation of connections alone: relays call endpoints that have
 // an IPv6 and an IPv4 address each.
 type AddressSettings struct {
 	Seed      uint64
 	Learns    Learns
 	Relays    int
 	Endpoints int
-	Rate      float64       // calls a second of all relays
-	Lasts     time.Duration // of which IPv6 is dead in the middle third
-	Dead      float64       // at this part of the endpoints
-	Keep      time.Duration // an idle connection stands so long
+	Rate      float64       // calls per second of all relays together
+	Lasts     time.Duration // duration of the run; IPv6 is dead in its middle third
+	Dead      float64       // fraction of the endpoints whose IPv6 is dead then
+	Keep      time.Duration // idle time after which a connection is closed
 }
 
-// AddressResult of a run.
+// AddressResult is the result of a run of Addresses.
 type AddressResult struct {
 	Learns   Learns
 	Calls    int
-	Dialed   int           // calls that needed a connection
-	Struck   int           // of those, at an endpoint whose IPv6 was dead then
-	Extra    int           // connections begun beyond one for each
-	Delayed  int           // calls that waited 10 ms or more longer than with a good address first
-	Mean     time.Duration // added to a struck call, on average
-	P99      time.Duration
-	Returned float64 // share of connections by IPv6 again in the last tenth, where it had been dead
+	Dialed   int           // calls that needed a new connection
+	Struck   int           // new connections to an endpoint whose IPv6 was dead at the time
+	Extra    int           // connection attempts beyond one for each new connection
+	Delayed  int           // struck calls delayed by 10 ms or more compared with trying a live address first
+	Mean     time.Duration // mean delay added to a struck call
+	P99      time.Duration // 99th percentile of that delay
+	Returned float64       // fraction of new connections over IPv6 in the last tenth of the run, where it had been dead
 }
 
-// Addresses plays a run.
+// Addresses runs the simulation.
 func Addresses(s AddressSettings) AddressResult {
 	r := AddressResult{Learns: s.Learns}
 	chance := rand.New(rand.NewPCG(s.Seed, 5))
@@ -68,7 +69,7 @@
 	var back, late int
 	for now := time.Duration(0); now < s.Lasts; now += time.Duration(chance.ExpFloat64() / s.Rate * 1e9) {
 		at := place{chance.IntN(s.Relays), int(float64(s.Endpoints) * math.Pow(chance.Float64(), 2))}
-		wait := time.Duration((2 + 3*chance.Float64()) * float64(time.Millisecond)) // a round trip to this endpoint
+		wait := time.Duration((2 + 3*chance.Float64()) * float64(time.Millisecond)) // round-trip time to this endpoint
 		r.Calls++
 		if until, ok := last[at]; ok && now < until {
 			last[at] = now + s.Keep
@@ -76,7 +77,7 @@
 		}
 		last[at] = now + s.Keep
 		r.Dialed++
-		// Which endpoints are struck has nothing to do with how often they are called.
+		// Which endpoints are affected is independent of how often they are called.
 		struck := float64(at.endpoint*7919%s.Endpoints) < s.Dead*float64(s.Endpoints)
 		dead := struck && now > s.Lasts/3 && now < 2*s.Lasts/3
 		book := books[at]
@@ -108,7 +109,7 @@
 			case step.Trial:
 				r.Extra++
 				book.Failed(now+addr.TrialTimeout, step.Address)
-			case step.After < up: // begun, and called off
+			case step.After < up: // attempt begun, then cancelled
 				r.Extra++
 				book.Cancelled(now+up, step.Address, up-step.After)
 			}
@@ -136,10 +137,11 @@
 	return r
 }
 
-// PrintAddresses writes results as a table, the ways in the order given.
+// PrintAddresses writes the results as a table, in the order given.
 func PrintAddresses(w io.Writer, results []AddressResult) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "learned\tcalls\tconnections\tstruck\tdelayed\tadded, mean\tadded, p99\textra connections\tIPv6 again\t")
+	fmt.Fprintln(t,
+		"learned\tcalls\tconnections\tstruck\tdelayed\tadded, mean\tadded, p99\textra connections\tIPv6 again\t")
 	for _, r := range results {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f%%\t%v\t%v\t%.1f%%\t%.0f%%\t\n", r.Learns, r.Calls, r.Dialed, r.Struck,
 			100*float64(r.Delayed)/float64(max(1, r.Struck)), r.Mean.Round(100*time.Microsecond),
--- a/internal/fleet/calibrate.go
+++ b/internal/fleet/calibrate.go
@@ -21,12 +21,12 @@
 	"basaltcross.example/basaltcross/internal/standin"
 )
 
-// fixed is what an exchange takes beside the content: the relay's header and
-// the stand-in's answer, bytes.
+// fixed is the overhead of an exchange in bytes: the relay's request header and the stand-in's
+// response.
 const fixed = 225
 
-// Calibrate plays one small fleet on sockets, with stand-ins, and in the model,
-// and tells both. The arrivals are the same; service times are drawn anew.
+// Calibrate runs one small fleet both on sockets, against stand-ins, and in the model, and returns
+// both results. The arrivals are the same; the service times are drawn independently.
 func Calibrate(ctx context.Context, s Settings) (sockets, model Result, err error) {
 	if model, err = Run(s); err != nil {
 		return
@@ -35,7 +35,7 @@
 	return
 }
 
-// onSockets runs the fleet of s in this process, over loopback and in real time.
+// onSockets runs the fleet of s within this process, over loopback and in real time.
 func onSockets(ctx context.Context, s Settings) (out Result, err error) {
 	dir, err := os.MkdirTemp("", "basaltcross-model-")
 	if err != nil {
@@ -65,7 +65,8 @@
 	for _, e := range ends {
 		fmt.Fprintf(&list, "{addr: %q, partner: \"p%d\", zone: \"z%d\"},\n", e.e.Addr, e.partner, e.zone)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "list.cue"), []byte("endpoints: [\n"+list.String()+"]\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "list.cue"), []byte("endpoints: [\n"+list.String()+"]\n"),
+		0o600); err != nil {
 		return out, err
 	}
 	for p := range s.Partners {
@@ -89,7 +90,8 @@
 budget: {bytes: %g, window: %q, burst: 0.25, held: 0.3, first: %d}
 directory: file: %q
 mqtt: listen: ["127.0.0.1:0"]
-`, i, i, s.Relays, i%s.Zones, s.Seed+uint64(i)+1, zones.String(), s.Bytes*s.Overdraft, partners.String(), s.Bytes, s.Window,
+`, i, i, s.Relays, i%s.Zones, s.Seed+uint64(i)+1, zones.String(), s.Bytes*s.Overdraft,
+			partners.String(), s.Bytes, s.Window,
 			request+response, filepath.Join(dir, "list.cue"))
 		if s.How == None {
 			text = text[:strings.Index(text, "budget:")] + text[strings.Index(text, "directory:"):]
@@ -133,8 +135,8 @@
 			}
 		}
 	}
-	// Both ways a message takes about what the model's does: headers and the
-	// stand-in's answer are subtracted from the request's size.
+	// Request and response together take about as many bytes as in the model: the size of the
+	// headers and of the stand-in's response is subtracted from the body.
 	body := make([]byte, request+response-fixed)
 	var all sync.WaitGroup
 	for i, r := range relays {
@@ -211,7 +213,7 @@
 	return out, ctx.Err()
 }
 
-// PrintCalibration writes both results side by side.
+// PrintCalibration writes both results side by side, with their ratio.
 func PrintCalibration(w io.Writer, sockets, model Result) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\tsockets\tmodel\tmodel/sockets\t")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet models an installation in simulated time: many relays, each with
-// the program's own core, decision module and zone budget, against modelled
-// partners, from one seed. What sockets can't reach (hundreds of relays, a
-// thousand endpoints) is tried here; what the model leaves out says Limits.
+// Package fleet is a discrete-event simulation of an installation: many relays, each with the
+// program's own core, decision module and zone budget, against modelled partners. A run is
+// determined by its seed. It covers sizes that a test on sockets can't reach, such as hundreds
+// of relays and a thousand endpoints. Limits names what the model leaves out.
 package fleet
 
 import (
@@ -18,16 +18,16 @@
 	"basaltcross.example/basaltcross/internal/zone"
 )
 
-// Limits says what the model leaves out.
+// Limits names what the model leaves out.
 const Limits = "no connections and their set-up, no clients that come again, no CPU; partners have service times, " +
 	"slots and outages, and no rate limits"
 
-// How crossing zones is limited.
+// How selects how cross-zone traffic is limited.
 type How string
 
-// The ways compared: the budget, shared evenly; the ideal, one purse for all
-// relays that each sees at once; no budget; and a cap of the same size, shared
-// evenly, on all traffic whatever its zone.
+// The policies compared: Budget divides the budget evenly among the relays; Ideal is one shared
+// budget whose state all relays see without delay; None has no budget; Blind is a cap of the
+// same size, divided evenly, on all traffic whatever its zone.
 const (
 	Budget How = "budget"
 	Ideal  How = "ideal"
@@ -35,42 +35,43 @@
 	Blind  How = "zone-blind cap"
 )
 
-// Settings of a run.
+// Settings configures a run.
 type Settings struct {
 	Seed      uint64
 	How       How
-	Bytes     float64       // of the installation over Window
-	Window    time.Duration // of the budget
+	Bytes     float64       // budget of the whole installation for a Window
+	Window    time.Duration // length of the budget's window
 	Relays    int
 	Partners  int
 	Zones     int
-	Rate      float64       // messages a second of all relays
-	Lasts     time.Duration // messages arrive for so long
-	Overdraft float64       // of the at-most-once class, as a share of Bytes
-	Uneven    float64       // 0: even load of relays; 1: the first has twice the mean, the last none
-	// Near endpoints of a part of the partners are gone from a third of the run
-	// to two thirds, so that their traffic must cross.
+	Rate      float64       // messages per second of all relays together
+	Lasts     time.Duration // period in which messages arrive
+	Overdraft float64       // overdraft of the at-most-once class, as a fraction of Bytes
+	Uneven    float64       // skew of the load; 0: even, 1: the first relay has twice the mean, the last none
+	// Outage is the fraction of the partners whose first endpoint is down in the middle third
+	// of the run, so that relays in its zone must send across zones.
 	Outage float64
-	// Silent makes the first zone take calls and never answer in the middle third;
-	// it returns with a quarter of its slots.
+	// Silent makes the first zone's endpoints accept calls and never answer in the middle third
+	// of the run. They return with a quarter of their slots; the others follow 5 s later.
 	Silent bool
-	// Die is the part of the relays that die at half the time; the others learn
-	// of it Late after.
-	Die  float64
+	// Die is the fraction of the relays that crash halfway through the run.
+	Die float64
+	// Late is the delay after which the other relays learn that a relay is gone.
 	Late time.Duration
-	// Size tests what relays believe of the fleet's size; nil for none of it.
+	// Size configures a change of the fleet's size and what relays assume of it; nil for none.
 	Size *Size
 }
 
 // Sizes and times of the modelled traffic.
 const (
-	request  = 600 // bytes
-	response = 400
+	request  = 600                   // bytes
+	response = 400                   // bytes
 	service  = 30 * time.Millisecond // median
-	spread   = 0.5                   // sigma of its logarithm
-	slots    = 8                     // calls at once for each relay's part of an endpoint's load
+	spread   = 0.5                   // standard deviation of the logarithm of the service time
+	slots    = 8                     // concurrent calls of an endpoint, before scaling by relays per partner
 )
 
+// classes are the message classes of the modelled traffic.
 var classes = []choice.Class{
 	{Name: "status", Aim: time.Second, Deadline: 6 * time.Second, Worth: 1, LateShare: 0.3, Effect: choice.Safe},
 	{Name: "order", Aim: time.Second, Deadline: 6 * time.Second, Worth: 2, LateShare: 0.3, Effect: choice.Keyed,
@@ -78,9 +79,11 @@
 	{Name: "charge", Aim: time.Second, Deadline: 6 * time.Second, Worth: 5, LateShare: 0.3, Effect: choice.Unsafe},
 }
 
+// shares are the fractions of the traffic by class, in the order of classes.
 var shares = []float64{0.6, 0.25, 0.15}
 
-// Result of a run.
+// Result is the result of a run. Asked, Delivered, ChargeAsked and Charge are sums of worth; Charge
+// and ChargeAsked count the charge class only.
 type Result struct {
 	How         string  `parquet:"how,dict"`
 	Seed        int64   `parquet:"seed"`
@@ -91,21 +94,22 @@
 	ChargeAsked float64 `parquet:"charge_asked"`
 	Charge      float64 `parquet:"charge_delivered"`
 	Crossed     float64 `parquet:"bytes_crossed"`
-	Worst       float64 `parquet:"worst_window_bytes"` // most that crossed within any window
+	Worst       float64 `parquet:"worst_window_bytes"` // most cross-zone bytes within any window
 	Over        float64 `parquet:"overdrawn_bytes"`
 	Refused     int64   `parquet:"refused"`
 	Failed      int64   `parquet:"failed"`
-	Shut        int64   `parquet:"refused_calls"` // by partners' limits
-	Pushed      int64   `parquet:"pushed_over"`   // partners that fell over as they returned
+	Shut        int64   `parquet:"refused_calls"` // calls refused by partners' rate limits
+	Pushed      int64   `parquet:"pushed_over"`   // partners overloaded on their return from an outage
 }
 
-// event is something that happens at a time; seq keeps equal times in order.
+// event is an action at a simulated time; seq orders events of the same time.
 type event struct {
 	at  time.Duration
 	seq uint64
 	do  func()
 }
 
+// events is the event queue, a heap ordered by time.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -122,33 +126,36 @@
 	return x
 }
 
-// World is one run.
+// World is the state of one run.
 type World struct {
 	set     Settings
 	now     time.Duration
 	seq     uint64
 	queue   events
-	rand    *rand.Rand // of service times; arrivals have their own, so that runs compare in pairs
+	rand    *rand.Rand // service times; arrivals have generators of their own and so are the same for each policy
 	relays  []*relay
 	hosts   map[string]*host
-	limits  []*limited // by partner, with Size
+	limits  []*limited // rate limits by partner; used with Settings.Size only
 	result  Result
 	crossed []crossing
 }
 
+// crossing records bytes sent across zones.
 type crossing struct {
 	at    time.Duration
 	bytes float64
 }
 
+// host is one modelled endpoint of a partner.
 type host struct {
 	zone    int
-	limited *limited        // shared by the partner's endpoints; nil for none
-	free    []time.Duration // when each slot is free
+	limited *limited        // rate limit shared by the partner's endpoints; nil for none
+	free    []time.Duration // time at which each slot becomes free
 	gone    bool
-	mute    bool // takes calls and never answers
+	mute    bool // accepts calls and never answers
 }
 
+// relay is one simulated relay; it is also its core's Caller and Observer.
 type relay struct {
 	w     *World
 	index int
@@ -156,25 +163,27 @@
 	core  *core.Core
 	toll  *zone.Toll
 	dead  bool
-	wake  time.Duration // the next step that is scheduled
+	wake  time.Duration // time of the next scheduled step; valid while armed
 	armed bool
 }
 
+// after schedules an action; a negative delay counts as 0.
 func (w *World) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + max(0, d), w.seq, do})
 }
 
-// Run plays a run to its end.
+// Run simulates a run to its end, 10 s after the last arrival at most.
 func Run(s Settings) (Result, error) {
 	w := &World{set: s, rand: rand.New(rand.NewPCG(s.Seed, 3)), hosts: map[string]*host{}}
 	w.result = Result{How: string(s.How), Seed: int64(s.Seed), Relays: int64(s.Relays), Bytes: s.Bytes}
 	var list []choice.Host
 	for p := range s.Partners {
-		for i := range 2 { // in two zones each
+		for i := range 2 { // each partner has two endpoints, in neighbouring zones
 			z := (p + i) % s.Zones
 			addr := fmt.Sprintf("p%d-%d", p, i)
-			w.hosts[addr] = &host{zone: z, limited: w.limit(p), free: make([]time.Duration, max(slots, slots*s.Relays/s.Partners))}
+			w.hosts[addr] = &host{zone: z, limited: w.limit(p),
+				free: make([]time.Duration, max(slots, slots*s.Relays/s.Partners))}
 			list = append(list, choice.Host{Addr: addr, Dest: p, Zone: z, Rate: w.rateOf(p), State: choice.Ready})
 		}
 	}
@@ -187,9 +196,12 @@
 		r := &relay{w: w, index: i, zone: i % s.Zones}
 		opt := core.Options{Seed: s.Seed + uint64(i), InboxSize: 1 << 20, Identities: 1 << 20,
 			Retention: time.Minute, Caller: r, Observer: r, Clock: func() time.Duration { return w.now },
-			Settings: choice.Settings{Index: i, Fleet: believed, ListedRates: s.Size != nil && s.Size.Listed, Workers: 64, MaxHeld: 2000, MaxAttempts: 4,
-				Tick: 10 * time.Millisecond, Classes: classes, Kinds: []choice.Kind{{PerCall: 1, PerHostLimits: s.Size == nil}}, Cancels: true,
-				RefuseOnlyNeverRan: true, ReportLimitIndex: -1, ZoneFee: fees(s.Zones, r.zone), Rules: choice.Rules{OverloadFactor: 2,
+			Settings: choice.Settings{Index: i, Fleet: believed, ListedRates: s.Size != nil && s.Size.Listed,
+				Workers: 64, MaxHeld: 2000, MaxAttempts: 4,
+				Tick: 10 * time.Millisecond, Classes: classes,
+				Kinds: []choice.Kind{{PerCall: 1, PerHostLimits: s.Size == nil}}, Cancels: true,
+				RefuseOnlyNeverRan: true, ReportLimitIndex: -1, ZoneFee: fees(s.Zones, r.zone),
+				Rules: choice.Rules{OverloadFactor: 2,
 					Fall: 2 * time.Second, ColdFrom: 0.2, Cold: 10 * time.Second}}}
 		if s.How != None {
 			set := budget.Settings{Bytes: s.Bytes, Window: s.Window, Burst: 0.25, Held: 0.3, First: request + response}
@@ -245,7 +257,7 @@
 	return w.result, nil
 }
 
-// fees make a relay like its own zone a little better.
+// fees returns the zone fees of a relay, which give its own zone a slight preference.
 func fees(zones, own int) []float64 {
 	f := make([]float64, zones)
 	for z := range f {
@@ -256,7 +268,7 @@
 	return f
 }
 
-// plan schedules arrivals and troubles.
+// plan schedules the arrivals and the faults.
 func (w *World) plan() {
 	s := w.set
 	for i, r := range w.relays {
@@ -292,7 +304,8 @@
 	}
 }
 
-// silence begins or ends that of the first zone; it returns cold.
+// silence begins or ends the silence of the first zone. On return three quarters of the slots stay
+// blocked for another 5 s.
 func (w *World) silence(on bool) {
 	for _, h := range w.hosts {
 		if h.zone != 0 {
@@ -309,12 +322,14 @@
 	}
 }
 
+// outage takes the first endpoint of a fraction of the partners down, or brings it back.
 func (w *World) outage(on bool) {
 	for p := range int(w.set.Outage * float64(w.set.Partners)) {
 		w.hosts[fmt.Sprintf("p%d-0", p)].gone = on
 	}
 }
 
+// arrivals schedules a relay's messages as a Poisson process, until the relay dies.
 func (w *World) arrivals(r *relay, rate func() float64) {
 	chance := rand.New(rand.NewPCG(w.set.Seed, uint64(100+r.index)))
 	var next func()
@@ -327,7 +342,7 @@
 			x -= shares[class]
 			class++
 		}
-		// A few partners get much of the traffic.
+		// A few partners get most of the traffic.
 		partner := int(float64(w.set.Partners) * math.Pow(chance.Float64(), 2))
 		w.result.Asked += classes[class].Worth
 		if class == 2 {
@@ -342,7 +357,7 @@
 	w.after(time.Duration(chance.ExpFloat64()/rate()*1e9), next)
 }
 
-// reply books a final answer.
+// reply adds a message's final answer to the result.
 type reply struct {
 	r     *relay
 	class int
@@ -369,7 +384,7 @@
 	}
 }
 
-// step lets a relay work now, and arms its next wake-up.
+// step runs the relay's core and schedules its next step.
 func (r *relay) step() {
 	if r.dead {
 		return
@@ -387,7 +402,7 @@
 	})
 }
 
-// attempt is a call that is out.
+// attempt is a call in flight.
 type attempt struct {
 	r     *relay
 	ended bool
@@ -401,7 +416,7 @@
 
 func (a *attempt) Recall() bool { return false }
 
-// Send models one call: the first free slot of the endpoint serves it.
+// Send models one call, which the slot of the endpoint that is free first serves.
 func (r *relay) Send(c core.Call) core.Attempt {
 	w, h, a := r.w, r.w.hosts[c.Host], &attempt{r: r}
 	end := func(o choice.Outcome, took time.Duration, bytes int64) {
@@ -445,6 +460,7 @@
 	return a
 }
 
+// cross counts bytes of a call if it crosses zones.
 func (w *World) cross(r *relay, h *host, bytes float64) {
 	if h.zone != r.zone {
 		w.result.Crossed += bytes
@@ -452,7 +468,7 @@
 	}
 }
 
-// worst finds the window in which most crossed.
+// worst finds the window with the most cross-zone bytes.
 func (w *World) worst() {
 	sum, from := 0.0, 0
 	for _, c := range w.crossed {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,9 +10,9 @@
 		Lasts: 12 * time.Second, Outage: 0.5, Uneven: 0.5, Overdraft: 1}
 }
 
-// One seed gives one run. A budget holds over any window of the installation,
-// charges are delivered as without one, and cheap traffic pays; a cap that does
-// not look at zones costs more worth for the same bytes.
+// Guards against runs that differ for the same seed, a budget that is exceeded in some window of
+// the installation, and a budget that costs charges instead of messages of less worth. A cap
+// regardless of zones must deliver less worth for the same bytes.
 func TestBudgetInAFleet(t *testing.T) {
 	run := func(s Settings) Result {
 		t.Helper()
@@ -38,14 +38,15 @@
 		t.Errorf("charges: %.0f of %.0f, without a budget %.0f", kept.Charge, kept.ChargeAsked, free.Charge)
 	}
 	if kept.Delivered >= free.Delivered || kept.Delivered <= blind.Delivered {
-		t.Errorf("worth delivered %.0f, without a budget %.0f, zone-blind %.0f", kept.Delivered, free.Delivered, blind.Delivered)
+		t.Errorf("worth delivered %.0f, without a budget %.0f, zone-blind %.0f",
+			kept.Delivered, free.Delivered, blind.Delivered)
 	}
 	t.Logf("worth of %.0f: free %.0f, budget %.0f, blind %.0f; worst window %.0f, %.0f, %.0f", free.Asked, free.Delivered,
 		kept.Delivered, blind.Delivered, free.Worst, kept.Worst, blind.Worst)
 }
 
-// A whole zone goes silent and returns cold: all its traffic wants to cross.
-// The budget holds, and charges that may cross are not paid for with cheap ones.
+// Guards against an exceeded budget and lost charges when a whole zone stops answering and returns
+// with reduced capacity, so that all its traffic has to cross zones.
 func TestZoneGoesSilent(t *testing.T) {
 	const bytes = 60000
 	s := small(Budget, bytes)
@@ -70,8 +71,8 @@
 		kept.Asked, free.Delivered, kept.Charge, kept.ChargeAsked, free.Charge, kept.Worst, free.Worst)
 }
 
-// While IPv6 is dead everywhere, family health spares nearly all calls the wait
-// that books alone do not; when it is back, it is used again.
+// Guards against delays while IPv6 is dead everywhere: the health of address families must avoid
+// nearly all of those that per-endpoint state alone leaves. Once IPv6 works again it must be used.
 func TestFamilyDies(t *testing.T) {
 	run := func(l Learns) AddressResult {
 		return Addresses(AddressSettings{Seed: 1, Learns: l, Relays: 10, Endpoints: 100, Rate: 100, Lasts: 10 * time.Minute,
@@ -86,10 +87,11 @@
 	}
 }
 
-// A fleet that doubles and does not know it runs into the partners' limits more
-// often than one that follows its size.
+// Guards against relays that ignore a change of the fleet's size: a fleet that doubles without
+// adjusting must run into the partners' rate limits more often than one that adjusts.
 func TestSizeFollowed(t *testing.T) {
-	lines, err := Sizes(Settings{Seed: 1, Partners: 5, Zones: 2, Rate: 1000, Lasts: 24 * time.Second, Late: 5 * time.Second},
+	lines, err := Sizes(Settings{Seed: 1, Partners: 5, Zones: 2, Rate: 1000,
+		Lasts: 24 * time.Second, Late: 5 * time.Second},
 		[]Size{{Name: "followed", From: 10, To: 20, Follow: true, Think: 1, Limit: 1.3, Listed: true},
 			{Name: "fixed", From: 10, To: 20, Think: 1, Limit: 1.3, Listed: true}}, 1)
 	if err != nil {
--- a/internal/fleet/size.go
+++ b/internal/fleet/size.go
@@ -10,35 +10,36 @@
 	"time"
 )
 
-// Size is what a run tests of the fleet's size: the fleet goes from one number of
-// relays to another at half time, partners have limits that all relays share, and a
-// fifth of the partners are away in the middle third and return cold.
+// Size configures a test of what relays assume of the fleet's size. The number of relays changes
+// halfway through the run. Partners have rate limits that all relays share. A fifth of the
+// partners are down in the middle third of the run and return with reduced capacity.
 type Size struct {
 	Name   string
-	From   int     // relays at first; Settings.Relays is the larger number
-	To     int     // relays after half time
-	Follow bool    // relays learn of the change: a join at once, deaths Late after
-	Think  float64 // by how much what they believe is off
-	Limit  float64 // of a partner, over its mean traffic
-	Listed bool    // the list tells the limits; else relays find them
+	From   int     // relays in the first half; Settings.Relays is the larger of From and To
+	To     int     // relays in the second half
+	Follow bool    // relays learn of the change: of growth at once, of shrinkage after Settings.Late
+	Think  float64 // ratio of the assumed fleet size to the true one
+	Limit  float64 // a partner's rate limit as a multiple of its mean traffic
+	Listed bool    // the endpoint list states the limits; otherwise relays discover them
 }
 
+// believe returns the size that relays assume for a fleet of n.
 func (z *Size) believe(n int) int { return max(1, int(math.Round(float64(n)*z.Think))) }
 
-// configured is the size that relays start with.
+// configured returns the fleet size that relays start with.
 func (z *Size) configured(int) int { return z.believe(z.From) }
 
-// limited is a partner's limit, and its return from an outage.
+// limited is a partner's rate limit, a token bucket, and the state of its return from an outage.
 type limited struct {
 	rate   float64
 	tokens float64
 	at     time.Duration
-	back   time.Duration // returned then; below 0 for never
+	back   time.Duration // time of its return; negative if there was none
 	load   []time.Duration
 	pushed bool
 }
 
-// Figures of a returning partner, those of the relays' rules.
+// Settings of a returning partner, equal to those of the relays' rules.
 const (
 	coldFrom = 0.2
 	cold     = 10 * time.Second
@@ -46,12 +47,14 @@
 	fall     = 2 * time.Second
 )
 
-// meanRate is a partner's part of the traffic: arrivals square a uniform draw.
+// meanRate returns a partner's mean traffic in messages per second. It follows from how arrivals
+// picks partners: by the square of a uniform random number.
 func (w *World) meanRate(p int) float64 {
 	n := float64(w.set.Partners)
 	return w.set.Rate * (math.Sqrt(float64(p+1)/n) - math.Sqrt(float64(p)/n))
 }
 
+// limit returns a partner's rate limit, which it creates on first use; nil without Settings.Size.
 func (w *World) limit(p int) *limited {
 	if w.set.Size == nil {
 		return nil
@@ -62,6 +65,7 @@
 	return w.limits[p]
 }
 
+// rateOf returns the rate that the endpoint list states for a partner; 0 for none.
 func (w *World) rateOf(p int) float64 {
 	if w.set.Size == nil || !w.set.Size.Listed {
 		return 0
@@ -69,7 +73,8 @@
 	return w.limits[p].rate
 }
 
-// take lets a call in, or refuses it.
+// take reports whether the rate limit admits a call. While the partner warms up after an outage it
+// also detects an overload.
 func (l *limited) take(w *World) bool {
 	share := 1.0
 	if l.back >= 0 {
@@ -94,6 +99,7 @@
 	return true
 }
 
+// planSize schedules the arrivals, the change of the fleet's size and the outage.
 func (w *World) planSize() {
 	z, s := w.set.Size, w.set
 	running := z.From
@@ -146,16 +152,16 @@
 	w.after(2*s.Lasts/3, func() { away(false) })
 }
 
-// SizeLine sums up the runs of one way.
+// SizeLine summarises the runs of one variant of Size.
 type SizeLine struct {
 	Name          string
-	Worth, Shut   Mean // shares of what was asked, and of a partner's calls for each message
+	Worth, Shut   Mean // share of the worth delivered, and calls refused by rate limits per message
 	Pushed, Runs  int
 	Returns       int
 	worth, closed []float64
 }
 
-// Sizes runs each way with each seed.
+// Sizes runs each variant with each seed.
 func Sizes(base Settings, ways []Size, seeds int) ([]SizeLine, error) {
 	out := make([]SizeLine, len(ways))
 	var mu sync.Mutex
@@ -195,12 +201,13 @@
 	return out, failed
 }
 
-// PrintSizes writes the lines as a table.
+// PrintSizes writes the summaries as a table.
 func PrintSizes(w io.Writer, lines []SizeLine) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "size believed\tworth delivered\trefused calls a message\tpushed over\t")
 	for _, l := range lines {
-		fmt.Fprintf(t, "%s\t%.1f%% ±%.1f\t%.3f ±%.3f\t%d of %d\t\n", l.Name, 100*l.Worth.Value, 100*l.Worth.Half, l.Shut.Value,
+		fmt.Fprintf(t, "%s\t%.1f%% ±%.1f\t%.3f ±%.3f\t%d of %d\t\n",
+			l.Name, 100*l.Worth.Value, 100*l.Worth.Half, l.Shut.Value,
 			l.Shut.Half, l.Pushed, l.Returns)
 	}
 	_ = t.Flush()
--- a/internal/fleet/sweep.go
+++ b/internal/fleet/sweep.go
@@ -17,15 +17,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sweep runs every combination of budgets and ways with each seed, as many at
-// once as there are processors. The order of results does not depend on it.
+// Sweep runs every combination of budget and policy with each seed, GOMAXPROCS runs at a time. The
+// order of the results does not depend on the scheduling.
 func Sweep(base Settings, budgets []float64, ways []How, seeds int) ([]Result, error) {
 	var all []Settings
 	for seed := range seeds {
 		for _, how := range ways {
 			for i, b := range budgets {
 				if how == None && i > 0 {
-					continue // knows no budget
+					continue // the policy does not depend on the budget
 				}
 				s := base
 				s.Seed, s.How, s.Bytes = base.Seed+uint64(seed)*1000, how, b
@@ -52,10 +52,10 @@
 	return results, nil
 }
 
-// Mean is an average with the half width of its 95% confidence interval.
+// Mean is an average and half the width of its 95% confidence interval.
 type Mean struct{ Value, Half float64 }
 
-// t values for 95%, two sides, by degrees of freedom from 1.
+// student holds the two-sided 95% quantiles of Student's t distribution, from one degree of freedom.
 var student = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13}
 
 func mean(xs []float64) (m Mean) {
@@ -74,15 +74,15 @@
 	return m
 }
 
-// Line sums up the runs of one way and budget.
+// Line summarises the runs of one policy and budget.
 type Line struct {
 	How                          How
 	Bytes                        float64
 	Worth, Charge, Crossed, Over Mean
-	WorstOfBudget                float64 // the worst window of all seeds, over the budget
+	WorstOfBudget                float64 // bytes in the worst window of all seeds, as a multiple of the budget
 }
 
-// Lines sum up results, the ways in the order given.
+// Lines summarises the results by policy and budget, sorted by both.
 func Lines(results []Result) (out []Line) {
 	type key struct {
 		how   string
@@ -97,7 +97,9 @@
 		}
 		groups[k] = append(groups[k], r)
 	}
-	slices.SortStableFunc(order, func(a, b key) int { return cmp.Or(cmp.Compare(a.how, b.how), cmp.Compare(a.bytes, b.bytes)) })
+	slices.SortStableFunc(order, func(a, b key) int {
+		return cmp.Or(cmp.Compare(a.how, b.how), cmp.Compare(a.bytes, b.bytes))
+	})
 	for _, k := range order {
 		var worth, charge, crossed, over []float64
 		worst := 0.0
@@ -113,7 +115,7 @@
 	return out
 }
 
-// Print writes the lines as a table.
+// Print writes the summaries as a table.
 func Print(w io.Writer, lines []Line) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "way\tbudget/window\tworth delivered\tcharges\tMB crossed\tworst window/budget\toverdrawn MB\t")
@@ -123,12 +125,13 @@
 			b, worst = "none", "-"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%.1f%% ±%.1f\t%.1f%% ±%.1f\t%.2f ±%.2f\t%s\t%.2f\t\n", l.How, b, 100*l.Worth.Value,
-			100*l.Worth.Half, 100*l.Charge.Value, 100*l.Charge.Half, l.Crossed.Value/1e6, l.Crossed.Half/1e6, worst, l.Over.Value/1e6)
+			100*l.Worth.Half, 100*l.Charge.Value, 100*l.Charge.Half, l.Crossed.Value/1e6, l.Crossed.Half/1e6,
+			worst, l.Over.Value/1e6)
 	}
 	_ = t.Flush()
 }
 
-// Write keeps the results as parquet.
+// Write writes the results to a Parquet file.
 func Write(file string, results []Result) error {
 	if err := parquet.WriteFile(file, results); err != nil {
 		return fmt.Errorf("fleet: %w", err)
@@ -136,13 +139,13 @@
 	return nil
 }
 
-// bars are points with error bars both ways.
+// bars are points with vertical error bars.
 type bars struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// Plot draws worth delivered against bytes crossed, a curve for each way.
+// Plot draws the worth delivered against the cross-zone bytes, with a curve for each policy.
 func Plot(file string, lines []Line, title string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "MB crossed", "worth delivered, % of asked"
