--- a/internal/badday/audit.go
+++ b/internal/badday/audit.go
@@ -61,7 +61,7 @@
 // of the records add. A planted fault exceeds them by far.
 const (
 	answerSlack = 300 * time.Millisecond // transfer of an answer to the client
-	seenSlack   = 100 * time.Millisecond // from an event on a socket to its record
+	recordSlack = 100 * time.Millisecond // from an event on a socket to its record
 	listSlack   = 500 * time.Millisecond // until a relay has loaded a new endpoint list
 )
 
@@ -73,19 +73,19 @@
 	client string
 }
 
-// over returns when the call stopped being in flight, as far as the stand-in can tell.
-func (c *call) over() time.Time {
+// endedAt returns when the call stopped being in flight, as far as the stand-in can tell.
+func (c *call) endedAt() time.Time {
 	if !c.Left.IsZero() && c.Left.Before(c.End) {
 		return c.Left
 	}
 	return c.End
 }
 
-func (c *call) unsure() bool {
+func (c *call) outcomeUnknown() bool {
 	return c.What == standin.Lost || c.What == standin.Failed || !c.Left.IsZero()
 }
 
-func (d *day) audit() *Report {
+func (d *deployment) audit() *Report {
 	r := &Report{Answers: map[string]int{}, Calls: map[string]int{}}
 	byID := map[string][]*call{}
 	var calls []*call
@@ -105,22 +105,22 @@
 	}
 	var hands []*handIn
 	for _, s := range d.senders {
-		hands = append(hands, s.hands...)
+		hands = append(hands, s.handIns...)
 	}
 	r.Rules = []*Rule{d.auditAnswers(hands, byID, r), auditEffects(byID), d.auditDrains(calls), d.auditReturns(),
 		d.auditOrder(calls), d.auditWaits(calls)}
 	return r
 }
 
-// dueOf returns the time by which a hand-in must be answered. If the connection was lost during
+// answerDue returns the time by which a hand-in must be answered. If the connection was lost during
 // an earlier hand-in of the same message, the relay may have received that one and joined the
 // later hand-in to it. The deadline of the earlier one then holds: the client rounds the
 // remaining time down to whole seconds when it retries.
-func dueOf(h *handIn, hands []*handIn) time.Time {
-	due := h.at.Add(h.left)
+func answerDue(h *handIn, hands []*handIn) time.Time {
+	due := h.at.Add(h.timeLeft)
 	for _, before := range hands {
 		if before.unknown && before.id == h.id && before.relay == h.relay && before.at.Before(h.at) {
-			if joined := before.at.Add(before.left); joined.After(due) {
+			if joined := before.at.Add(before.timeLeft); joined.After(due) {
 				due = joined
 			}
 		}
@@ -150,7 +150,7 @@
 
 // auditAnswers checks that each message accepted by a relay that was not killed afterwards gets
 // exactly one final answer, in time, and that no call of it starts after the answer.
-func (d *day) auditAnswers(hands []*handIn, byID map[string][]*call, r *Report) *Rule {
+func (d *deployment) auditAnswers(hands []*handIn, byID map[string][]*call, r *Report) *Rule {
 	x := &Rule{Name: "one answer, in time, and the last"}
 	got, all := map[string]bool{}, map[string]bool{}
 	for _, h := range hands {
@@ -167,21 +167,21 @@
 		name := fmt.Sprintf("%s (%s to %s, hand-in %d at relay %d)", h.id, h.class, h.partner, h.number, h.relay)
 		answers := answersTo(h, hands)
 		if len(answers) == 0 {
-			x.fail("%s: no answer; %s", name, d.course(h))
+			x.fail("%s: no answer; %s", name, d.history(h))
 			continue
 		}
 		first := answers[0]
 		r.Answers[first.Answer]++
 		for _, a := range answers[1:] {
 			if a.Answer != first.Answer {
-				x.fail("%s: %s, then %s; %s", name, first.Answer, a.Answer, d.course(h))
+				x.fail("%s: %s, then %s; %s", name, first.Answer, a.Answer, d.history(h))
 			}
 		}
-		due := dueOf(h, hands)
+		due := answerDue(h, hands)
 		for _, s := range d.relays[h.relay].stalls {
 			// waited in the socket buffer while the relay was stopped; accepted only afterwards
 			if h.at.After(s[0].Add(-answerSlack)) && h.at.Before(s[1]) {
-				due = s[1].Add(h.left)
+				due = s[1].Add(h.timeLeft)
 			}
 		}
 		for _, s := range d.relays[h.relay].stalls {
@@ -189,15 +189,15 @@
 				due = s[1]
 			}
 		}
-		if first.At.After(due.Add(answerSlack)) && !d.away(h, due) {
-			x.fail("%s: %s %v late; %s", name, first.Answer, first.At.Sub(due), d.course(h))
+		if first.At.After(due.Add(answerSlack)) && !d.clientDisconnected(h, due) {
+			x.fail("%s: %s %v late; %s", name, first.Answer, first.At.Sub(due), d.history(h))
 		}
 		for _, c := range byID[h.id] {
 			if first.Answer == "refused" && c.number == h.number && c.What != standin.Refused {
 				x.fail("%s: refused, but it may have run (%s)", name, c.What)
 			}
 			if c.number == h.number && c.Relay == d.relays[h.relay].name() && c.Left.IsZero() &&
-				c.Start.After(first.At.Add(seenSlack)) {
+				c.Start.After(first.At.Add(recordSlack)) {
 				x.fail("%s: a call went out %v after its answer", name, c.Start.Sub(first.At))
 			}
 		}
@@ -209,22 +209,22 @@
 	return x
 }
 
-// course describes the hand-ins of a message as its client saw them.
-func (d *day) course(h *handIn) string {
+// history describes the hand-ins of a message as its client saw them.
+func (d *deployment) history(h *handIn) string {
 	for _, s := range d.senders {
 		if s.name == h.client {
-			return s.course(h.id)
+			return s.history(h.id)
 		}
 	}
 	return ""
 }
 
-// away reports whether the client was disconnected when its answer fell due; the answer is
+// clientDisconnected reports whether the client was disconnected when its answer fell due; the answer is
 // delivered when it reconnects.
-func (d *day) away(h *handIn, due time.Time) bool {
+func (d *deployment) clientDisconnected(h *handIn, due time.Time) bool {
 	for _, s := range d.senders {
 		if s.name == h.client {
-			for _, g := range s.gaps {
+			for _, g := range s.disconnects {
 				if !g[1].Before(due) && !g[0].After(due.Add(answerSlack)) {
 					return true
 				}
@@ -247,8 +247,8 @@
 			}
 			if i > 0 {
 				x.Occasions++
-				if before := l[i-1]; before.Relay == c.Relay && c.Start.Add(seenSlack).Before(before.over()) {
-					x.fail("%s: a second attempt while the first was out for %v more", id, before.over().Sub(c.Start))
+				if before := l[i-1]; before.Relay == c.Relay && c.Start.Add(recordSlack).Before(before.endedAt()) {
+					x.fail("%s: a second attempt while the first was out for %v more", id, before.endedAt().Sub(c.Start))
 				}
 			}
 			if ran != nil {
@@ -256,7 +256,7 @@
 				case c.Class == "charge":
 					x.fail("%s: charge sent again %v after an attempt that may have run (%s)", id,
 						c.Start.Sub(ran.Start), ran.What)
-				case c.Class == "order" && c.Start.Sub(ran.Start) > window+seenSlack:
+				case c.Class == "order" && c.Start.Sub(ran.Start) > window+recordSlack:
 					x.fail("%s: keyed message sent again %v after an attempt that may have run", id, c.Start.Sub(ran.Start))
 				}
 			}
@@ -276,12 +276,12 @@
 
 // auditDrains checks that no call to an endpoint starts later than the drain grace period after
 // the list marked the endpoint as draining or left it out.
-func (d *day) auditDrains(calls []*call) *Rule {
+func (d *deployment) auditDrains(calls []*call) *Rule {
 	x := &Rule{Name: "drains kept"}
 	told := map[string]time.Time{}
-	for _, e := range d.ends {
-		if !e.told.IsZero() {
-			told[e.Addr] = e.told
+	for _, e := range d.endpoints {
+		if !e.withdrawnAt.IsZero() {
+			told[e.Addr] = e.withdrawnAt
 			x.Occasions += len(d.relays)
 		}
 	}
@@ -309,7 +309,7 @@
 // auditReturns checks that a partner returning from an outage is not overloaded by relays that
 // had seen it fail. An overload breaks the rule if at least two thirds of its calls came from
 // such relays.
-func (d *day) auditReturns() *Rule {
+func (d *deployment) auditReturns() *Rule {
 	x := &Rule{Name: "no returning partner pushed over"}
 	for _, p := range d.partners {
 		x.Occasions += p.Returns()
@@ -331,7 +331,7 @@
 
 // auditOrder checks that a relay sends the messages of a key one at a time, in the order of their
 // hand-ins, and waits for the settle time after an attempt whose outcome is unknown.
-func (d *day) auditOrder(calls []*call) *Rule {
+func (d *deployment) auditOrder(calls []*call) *Rule {
 	x := &Rule{Name: "order kept"}
 	last := map[string]*call{}
 	newest := map[string]int{}
@@ -339,18 +339,18 @@
 		if c.Class != "charge" {
 			continue
 		}
-		key := c.Relay + " " + d.key(c)
+		key := c.Relay + " " + d.keyOf(c)
 		if before := last[key]; before != nil && before.id != c.id {
 			x.Occasions++
 			rest := time.Duration(0)
-			if before.unsure() {
+			if before.outcomeUnknown() {
 				rest = orderSettle
 			}
 			switch {
 			case c.number < newest[key]:
 				x.fail("key %s: hand-in %d (%s) went out after %d", key, c.number, c.id, newest[key])
-			case c.Start.Add(seenSlack).Before(before.over().Add(rest)):
-				x.fail("key %s: %s went out %v before %s was over", key, c.id, before.over().Sub(c.Start), before.id)
+			case c.Start.Add(recordSlack).Before(before.endedAt().Add(rest)):
+				x.fail("key %s: %s went out %v before %s was over", key, c.id, before.endedAt().Sub(c.Start), before.id)
 			}
 		}
 		last[key] = c
@@ -359,13 +359,13 @@
 	return x
 }
 
-// key returns the key of a call as its client handed it in, independent of what the relay sent.
-func (d *day) key(c *call) string {
+// keyOf returns the key of a call as its client handed it in, independent of what the relay sent.
+func (d *deployment) keyOf(c *call) string {
 	for _, s := range d.senders {
 		if s.name == c.client {
 			if s.keys == nil {
 				s.keys = map[string]string{}
-				for _, h := range s.hands {
+				for _, h := range s.handIns {
 					s.keys[h.id] = h.key
 				}
 			}
@@ -377,12 +377,12 @@
 
 // auditWaits checks that a relay sends nothing to a partner until the wait that the partner asked
 // for has passed. Calls already in flight when the relay was told to wait do not count.
-func (d *day) auditWaits(calls []*call) *Rule {
+func (d *deployment) auditWaits(calls []*call) *Rule {
 	x := &Rule{Name: "waits heeded"}
 	until := map[string][2]time.Time{}
 	for _, c := range calls {
 		key := c.Relay + " " + c.Partner
-		if w, ok := until[key]; ok && c.Start.After(w[0].Add(seenSlack)) && c.Start.Before(w[1].Add(-seenSlack/10)) &&
+		if w, ok := until[key]; ok && c.Start.After(w[0].Add(recordSlack)) && c.Start.Before(w[1].Add(-recordSlack/10)) &&
 			!d.restarted(c.Relay, w[0], c.Start) {
 			x.fail("%s sent to %s %v before its wait was over", c.Relay, c.Partner, w[1].Sub(c.Start))
 		}
@@ -402,7 +402,7 @@
 }
 
 // restarted reports whether a relay was killed, stopped or stalled between two times.
-func (d *day) restarted(name string, from, to time.Time) bool {
+func (d *deployment) restarted(name string, from, to time.Time) bool {
 	for _, r := range d.relays {
 		if r.name() != name {
 			continue
@@ -412,7 +412,7 @@
 			return true
 		}
 		for _, s := range r.stalls { // a response that waited in the socket buffer during the stall is read later
-			if s[0].Before(to) && s[1].Add(seenSlack).After(from) {
+			if s[0].Before(to) && s[1].Add(recordSlack).After(from) {
 				return true
 			}
 		}
--- a/internal/badday/audit_test.go
+++ b/internal/badday/audit_test.go
@@ -12,10 +12,10 @@
 // In all other cases the hand-in's own deadline must hold.
 func TestDueOfAJoinedHandIn(t *testing.T) {
 	at := time.Unix(100, 0)
-	first := handIn{id: "m", relay: 1, at: at, left: deadline, unknown: true}
-	again := handIn{id: "m", relay: 1, at: at.Add(123 * time.Millisecond), left: deadline - time.Second}
-	own := again.at.Add(again.left)
-	if due := dueOf(&again, []*handIn{&first, &again}); !due.Equal(at.Add(deadline)) {
+	first := handIn{id: "m", relay: 1, at: at, timeLeft: deadline, unknown: true}
+	again := handIn{id: "m", relay: 1, at: at.Add(123 * time.Millisecond), timeLeft: deadline - time.Second}
+	own := again.at.Add(again.timeLeft)
+	if due := answerDue(&again, []*handIn{&first, &again}); !due.Equal(at.Add(deadline)) {
 		t.Errorf("joined: due %v after the first, want %v", due.Sub(at), deadline)
 	}
 	for name, change := range map[string]func(f *handIn){
@@ -26,7 +26,7 @@
 	} {
 		f := first
 		change(&f)
-		if due := dueOf(&again, []*handIn{&f, &again}); !due.Equal(own) {
+		if due := answerDue(&again, []*handIn{&f, &again}); !due.Equal(own) {
 			t.Errorf("%s: due %v after the first, want %v", name, due.Sub(at), own.Sub(at))
 		}
 	}
@@ -50,11 +50,11 @@
 		{"no answer to either", func(_, again *handIn) { again.answers = nil }, 2},
 		{"late for the first", func(_, again *handIn) { again.answers[0].At = at.Add(deadline + answerSlack + 1) }, 1},
 	} {
-		open := &handIn{id: "m", number: 2, at: at, left: deadline, taken: true}
-		again := &handIn{id: "m", number: 3, at: at.Add(80 * time.Millisecond), left: deadline, taken: true,
+		open := &handIn{id: "m", number: 2, at: at, timeLeft: deadline, taken: true}
+		again := &handIn{id: "m", number: 3, at: at.Add(80 * time.Millisecond), timeLeft: deadline, taken: true,
 			answers: []client.Answer{{Answer: "delivered", At: at.Add(400 * time.Millisecond)}}}
 		c.change(open, again)
-		d := &day{relays: []*relayProc{{index: 0}, {index: 1}}}
+		d := &deployment{relays: []*relayProc{{index: 0}, {index: 1}}}
 		r := &Report{Answers: map[string]int{}}
 		if x := d.auditAnswers([]*handIn{open, again}, nil, r); x.Broken != c.broken || x.Occasions != 2 {
 			t.Errorf("%s: %d of %d broken, want %d: %v", c.name, x.Broken, x.Occasions, c.broken, x.Examples)
--- a/internal/badday/crash.go
+++ b/internal/badday/crash.go
@@ -69,29 +69,29 @@
 // crashClient hands in messages one after the other. A message that was not confirmed as
 // accepted is handed in again on the next connection, with the same ID.
 type crashClient struct {
-	name string
-	push *client.PushSession // nil for MQTT
-	mu   sync.Mutex
-	got  map[string][]string // answers by message ID, in order of arrival
-	sent []string            // IDs of accepted messages, in order
+	name     string
+	push     *client.PushSession // nil for MQTT
+	mu       sync.Mutex
+	answers  map[string][]string // answers by message ID, in order of arrival
+	accepted []string            // IDs of accepted messages, in order
 }
 
-func (c *crashClient) on(a client.Answer) {
+func (c *crashClient) onAnswer(a client.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.got[a.ID] = append(c.got[a.ID], a.Answer)
+	c.answers[a.ID] = append(c.answers[a.ID], a.Answer)
 }
 
-func (c *crashClient) waits() bool {
+func (c *crashClient) awaitsAnswers() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.ContainsFunc(c.sent, func(id string) bool { return len(c.got[id]) == 0 })
+	return slices.ContainsFunc(c.accepted, func(id string) bool { return len(c.answers[id]) == 0 })
 }
 
 // run hands in messages until stop is closed and each accepted message is answered, or ctx ends.
 func (c *crashClient) run(ctx context.Context, addr, origin string, trust *tls.Config, seed uint64,
 	stop <-chan struct{}) {
-	chance := rand.New(rand.NewPCG(seed, 1))
+	rng := rand.New(rand.NewPCG(seed, 1))
 	n := 0
 	stopping := func() bool {
 		select {
@@ -104,24 +104,24 @@
 	next := func() client.Message {
 		n++
 		m := client.Message{ID: fmt.Sprintf("%s-%d", c.name, n),
-			Class:   []string{"status", "order", "charge", "charge"}[chance.IntN(4)],
-			Partner: fmt.Sprint("p", chance.IntN(4)), QoS: byte(1 + chance.IntN(2))}
+			Class:   []string{"status", "order", "charge", "charge"}[rng.IntN(4)],
+			Partner: fmt.Sprint("p", rng.IntN(4)), QoS: byte(1 + rng.IntN(2))}
 		if m.Class == "charge" {
-			m.Key = fmt.Sprintf("%s/%d", c.name, chance.IntN(2))
+			m.Key = fmt.Sprintf("%s/%d", c.name, rng.IntN(2))
 			m.Partner = "p" + m.Key[len(m.Key)-1:]
 		}
 		m.Body = fmt.Appendf(nil, "%s %d %s", m.ID, n, m.Key)
 		return m
 	}
 	m := next()
-	for ctx.Err() == nil && (!stopping() || c.waits()) {
+	for ctx.Err() == nil && (!stopping() || c.awaitsAnswers()) {
 		dial, cancel := context.WithTimeout(ctx, 3*time.Second)
-		var cl carrier
+		var cl connection
 		var err error
 		if c.push != nil {
-			cl, err = client.DialPush(origin, trust, c.push, c.on)
+			cl, err = client.DialPush(origin, trust, c.push, c.onAnswer)
 		} else {
-			cl, err = client.Dial(dial, addr, client.Options{ID: c.name, Expiry: 600, On: c.on})
+			cl, err = client.Dial(dial, addr, client.Options{ID: c.name, Expiry: 600, On: c.onAnswer})
 		}
 		cancel()
 		if err != nil {
@@ -129,7 +129,7 @@
 			continue
 		}
 		lost := false
-		for !lost && ctx.Err() == nil && (!stopping() || c.waits()) {
+		for !lost && ctx.Err() == nil && (!stopping() || c.awaitsAnswers()) {
 			if stopping() {
 				select {
 				case <-cl.Lost():
@@ -150,10 +150,10 @@
 			cancel()
 			if err == nil {
 				c.mu.Lock()
-				c.sent = append(c.sent, m.ID)
+				c.accepted = append(c.accepted, m.ID)
 				c.mu.Unlock()
 				m = next()
-				pause.For(ctx, time.Duration(chance.ExpFloat64()*float64(3*time.Millisecond)))
+				pause.For(ctx, time.Duration(rng.ExpFloat64()*float64(3*time.Millisecond)))
 			} else {
 				lost = true
 			}
@@ -175,8 +175,8 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	chance := rand.New(rand.NewPCG(opt.Seed, 2))
-	rec := standin.NewRecorder(mostCalls)
+	rng := rand.New(rand.NewPCG(opt.Seed, 2))
+	rec := standin.NewRecorder(maxRecordedCalls)
 	var list strings.Builder
 	for i := range 4 {
 		p := standin.NewPartner(fmt.Sprint("p", i),
@@ -237,7 +237,7 @@
 	var clients []*crashClient
 	var done sync.WaitGroup
 	for i := range opt.Clients {
-		c := &crashClient{name: fmt.Sprint("c", i), got: map[string][]string{}}
+		c := &crashClient{name: fmt.Sprint("c", i), answers: map[string][]string{}}
 		if i%3 == 2 {
 			if c.push, err = client.NewPushSession(); err != nil {
 				return nil, err
@@ -277,9 +277,9 @@
 		if err != nil {
 			return nil, err
 		}
-		if early := chance.IntN(10) == 0; early { // kill it during start-up and recovery
+		if early := rng.IntN(10) == 0; early { // kill it during start-up and recovery
 			r.Early++
-			pause.For(ctx, time.Duration(chance.Float64()*float64(60*time.Millisecond)))
+			pause.For(ctx, time.Duration(rng.Float64()*float64(60*time.Millisecond)))
 		} else {
 			if !up() {
 				_ = cmd.Process.Kill()
@@ -287,7 +287,7 @@
 				out, _ := os.ReadFile(log.Name())
 				return nil, fmt.Errorf("badday: relay not ready in time:\n%s", out[max(0, len(out)-2000):])
 			}
-			pause.For(ctx, time.Duration(chance.ExpFloat64()*float64(150*time.Millisecond)))
+			pause.For(ctx, time.Duration(rng.ExpFloat64()*float64(150*time.Millisecond)))
 		}
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
@@ -357,9 +357,9 @@
 		}
 	}
 	for _, c := range clients {
-		for _, id := range c.sent {
+		for _, id := range c.accepted {
 			r.Taken++
-			l := c.got[id]
+			l := c.answers[id]
 			if len(l) == 0 {
 				r.fail(&r.Lost, "%s was taken and never answered", id)
 				continue
--- a/internal/badday/day.go
+++ b/internal/badday/day.go
@@ -38,64 +38,64 @@
 
 // Settings of the simulated deployment, which runs on loopback only.
 const (
-	aim         = time.Second
-	deadline    = 4 * time.Second
-	window      = 6 * time.Second
-	drainGrace  = time.Second
-	fall        = time.Second
-	cold        = 4 * time.Second
-	coldFrom    = 0.25
-	factor      = 2.0
-	orderSettle = 50 * time.Millisecond
-	service     = 20 * time.Millisecond
-	roomy       = 1.5 // a partner's rate limit as a multiple of its share of the traffic
-	mostCalls   = 2_000_000
+	aim              = time.Second
+	deadline         = 4 * time.Second
+	window           = 6 * time.Second
+	drainGrace       = time.Second
+	fall             = time.Second
+	cold             = 4 * time.Second
+	coldFrom         = 0.25
+	overloadFactor   = 2.0
+	orderSettle      = 50 * time.Millisecond
+	service          = 20 * time.Millisecond
+	rateHeadroom     = 1.5 // a partner's rate limit as a multiple of its share of the traffic
+	maxRecordedCalls = 2_000_000
 )
 
-// day is one run of a script.
-type day struct {
-	opt      Options
-	script   Script
-	dir      string
-	until    time.Time // end of the traffic; nothing is handed in later
-	rand     *rand.Rand
-	rec      *standin.Recorder
-	partners []*standin.Partner
-	relays   []*relayProc
-	senders  []*sender
-	trust    *tls.Config
-	consul   *standin.Consul // nil if relays read a list file
+// deployment is the simulated installation of one run: its processes and faults, and what it observed.
+type deployment struct {
+	opt        Options
+	script     Script
+	dir        string
+	trafficEnd time.Time // end of the traffic; nothing is handed in later
+	rand       *rand.Rand
+	rec        *standin.Recorder
+	partners   []*standin.Partner
+	relays     []*relayProc
+	senders    []*sender
+	trust      *tls.Config
+	consul     *standin.Consul // nil if relays read a list file
 
-	mu     sync.Mutex
-	ends   []*end
-	broken bool    // the list file is written truncated
-	rate   float64 // factor on the script's message rate
-	hot    float64 // fraction of messages that go to one key at the first partner
-	caller float64 // fraction of messages that the first client sends
+	mu             sync.Mutex
+	endpoints      []*listedEndpoint
+	listBroken     bool    // the list file is written truncated
+	rateFactor     float64 // factor on the script's message rate
+	hotKeyShare    float64 // fraction of messages that go to one key at the first partner
+	hotClientShare float64 // fraction of messages that the first client sends
 }
 
-// end is one endpoint with its state on the list.
-type end struct {
+// listedEndpoint is one endpoint with its state on the list.
+type listedEndpoint struct {
 	*standin.Endpoint
-	state  string
-	told   time.Time         // when the list first had it as draining or gone
-	second *standin.Endpoint // second address of the endpoint; nil if it has only one
+	state       string
+	withdrawnAt time.Time         // when the list first had it as draining or gone
+	second      *standin.Endpoint // second address of the endpoint; nil if it has only one
 }
 
 // relayProc is one relay process.
 type relayProc struct {
-	day    *day
-	index  int
-	config string
-	listen string
-	origin string // URL of its Web Push listener
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	done   chan struct{}
-	kills  []time.Time
-	stops  []time.Time
-	stalls [][2]time.Time
-	isDown bool
+	deployment *deployment
+	index      int
+	config     string
+	listen     string
+	origin     string // URL of its Web Push listener
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	done       chan struct{}
+	kills      []time.Time
+	stops      []time.Time
+	stalls     [][2]time.Time
+	isDown     bool
 }
 
 func (r *relayProc) addr() string { return r.listen }
@@ -116,7 +116,7 @@
 
 // start runs the process and waits until it listens.
 func (r *relayProc) start() error {
-	d := r.day
+	d := r.deployment
 	ready := r.config + ".ready"
 	_ = os.Remove(ready)
 	args := []string{"relay", "--config", r.config, "--ready-file", ready}
@@ -190,41 +190,41 @@
 	r.mu.Unlock()
 }
 
-// weight returns the relative traffic of the i-th partner; a few partners get most of it.
-func weight(i int) float64 { return 1 / float64(i+1) }
+// trafficWeight returns the relative traffic of the i-th partner; a few partners get most of it.
+func trafficWeight(i int) float64 { return 1 / float64(i+1) }
 
-func (d *day) share(i int) float64 {
+func (d *deployment) trafficShare(i int) float64 {
 	sum := 0.0
 	for j := range d.script.Partners {
-		sum += weight(j)
+		sum += trafficWeight(j)
 	}
-	return weight(i) / sum
+	return trafficWeight(i) / sum
 }
 
-func (d *day) newEnd(p *standin.Partner) (*end, error) {
+func (d *deployment) startEndpoint(p *standin.Partner) (*listedEndpoint, error) {
 	e, err := standin.Start("127.0.0.1:0", p, d.rec)
 	if err != nil {
 		return nil, err
 	}
-	n := &end{Endpoint: e, state: "ready"}
-	if d.twoAddresses() {
+	n := &listedEndpoint{Endpoint: e, state: "ready"}
+	if d.needsTwoAddresses() {
 		if n.second, err = standin.Start("[::1]:0", p, d.rec); err != nil {
 			return nil, err
 		}
 	}
 	d.mu.Lock()
-	d.ends = append(d.ends, n)
+	d.endpoints = append(d.endpoints, n)
 	d.mu.Unlock()
 	return n, nil
 }
 
-// twoAddresses reports whether endpoints have two addresses, as faults at single addresses need.
-func (d *day) twoAddresses() bool {
+// needsTwoAddresses reports whether endpoints have two addresses, as faults at single addresses need.
+func (d *deployment) needsTwoAddresses() bool {
 	return slices.ContainsFunc(d.script.Troubles, func(t Trouble) bool { return t.Name == "address_dead" })
 }
 
 // instance returns the endpoint's entry in the catalogue.
-func (e *end) instance(draining bool) standin.Instance {
+func (e *listedEndpoint) instance(draining bool) standin.Instance {
 	host, port, _ := net.SplitHostPort(e.Addr)
 	n, _ := strconv.Atoi(port)
 	i := standin.Instance{ID: e.Addr, Service: e.Partner.Name, Address: host, Port: n, Check: "passing",
@@ -235,12 +235,12 @@
 	return i
 }
 
-// register brings the catalogue up to date with the endpoints' states.
-func (d *day) register() {
+// updateCatalogue brings the catalogue up to date with the endpoints' states.
+func (d *deployment) updateCatalogue() {
 	d.mu.Lock()
 	var has []standin.Instance
 	var gone []string
-	for _, e := range d.ends {
+	for _, e := range d.endpoints {
 		if e.state == "gone" {
 			gone = append(gone, e.Addr)
 		} else {
@@ -252,17 +252,17 @@
 	d.consul.Delete(gone...)
 }
 
-// list publishes the endpoints' states: in the catalogue, or in the list file, which it replaces
+// publishEndpoints publishes the endpoints' states: in the catalogue, or in the list file, which it replaces
 // atomically by a rename.
-func (d *day) list() error {
+func (d *deployment) publishEndpoints() error {
 	if d.consul != nil {
-		d.register()
+		d.updateCatalogue()
 		return nil
 	}
 	d.mu.Lock()
 	var b bytes.Buffer
 	b.WriteString("endpoints: [\n")
-	for _, e := range d.ends {
+	for _, e := range d.endpoints {
 		if e.state != "gone" {
 			addrs := ""
 			if e.second != nil {
@@ -273,7 +273,7 @@
 		}
 	}
 	b.WriteString("]\n")
-	if d.broken {
+	if d.listBroken {
 		b.Reset()
 		b.WriteString("endpoints: [{addr: ")
 	}
@@ -285,20 +285,20 @@
 	return os.Rename(path+".new", path)
 }
 
-// set changes an endpoint's state; list publishes it.
-func (d *day) set(e *end, state string) {
+// setState changes an endpoint's state; publishEndpoints publishes it.
+func (d *deployment) setState(e *listedEndpoint, state string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e.state == "ready" && state != "ready" {
-		e.told = time.Now()
+		e.withdrawnAt = time.Now()
 	}
 	e.state = state
 }
 
-func (d *day) endsOf(p *standin.Partner) (out []*end) {
+func (d *deployment) readyEndpoints(p *standin.Partner) (out []*listedEndpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, e := range d.ends {
+	for _, e := range d.endpoints {
 		if e.Partner == p && e.state == "ready" {
 			out = append(out, e)
 		}
@@ -308,8 +308,8 @@
 
 // Run runs a script and audits the result.
 func Run(ctx context.Context, s Script, opt Options) (*Report, error) {
-	d := &day{opt: opt, script: s, dir: opt.Keep, rand: rand.New(rand.NewPCG(s.Seed, 2)),
-		rec: standin.NewRecorder(mostCalls), rate: 1}
+	d := &deployment{opt: opt, script: s, dir: opt.Keep, rand: rand.New(rand.NewPCG(s.Seed, 2)),
+		rec: standin.NewRecorder(maxRecordedCalls), rateFactor: 1}
 	if d.dir == "" {
 		dir, err := os.MkdirTemp("", "basaltcross-day-")
 		if err != nil {
@@ -325,33 +325,33 @@
 		}
 		defer d.consul.Close()
 	}
-	if err := d.makeKeys(); err != nil {
+	if err := d.issueCertificates(); err != nil {
 		return nil, err
 	}
 	for i := range s.Partners {
-		limit := max(4, s.Rate*d.share(i)*roomy)
+		limit := max(4, s.Rate*d.trafficShare(i)*rateHeadroom)
 		p := standin.NewPartner(fmt.Sprintf("p%d", i), standin.Model{Service: service, Spread: 0.5, Rate: limit,
-			Tells: i%2 == 0, Window: window, ColdFrom: coldFrom, Cold: cold, Factor: factor, Fall: fall,
+			Tells: i%2 == 0, Window: window, ColdFrom: coldFrom, Cold: cold, Factor: overloadFactor, Fall: fall,
 			Capacity: limit}, s.Seed+uint64(i))
 		d.partners = append(d.partners, p)
 		for range 2 {
-			if _, err := d.newEnd(p); err != nil {
+			if _, err := d.startEndpoint(p); err != nil {
 				return nil, err
 			}
 		}
 	}
 	defer func() {
-		for _, e := range d.ends {
+		for _, e := range d.endpoints {
 			if e.Close(); e.second != nil {
 				e.second.Close()
 			}
 		}
 	}()
-	if err := d.list(); err != nil {
+	if err := d.publishEndpoints(); err != nil {
 		return nil, err
 	}
 	for i := range s.Relays {
-		r := &relayProc{day: d, index: i, config: filepath.Join(d.dir, fmt.Sprintf("relay-%d.cue", i))}
+		r := &relayProc{deployment: d, index: i, config: filepath.Join(d.dir, fmt.Sprintf("relay-%d.cue", i))}
 		d.relays = append(d.relays, r)
 		// A fixed port, so that clients find the relay again after a restart.
 		port, err := freePort()
@@ -375,10 +375,10 @@
 			}
 		}()
 	}
-	day, cancel := context.WithCancel(ctx)
+	runCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	begin := time.Now()
-	d.until = begin.Add(s.Lasts.D())
+	d.trafficEnd = begin.Add(s.Lasts.D())
 	var clients, troubles sync.WaitGroup
 	for i := range s.Clients {
 		c, err := newSender(d, i)
@@ -386,18 +386,18 @@
 			return nil, err
 		}
 		d.senders = append(d.senders, c)
-		clients.Go(func() { c.run(day) })
+		clients.Go(func() { c.run(runCtx) })
 	}
 	for _, t := range s.Troubles {
 		troubles.Go(func() {
-			pause.For(day, time.Until(begin.Add(t.At.D())))
+			pause.For(runCtx, time.Until(begin.Add(t.At.D())))
 			fmt.Fprintf(opt.Out, "%6.1f s  %s for %v\n", time.Since(begin).Seconds(), t.Name, t.For.D())
-			d.trouble(day, t)
+			d.inject(runCtx, t)
 		})
 	}
-	d.traffic(day)
+	d.traffic(runCtx)
 	troubles.Wait()
-	pause.For(day, deadline+time.Second) // all answers due arrive by then
+	pause.For(runCtx, deadline+time.Second) // all answers due arrive by then
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -406,8 +406,8 @@
 	return d.audit(), nil
 }
 
-// makeKeys creates a certificate authority and the relays' certificate.
-func (d *day) makeKeys() error {
+// issueCertificates creates a certificate authority and the relays' certificate.
+func (d *deployment) issueCertificates() error {
 	a, err := keys.NewAuthority("bad day", time.Hour)
 	if err != nil {
 		return err
@@ -430,14 +430,14 @@
 }
 
 // traffic passes messages to random clients, as a Poisson process at the script's rate.
-func (d *day) traffic(ctx context.Context) {
+func (d *deployment) traffic(ctx context.Context) {
 	at := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
 		d.mu.Lock()
-		rate, hot, caller := d.rate, d.hot, d.caller
+		rate, hot, caller := d.rateFactor, d.hotKeyShare, d.hotClientShare
 		d.mu.Unlock()
 		at = at.Add(time.Duration(d.rand.ExpFloat64() / (d.script.Rate * rate) * float64(time.Second)))
-		if at.After(d.until) {
+		if at.After(d.trafficEnd) {
 			return
 		}
 		pause.For(ctx, time.Until(at))
@@ -447,8 +447,8 @@
 		}
 		h := &handIn{id: fmt.Sprintf("%s-%d", s.name, n), client: s.name, try: 1}
 		p, left := 0, d.rand.Float64()
-		for p < d.script.Partners-1 && left > d.share(p) {
-			left -= d.share(p)
+		for p < d.script.Partners-1 && left > d.trafficShare(p) {
+			left -= d.trafficShare(p)
 			p++
 		}
 		switch c := d.rand.Float64(); {
@@ -469,7 +469,7 @@
 }
 
 // directory returns the part of a relay's configuration that sets up endpoint discovery.
-func (d *day) directory(r *relayProc) string {
+func (d *deployment) directory(r *relayProc) string {
 	if d.consul == nil {
 		return `directory: file: "list.cue"`
 	}
@@ -481,7 +481,7 @@
 fleet: {ttl: "1s", late: "3s"}`, r.index, d.consul.Addr, strings.Join(services, ", "))
 }
 
-func (d *day) config(r *relayProc) string {
+func (d *deployment) config(r *relayProc) string {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `relay: {name: %q, index: %d, fleet: %d, workers: 32, held: 600, attempts: 6, listedRates: true,
 	maxRetryAfter: "2s", connIdle: "5s", shutdown: "3s"}
@@ -497,7 +497,7 @@
 webpush: {tlsListen: [%q], tls: {cert: "server.pem", key: "server.key"}, audience: [%q]}
 partners: [
 `, r.name(), r.index, d.script.Relays, aim, deadline, aim, deadline, window, aim, deadline, drainGrace, fall, cold,
-		coldFrom, factor, orderSettle, d.directory(r), r.listen, strings.TrimPrefix(r.origin, "https://"), r.origin)
+		coldFrom, overloadFactor, orderSettle, d.directory(r), r.listen, strings.TrimPrefix(r.origin, "https://"), r.origin)
 	for i := range d.script.Partners {
 		fmt.Fprintf(&b, "\t{name: \"p%d\", kind: \"bank\"},\n", i)
 	}
--- a/internal/badday/plant.go
+++ b/internal/badday/plant.go
@@ -34,28 +34,28 @@
 	switch name {
 	case "":
 	case "double-send", "early-after-wait", "flood-cold":
-		h.Caller = func(c core.Caller) core.Caller { return &badCaller{Caller: c, name: name, cfg: cfg} }
+		h.Caller = func(c core.Caller) core.Caller { return &faultyCaller{Caller: c, name: name, cfg: cfg} }
 	case "send-to-drained":
-		h.Sink = func(s directory.Sink) directory.Sink { return &deafSink{Sink: s} }
+		h.Sink = func(s directory.Sink) directory.Sink { return &staleSink{Sink: s} }
 	case "out-of-order", "no-answer", "late-answer":
-		h.Door = func(d front.Door) front.Door { return &badDoor{Door: d, name: name, cfg: cfg} }
+		h.Door = func(d front.Door) front.Door { return &faultyDoor{Door: d, name: name, cfg: cfg} }
 	case "answer-before-sync":
-		h.Journal = func(j core.Journal) core.Journal { return &hastyJournal{j} }
+		h.Journal = func(j core.Journal) core.Journal { return &earlySyncJournal{j} }
 	default:
 		return h, fmt.Errorf("badday: unknown fault %q; known faults: %s", name, strings.Join(Breaks, ", "))
 	}
 	return h, nil
 }
 
-// badCaller sends calls twice, or hides waits and failures from the core.
-type badCaller struct {
+// faultyCaller sends calls twice, or hides waits and failures from the core.
+type faultyCaller struct {
 	core.Caller
 	name string
 	cfg  *config.Config
 	n    atomic.Int64
 }
 
-func (b *badCaller) Send(c core.Call) core.Attempt {
+func (b *faultyCaller) Send(c core.Call) core.Attempt {
 	end := c.End
 	switch b.name {
 	case "double-send":
@@ -82,14 +82,14 @@
 	return b.Caller.Send(c)
 }
 
-// deafSink hides drains and removals of endpoints from the relay.
-type deafSink struct {
+// staleSink hides drains and removals of endpoints from the relay.
+type staleSink struct {
 	directory.Sink
 	mu   sync.Mutex
 	last []choice.Host
 }
 
-func (d *deafSink) List(l choice.HostUpdate) {
+func (d *staleSink) List(l choice.HostUpdate) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	l.Hosts = slices.Clone(l.Hosts)
@@ -105,48 +105,48 @@
 	d.Sink.List(l)
 }
 
-// badDoor removes the keys of messages, or suppresses or delays answers.
-type badDoor struct {
+// faultyDoor removes the keys of messages, or suppresses or delays answers.
+type faultyDoor struct {
 	front.Door
 	name string
 	cfg  *config.Config
 	n    atomic.Int64
 }
 
-func (b *badDoor) Submit(m *core.Message) error {
+func (b *faultyDoor) Submit(m *core.Message) error {
 	if b.name == "out-of-order" {
 		m.Key = ""
 	} else if b.n.Add(1)%20 == 0 {
-		m.Reply = &badReply{Reply: m.Reply, late: b.name == "late-answer", after: b.cfg.Classes[m.Class].Deadline.D()}
+		m.Reply = &faultyReply{Reply: m.Reply, late: b.name == "late-answer", after: b.cfg.Classes[m.Class].Deadline.D()}
 	}
 	return b.Door.Submit(m)
 }
 
-type badReply struct {
+type faultyReply struct {
 	core.Reply
 	late  bool
 	after time.Duration
 }
 
-func (b *badReply) Answer(a ledger.Answer) {
+func (b *faultyReply) Answer(a ledger.Answer) {
 	if b.late {
 		time.AfterFunc(b.after+time.Second, func() { b.Reply.Answer(a) })
 	}
 }
 
-// hastyJournal reports records as synced to disk before they are even queued for writing.
-type hastyJournal struct{ core.Journal }
+// earlySyncJournal reports records as synced to disk before they are even queued for writing.
+type earlySyncJournal struct{ core.Journal }
 
-func (h *hastyJournal) RecordMessage(m journal.Message) {
+func (h *earlySyncJournal) RecordMessage(m journal.Message) {
 	time.AfterFunc(80*time.Millisecond, func() { h.Journal.RecordMessage(m) })
 }
-func (h *hastyJournal) RecordAttempt(a journal.Attempt) {
+func (h *earlySyncJournal) RecordAttempt(a journal.Attempt) {
 	time.AfterFunc(80*time.Millisecond, func() { h.Journal.RecordAttempt(a) })
 }
-func (h *hastyJournal) RecordEnd(e journal.End) {
+func (h *earlySyncJournal) RecordEnd(e journal.End) {
 	time.AfterFunc(80*time.Millisecond, func() { h.Journal.RecordEnd(e) })
 }
-func (h *hastyJournal) WhenWritten(done func()) bool {
+func (h *earlySyncJournal) WhenWritten(done func()) bool {
 	go done()
 	return false
 }
--- a/internal/fleet/address.go
+++ b/internal/fleet/address.go
@@ -55,7 +55,7 @@
 // Addresses runs the simulation.
 func Addresses(s AddressSettings) AddressResult {
 	r := AddressResult{Learns: s.Learns}
-	chance := rand.New(rand.NewPCG(s.Seed, 5))
+	rng := rand.New(rand.NewPCG(s.Seed, 5))
 	type place struct{ relay, endpoint int }
 	books := map[place]*addr.Selector{}
 	last := map[place]time.Duration{}
@@ -67,9 +67,9 @@
 	}
 	var added []time.Duration
 	var back, late int
-	for now := time.Duration(0); now < s.Lasts; now += time.Duration(chance.ExpFloat64() / s.Rate * 1e9) {
-		at := place{chance.IntN(s.Relays), int(float64(s.Endpoints) * math.Pow(chance.Float64(), 2))}
-		wait := time.Duration((2 + 3*chance.Float64()) * float64(time.Millisecond)) // round-trip time to this endpoint
+	for now := time.Duration(0); now < s.Lasts; now += time.Duration(rng.ExpFloat64() / s.Rate * 1e9) {
+		at := place{rng.IntN(s.Relays), int(float64(s.Endpoints) * math.Pow(rng.Float64(), 2))}
+		wait := time.Duration((2 + 3*rng.Float64()) * float64(time.Millisecond)) // round-trip time to this endpoint
 		r.Calls++
 		if until, ok := last[at]; ok && now < until {
 			last[at] = now + s.Keep
--- a/internal/fleet/calibrate.go
+++ b/internal/fleet/calibrate.go
@@ -21,9 +21,9 @@
 	"basaltcross.example/basaltcross/internal/standin"
 )
 
-// fixed is the overhead of an exchange in bytes: the relay's request header and the stand-in's
+// exchangeOverhead is the overhead of an exchange in bytes: the relay's request header and the stand-in's
 // response.
-const fixed = 225
+const exchangeOverhead = 225
 
 // Calibrate runs one small fleet both on sockets, against stand-ins, and in the model, and returns
 // both results. The arrivals are the same; the service times are drawn independently.
@@ -31,12 +31,12 @@
 	if model, err = Run(s); err != nil {
 		return
 	}
-	sockets, err = onSockets(ctx, s)
+	sockets, err = runOnSockets(ctx, s)
 	return
 }
 
-// onSockets runs the fleet of s within this process, over loopback and in real time.
-func onSockets(ctx context.Context, s Settings) (out Result, err error) {
+// runOnSockets runs the fleet of s within this process, over loopback and in real time.
+func runOnSockets(ctx context.Context, s Settings) (out Result, err error) {
 	dir, err := os.MkdirTemp("", "basaltcross-model-")
 	if err != nil {
 		return out, err
@@ -51,7 +51,8 @@
 	}
 	var ends []end
 	for p := range s.Partners {
-		sp := standin.NewPartner(fmt.Sprintf("p%d", p), standin.Model{Service: service, Spread: spread}, s.Seed+uint64(p))
+		sp := standin.NewPartner(fmt.Sprintf("p%d", p),
+			standin.Model{Service: medianServiceTime, Spread: serviceTimeSpread}, s.Seed+uint64(p))
 		for i := range 2 {
 			e, err := standin.Start("127.0.0.1:0", sp, rec)
 			if err != nil {
@@ -92,7 +93,7 @@
 mqtt: listen: ["127.0.0.1:0"]
 `, i, i, s.Relays, i%s.Zones, s.Seed+uint64(i)+1, zones.String(), s.Bytes*s.Overdraft,
 			partners.String(), s.Bytes, s.Window,
-			request+response, filepath.Join(dir, "list.cue"))
+			requestBytes+responseBytes, filepath.Join(dir, "list.cue"))
 		if s.How == None {
 			text = text[:strings.Index(text, "budget:")] + text[strings.Index(text, "directory:"):]
 		}
@@ -118,7 +119,7 @@
 			return
 		}
 		delete(sent, a.ID)
-		k, age := classes[p.class], a.At.Sub(begin)-p.at
+		k, age := classes[p.class], a.At.Sub(begin)-p.arrival
 		switch a.Answer {
 		case "refused":
 			out.Refused++
@@ -137,7 +138,7 @@
 	}
 	// Request and response together take about as many bytes as in the model: the size of the
 	// headers and of the stand-in's response is subtracted from the body.
-	body := make([]byte, request+response-fixed)
+	body := make([]byte, requestBytes+responseBytes-exchangeOverhead)
 	var all sync.WaitGroup
 	for i, r := range relays {
 		c, err := client.Dial(ctx, r.Addrs()[0], client.Options{ID: fmt.Sprintf("c%d", i), Expiry: 60, On: on})
@@ -154,26 +155,26 @@
 			continue
 		}
 		all.Go(func() {
-			chance := rand.New(rand.NewPCG(s.Seed, uint64(100+i)))
-			at := time.Duration(chance.ExpFloat64() / rate * 1e9)
+			rng := rand.New(rand.NewPCG(s.Seed, uint64(100+i)))
+			at := time.Duration(rng.ExpFloat64() / rate * 1e9)
 			for n := 0; at < s.Lasts && ctx.Err() == nil; n++ {
 				time.Sleep(time.Until(begin.Add(at)))
-				class, x := 0, chance.Float64()
-				for class < len(shares)-1 && x > shares[class] {
-					x -= shares[class]
+				class, x := 0, rng.Float64()
+				for class < len(classShares)-1 && x > classShares[class] {
+					x -= classShares[class]
 					class++
 				}
-				p := int(float64(s.Partners) * math.Pow(chance.Float64(), 2))
+				p := int(float64(s.Partners) * math.Pow(rng.Float64(), 2))
 				id := fmt.Sprintf("%d-%d", i, n)
 				mu.Lock()
 				out.Asked += classes[class].Worth
 				if class == 2 {
 					out.ChargeAsked += classes[class].Worth
 				}
-				sent[id] = &reply{class: class, at: at}
+				sent[id] = &reply{class: class, arrival: at}
 				mu.Unlock()
 				_ = c.Send(ctx, client.Message{ID: id, Class: classes[class].Name, Partner: fmt.Sprintf("p%d", p), Body: body})
-				at += time.Duration(chance.ExpFloat64() / rate * 1e9)
+				at += time.Duration(rng.ExpFloat64() / rate * 1e9)
 			}
 		})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -64,11 +64,11 @@
 
 // Sizes and times of the modelled traffic.
 const (
-	request  = 600                   // bytes
-	response = 400                   // bytes
-	service  = 30 * time.Millisecond // median
-	spread   = 0.5                   // standard deviation of the logarithm of the service time
-	slots    = 8                     // concurrent calls of an endpoint, before scaling by relays per partner
+	requestBytes      = 600                   // bytes
+	responseBytes     = 400                   // bytes
+	medianServiceTime = 30 * time.Millisecond // median
+	serviceTimeSpread = 0.5                   // standard deviation of the logarithm of the service time
+	slotsPerRelay     = 8                     // concurrent calls of an endpoint, before scaling by relays per partner
 )
 
 // classes are the message classes of the modelled traffic.
@@ -79,8 +79,8 @@
 	{Name: "charge", Aim: time.Second, Deadline: 6 * time.Second, Worth: 5, LateShare: 0.3, Effect: choice.Unsafe},
 }
 
-// shares are the fractions of the traffic by class, in the order of classes.
-var shares = []float64{0.6, 0.25, 0.15}
+// classShares are the fractions of the traffic by class, in the order of classes.
+var classShares = []float64{0.6, 0.25, 0.15}
 
 // Result is the result of a run. Asked, Delivered, ChargeAsked and Charge are sums of worth; Charge
 // and ChargeAsked count the charge class only.
@@ -128,16 +128,16 @@
 
 // World is the state of one run.
 type World struct {
-	set     Settings
-	now     time.Duration
-	seq     uint64
-	queue   events
-	rand    *rand.Rand // service times; arrivals have generators of their own and so are the same for each policy
-	relays  []*relay
-	hosts   map[string]*host
-	limits  []*limited // rate limits by partner; used with Settings.Size only
-	result  Result
-	crossed []crossing
+	settings  Settings
+	now       time.Duration
+	seq       uint64
+	queue     events
+	rand      *rand.Rand // service times; arrivals have generators of their own and so are the same for each policy
+	relays    []*relay
+	hosts     map[string]*host
+	limits    []*rateLimit // rate limits by partner; used with Settings.Size only
+	result    Result
+	crossings []crossing
 }
 
 // crossing records bytes sent across zones.
@@ -148,23 +148,23 @@
 
 // host is one modelled endpoint of a partner.
 type host struct {
-	zone    int
-	limited *limited        // rate limit shared by the partner's endpoints; nil for none
-	free    []time.Duration // time at which each slot becomes free
-	gone    bool
-	mute    bool // accepts calls and never answers
+	zone       int
+	rateLimit  *rateLimit      // rate limit shared by the partner's endpoints; nil for none
+	slotFreeAt []time.Duration // time at which each slot becomes free
+	down       bool
+	silent     bool // accepts calls and never answers
 }
 
 // relay is one simulated relay; it is also its core's Caller and Observer.
 type relay struct {
-	w     *World
-	index int
-	zone  int
-	core  *core.Core
-	toll  *zone.Toll
-	dead  bool
-	wake  time.Duration // time of the next scheduled step; valid while armed
-	armed bool
+	w        *World
+	index    int
+	zone     int
+	core     *core.Core
+	toll     *zone.Toll
+	dead     bool
+	nextStep time.Duration // time of the next scheduled step; valid while armed
+	armed    bool
 }
 
 // after schedules an action; a negative delay counts as 0.
@@ -175,23 +175,23 @@
 
 // Run simulates a run to its end, 10 s after the last arrival at most.
 func Run(s Settings) (Result, error) {
-	w := &World{set: s, rand: rand.New(rand.NewPCG(s.Seed, 3)), hosts: map[string]*host{}}
+	w := &World{settings: s, rand: rand.New(rand.NewPCG(s.Seed, 3)), hosts: map[string]*host{}}
 	w.result = Result{How: string(s.How), Seed: int64(s.Seed), Relays: int64(s.Relays), Bytes: s.Bytes}
 	var list []choice.Host
 	for p := range s.Partners {
 		for i := range 2 { // each partner has two endpoints, in neighbouring zones
 			z := (p + i) % s.Zones
 			addr := fmt.Sprintf("p%d-%d", p, i)
-			w.hosts[addr] = &host{zone: z, limited: w.limit(p),
-				free: make([]time.Duration, max(slots, slots*s.Relays/s.Partners))}
-			list = append(list, choice.Host{Addr: addr, Dest: p, Zone: z, Rate: w.rateOf(p), State: choice.Ready})
+			w.hosts[addr] = &host{zone: z, rateLimit: w.limit(p),
+				slotFreeAt: make([]time.Duration, max(slotsPerRelay, slotsPerRelay*s.Relays/s.Partners))}
+			list = append(list, choice.Host{Addr: addr, Dest: p, Zone: z, Rate: w.listedRate(p), State: choice.Ready})
 		}
 	}
 	believed := s.Relays
 	if s.Size != nil {
-		believed = s.Size.configured(s.Relays)
+		believed = s.Size.initialAssumedSize(s.Relays)
 	}
-	var purse *budget.Book
+	var sharedBook *budget.Book
 	for i := range s.Relays {
 		r := &relay{w: w, index: i, zone: i % s.Zones}
 		opt := core.Options{Seed: s.Seed + uint64(i), InboxSize: 1 << 20, Identities: 1 << 20,
@@ -204,7 +204,8 @@
 				Rules: choice.Rules{OverloadFactor: 2,
 					Fall: 2 * time.Second, ColdFrom: 0.2, Cold: 10 * time.Second}}}
 		if s.How != None {
-			set := budget.Settings{Bytes: s.Bytes, Window: s.Window, Burst: 0.25, Held: 0.3, First: request + response}
+			set := budget.Settings{Bytes: s.Bytes, Window: s.Window, Burst: 0.25, Held: 0.3,
+				First: requestBytes + responseBytes}
 			for _, c := range classes {
 				k := budget.Class{Worth: c.Worth}
 				if c.Effect == choice.Unsafe {
@@ -214,10 +215,10 @@
 			}
 			book, err := budget.New(set, s.Relays)
 			if s.How == Ideal {
-				if purse == nil {
-					purse, err = budget.New(set, 1)
+				if sharedBook == nil {
+					sharedBook, err = budget.New(set, 1)
 				}
-				book = purse
+				book = sharedBook
 			}
 			if err != nil {
 				return w.result, err
@@ -239,9 +240,9 @@
 		r.step()
 	}
 	if s.Size != nil {
-		w.planSize()
+		w.scheduleSizeTest()
 	} else {
-		w.plan()
+		w.schedule()
 	}
 	for len(w.queue) > 0 && w.now < s.Lasts+10*time.Second {
 		e := heap.Pop(&w.queue).(event)
@@ -253,7 +254,7 @@
 			w.result.Over += r.toll.State(w.now).Overdrawn
 		}
 	}
-	w.worst()
+	w.findWorstWindow()
 	return w.result, nil
 }
 
@@ -268,9 +269,9 @@
 	return f
 }
 
-// plan schedules the arrivals and the faults.
-func (w *World) plan() {
-	s := w.set
+// schedule schedules the arrivals and the faults.
+func (w *World) schedule() {
+	s := w.settings
 	for i, r := range w.relays {
 		part := 1.0
 		if n := float64(len(w.relays) - 1); n > 0 {
@@ -281,12 +282,12 @@
 		}
 	}
 	if s.Outage > 0 {
-		w.after(s.Lasts/3, func() { w.outage(true) })
-		w.after(2*s.Lasts/3, func() { w.outage(false) })
+		w.after(s.Lasts/3, func() { w.setOutage(true) })
+		w.after(2*s.Lasts/3, func() { w.setOutage(false) })
 	}
 	if s.Silent {
-		w.after(s.Lasts/3, func() { w.silence(true) })
-		w.after(2*s.Lasts/3, func() { w.silence(false) })
+		w.after(s.Lasts/3, func() { w.setSilence(true) })
+		w.after(2*s.Lasts/3, func() { w.setSilence(false) })
 	}
 	if dying := int(s.Die * float64(s.Relays)); dying > 0 {
 		w.after(s.Lasts/2, func() {
@@ -304,46 +305,46 @@
 	}
 }
 
-// silence begins or ends the silence of the first zone. On return three quarters of the slots stay
+// setSilence begins or ends the silence of the first zone. On return three quarters of the slots stay
 // blocked for another 5 s.
-func (w *World) silence(on bool) {
+func (w *World) setSilence(on bool) {
 	for _, h := range w.hosts {
 		if h.zone != 0 {
 			continue
 		}
-		if h.mute = on; !on {
-			for i := range h.free {
-				h.free[i] = w.now
+		if h.silent = on; !on {
+			for i := range h.slotFreeAt {
+				h.slotFreeAt[i] = w.now
 				if i%4 != 0 {
-					h.free[i] += 5 * time.Second
+					h.slotFreeAt[i] += 5 * time.Second
 				}
 			}
 		}
 	}
 }
 
-// outage takes the first endpoint of a fraction of the partners down, or brings it back.
-func (w *World) outage(on bool) {
-	for p := range int(w.set.Outage * float64(w.set.Partners)) {
-		w.hosts[fmt.Sprintf("p%d-0", p)].gone = on
+// setOutage takes the first endpoint of a fraction of the partners down, or brings it back.
+func (w *World) setOutage(on bool) {
+	for p := range int(w.settings.Outage * float64(w.settings.Partners)) {
+		w.hosts[fmt.Sprintf("p%d-0", p)].down = on
 	}
 }
 
 // arrivals schedules a relay's messages as a Poisson process, until the relay dies.
 func (w *World) arrivals(r *relay, rate func() float64) {
-	chance := rand.New(rand.NewPCG(w.set.Seed, uint64(100+r.index)))
+	rng := rand.New(rand.NewPCG(w.settings.Seed, uint64(100+r.index)))
 	var next func()
 	next = func() {
-		if w.now >= w.set.Lasts || r.dead {
+		if w.now >= w.settings.Lasts || r.dead {
 			return
 		}
-		class, x := 0, chance.Float64()
-		for class < len(shares)-1 && x > shares[class] {
-			x -= shares[class]
+		class, x := 0, rng.Float64()
+		for class < len(classShares)-1 && x > classShares[class] {
+			x -= classShares[class]
 			class++
 		}
 		// A few partners get most of the traffic.
-		partner := int(float64(w.set.Partners) * math.Pow(chance.Float64(), 2))
+		partner := int(float64(w.settings.Partners) * math.Pow(rng.Float64(), 2))
 		w.result.Asked += classes[class].Worth
 		if class == 2 {
 			w.result.ChargeAsked += classes[class].Worth
@@ -352,16 +353,16 @@
 		_ = r.core.Submit(&core.Message{Identity: fmt.Sprint(w.seq), Class: class, Partner: partner,
 			Left: classes[class].Deadline, Reply: &reply{r, class, w.now}})
 		r.step()
-		w.after(time.Duration(chance.ExpFloat64()/rate()*1e9), next)
+		w.after(time.Duration(rng.ExpFloat64()/rate()*1e9), next)
 	}
-	w.after(time.Duration(chance.ExpFloat64()/rate()*1e9), next)
+	w.after(time.Duration(rng.ExpFloat64()/rate()*1e9), next)
 }
 
 // reply adds a message's final answer to the result.
 type reply struct {
-	r     *relay
-	class int
-	at    time.Duration
+	r       *relay
+	class   int
+	arrival time.Duration
 }
 
 func (p *reply) Taken(error) {}
@@ -373,7 +374,7 @@
 	case ledger.Failed:
 		w.result.Failed++
 	case ledger.Delivered:
-		worth, age := k.Worth, w.now-p.at
+		worth, age := k.Worth, w.now-p.arrival
 		if age > k.Aim {
 			worth *= math.Max(0, 1-(1-k.LateShare)*float64(age-k.Aim)/float64(k.Deadline-k.Aim))
 		}
@@ -390,12 +391,12 @@
 		return
 	}
 	next := r.core.Step()
-	if next < 0 || r.armed && r.wake <= next {
+	if next < 0 || r.armed && r.nextStep <= next {
 		return
 	}
-	r.armed, r.wake = true, next
+	r.armed, r.nextStep = true, next
 	r.w.after(next-r.w.now, func() {
-		if r.armed && r.wake == next {
+		if r.armed && r.nextStep == next {
 			r.armed = false
 			r.step()
 		}
@@ -427,53 +428,53 @@
 			a.ended = true
 			if bytes > 0 {
 				c.BytesPassed.Add(bytes)
-				w.cross(r, h, float64(bytes))
+				w.countCrossZone(r, h, float64(bytes))
 			}
 			c.End(core.Ending{Outcome: o, Took: took})
 			r.step()
 		})
 	}
-	if h.limited != nil && !h.gone && !h.limited.take(w) {
+	if h.rateLimit != nil && !h.down && !h.rateLimit.admit(w) {
 		w.result.Shut++
 		end(choice.Refused, time.Millisecond, 0)
 		return a
 	}
-	if h.gone {
+	if h.down {
 		end(choice.NoConnection, time.Millisecond, 0)
 		return a
 	}
-	c.BytesPassed.Add(request)
-	w.cross(r, h, request)
-	if h.mute {
+	c.BytesPassed.Add(requestBytes)
+	w.countCrossZone(r, h, requestBytes)
+	if h.silent {
 		return a
 	}
 	first := 0
-	for i, f := range h.free {
-		if f < h.free[first] {
+	for i, f := range h.slotFreeAt {
+		if f < h.slotFreeAt[first] {
 			first = i
 		}
 	}
-	took := time.Duration(float64(service) * math.Exp(spread*w.rand.NormFloat64()))
-	done := max(w.now, h.free[first]) + took
-	h.free[first] = done
-	end(choice.Served, done-w.now, response)
+	took := time.Duration(float64(medianServiceTime) * math.Exp(serviceTimeSpread*w.rand.NormFloat64()))
+	done := max(w.now, h.slotFreeAt[first]) + took
+	h.slotFreeAt[first] = done
+	end(choice.Served, done-w.now, responseBytes)
 	return a
 }
 
-// cross counts bytes of a call if it crosses zones.
-func (w *World) cross(r *relay, h *host, bytes float64) {
+// countCrossZone counts bytes of a call if it crosses zones.
+func (w *World) countCrossZone(r *relay, h *host, bytes float64) {
 	if h.zone != r.zone {
 		w.result.Crossed += bytes
-		w.crossed = append(w.crossed, crossing{w.now, bytes})
+		w.crossings = append(w.crossings, crossing{w.now, bytes})
 	}
 }
 
-// worst finds the window with the most cross-zone bytes.
-func (w *World) worst() {
+// findWorstWindow finds the window with the most cross-zone bytes.
+func (w *World) findWorstWindow() {
 	sum, from := 0.0, 0
-	for _, c := range w.crossed {
-		for sum += c.bytes; c.at-w.crossed[from].at > w.set.Window; from++ {
-			sum -= w.crossed[from].bytes
+	for _, c := range w.crossings {
+		for sum += c.bytes; c.at-w.crossings[from].at > w.settings.Window; from++ {
+			sum -= w.crossings[from].bytes
 		}
 		w.result.Worst = math.Max(w.result.Worst, sum)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -31,7 +31,7 @@
 	if free.Worst < 1.5*bytes {
 		t.Fatalf("the budget of %v would not bind: %.0f crossed in the worst window", float64(bytes), free.Worst)
 	}
-	if kept.Worst > bytes+kept.Over+6*(request+response) {
+	if kept.Worst > bytes+kept.Over+6*(requestBytes+responseBytes) {
 		t.Errorf("%.0f crossed in the worst window, overdrawn %.0f", kept.Worst, kept.Over)
 	}
 	if kept.Charge < 0.97*free.Charge {
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if free.Worst < 1.5*bytes || kept.Worst > bytes+kept.Over+6*(request+response) {
+	if free.Worst < 1.5*bytes || kept.Worst > bytes+kept.Over+6*(requestBytes+responseBytes) {
 		t.Errorf("worst window %.0f, without a budget %.0f; overdrawn %.0f", kept.Worst, free.Worst, kept.Over)
 	}
 	if kept.Charge < 0.95*free.Charge || kept.Delivered < 0.6*free.Delivered {
--- a/internal/fleet/size.go
+++ b/internal/fleet/size.go
@@ -23,85 +23,87 @@
 	Listed bool    // the endpoint list states the limits; otherwise relays discover them
 }
 
-// believe returns the size that relays assume for a fleet of n.
-func (z *Size) believe(n int) int { return max(1, int(math.Round(float64(n)*z.Think))) }
+// assumedSize returns the size that relays assume for a fleet of n.
+func (z *Size) assumedSize(n int) int { return max(1, int(math.Round(float64(n)*z.Think))) }
 
-// configured returns the fleet size that relays start with.
-func (z *Size) configured(int) int { return z.believe(z.From) }
+// initialAssumedSize returns the fleet size that relays start with.
+func (z *Size) initialAssumedSize(int) int { return z.assumedSize(z.From) }
 
-// limited is a partner's rate limit, a token bucket, and the state of its return from an outage.
-type limited struct {
-	rate   float64
-	tokens float64
-	at     time.Duration
-	back   time.Duration // time of its return; negative if there was none
-	load   []time.Duration
-	pushed bool
+// rateLimit is a partner's rate limit, a token bucket, and the state of its return from an outage.
+type rateLimit struct {
+	rate        float64
+	tokens      float64
+	refilledAt  time.Duration
+	returnedAt  time.Duration // time of its return; negative if there was none
+	recentCalls []time.Duration
+	overloaded  bool
 }
 
 // Settings of a returning partner, equal to those of the relays' rules.
 const (
-	coldFrom = 0.2
-	cold     = 10 * time.Second
-	overload = 2.0
-	fall     = 2 * time.Second
+	coldFrom       = 0.2
+	cold           = 10 * time.Second
+	overloadFactor = 2.0
+	fall           = 2 * time.Second
 )
 
 // meanRate returns a partner's mean traffic in messages per second. It follows from how arrivals
 // picks partners: by the square of a uniform random number.
 func (w *World) meanRate(p int) float64 {
-	n := float64(w.set.Partners)
-	return w.set.Rate * (math.Sqrt(float64(p+1)/n) - math.Sqrt(float64(p)/n))
+	n := float64(w.settings.Partners)
+	return w.settings.Rate * (math.Sqrt(float64(p+1)/n) - math.Sqrt(float64(p)/n))
 }
 
 // limit returns a partner's rate limit, which it creates on first use; nil without Settings.Size.
-func (w *World) limit(p int) *limited {
-	if w.set.Size == nil {
+func (w *World) limit(p int) *rateLimit {
+	if w.settings.Size == nil {
 		return nil
 	}
 	for len(w.limits) <= p {
-		w.limits = append(w.limits, &limited{rate: max(2, w.meanRate(len(w.limits))*w.set.Size.Limit), back: -1})
+		w.limits = append(w.limits,
+			&rateLimit{rate: max(2, w.meanRate(len(w.limits))*w.settings.Size.Limit), returnedAt: -1})
 	}
 	return w.limits[p]
 }
 
-// rateOf returns the rate that the endpoint list states for a partner; 0 for none.
-func (w *World) rateOf(p int) float64 {
-	if w.set.Size == nil || !w.set.Size.Listed {
+// listedRate returns the rate that the endpoint list states for a partner; 0 for none.
+func (w *World) listedRate(p int) float64 {
+	if w.settings.Size == nil || !w.settings.Size.Listed {
 		return 0
 	}
 	return w.limits[p].rate
 }
 
-// take reports whether the rate limit admits a call. While the partner warms up after an outage it
+// admit reports whether the rate limit admits a call. While the partner warms up after an outage it
 // also detects an overload.
-func (l *limited) take(w *World) bool {
+func (l *rateLimit) admit(w *World) bool {
 	share := 1.0
-	if l.back >= 0 {
-		share = min(1, coldFrom+(1-coldFrom)*float64(w.now-l.back)/float64(cold))
+	if l.returnedAt >= 0 {
+		share = min(1, coldFrom+(1-coldFrom)*float64(w.now-l.returnedAt)/float64(cold))
 		if share < 1 {
-			l.load = append(l.load, w.now)
-			for w.now-l.load[0] > fall {
-				l.load = l.load[1:]
+			l.recentCalls = append(l.recentCalls, w.now)
+			for w.now-l.recentCalls[0] > fall {
+				l.recentCalls = l.recentCalls[1:]
 			}
-			if !l.pushed && w.now-l.back >= fall && float64(len(l.load)) > overload*share*l.rate*fall.Seconds() {
-				l.pushed = true
+			if !l.overloaded && w.now-l.returnedAt >= fall &&
+				float64(len(l.recentCalls)) > overloadFactor*share*l.rate*fall.Seconds() {
+				l.overloaded = true
 				w.result.Pushed++
 			}
 		}
 	}
 	rate := l.rate * share
-	l.tokens = min(max(1, rate/4), l.tokens+rate*(w.now-l.at).Seconds())
-	if l.at = w.now; l.tokens < 1 {
+	l.tokens = min(max(1, rate/4), l.tokens+rate*(w.now-l.refilledAt).Seconds())
+	if l.refilledAt = w.now; l.tokens < 1 {
 		return false
 	}
 	l.tokens--
 	return true
 }
 
-// planSize schedules the arrivals, the change of the fleet's size and the outage.
-func (w *World) planSize() {
-	z, s := w.set.Size, w.set
+// scheduleSizeTest schedules the arrivals, the change of the fleet's size and the outage.
+func (w *World) scheduleSizeTest() {
+	z, s := w.settings.Size, w.settings
 	running := z.From
 	for i, r := range w.relays {
 		if i < z.From {
@@ -114,7 +116,7 @@
 		}
 		for i, r := range w.relays {
 			if !r.dead {
-				r.core.Fleet(i, z.believe(z.To))
+				r.core.Fleet(i, z.assumedSize(z.To))
 				r.step()
 			}
 		}
@@ -140,11 +142,11 @@
 	away := func(gone bool) {
 		for p := 0; p < s.Partners; p += 5 {
 			for i := range 2 {
-				w.hosts[fmt.Sprintf("p%d-%d", p, i)].gone = gone
+				w.hosts[fmt.Sprintf("p%d-%d", p, i)].down = gone
 			}
 			if !gone {
 				l := w.limits[p]
-				l.back, l.load, l.at, l.tokens = w.now, nil, w.now, 0
+				l.returnedAt, l.recentCalls, l.refilledAt, l.tokens = w.now, nil, w.now, 0
 			}
 		}
 	}
--- a/internal/fleet/sweep.go
+++ b/internal/fleet/sweep.go
@@ -55,8 +55,8 @@
 // Mean is an average and half the width of its 95% confidence interval.
 type Mean struct{ Value, Half float64 }
 
-// student holds the two-sided 95% quantiles of Student's t distribution, from one degree of freedom.
-var student = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13}
+// studentT holds the two-sided 95% quantiles of Student's t distribution, from one degree of freedom.
+var studentT = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13}
 
 func mean(xs []float64) (m Mean) {
 	n := float64(len(xs))
@@ -70,7 +70,7 @@
 	for _, x := range xs {
 		v += (x - m.Value) * (x - m.Value) / (n - 1)
 	}
-	m.Half = student[min(len(xs)-2, len(student)-1)] * math.Sqrt(v/n)
+	m.Half = studentT[min(len(xs)-2, len(studentT)-1)] * math.Sqrt(v/n)
 	return m
 }
 
