--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,9 @@
-// Package config reads a relay's configuration and endpoint lists: CUE records
-// checked against a schema that is part of the program. Every error names file,
-// line and path, and what would be right there.
+// Package config reads the configuration and the endpoint list of a relay. Both are CUE files, validated
+// against schema.cue, which is embedded in the program and holds the defaults. Validation errors name the
+// file, the line and the path of the wrong value, and what the schema expects there.
+//
+// The package doesn't open what a configuration refers to: certificates, keys and endpoint lists are read by
+// the packages that use them.
 package config
 
 import (
@@ -26,21 +29,23 @@
 //go:embed schema.cue
 var schemaText string
 
-// Duration is a time span written as a Go duration.
+// Duration is a time.Duration that is written in Go syntax, such as "250ms".
 type Duration time.Duration
 
-// UnmarshalText reads a Go duration such as "250ms".
+// UnmarshalText parses a duration in Go syntax, such as "250ms".
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	*d = Duration(v)
 	return err
 }
 
-// D is the span itself.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Class, Kind and Partner are the records of the same names in the schema.
+// The parts of a configuration and of an endpoint list. Their fields are documented in schema.cue under
+// the same names.
 type (
+	// Class configures a class of messages.
 	Class struct {
 		Name      string
 		Aim       Duration
@@ -54,12 +59,14 @@
 		Overdraft float64
 		Crossing  float64
 	}
+	// Kind configures a kind of partner.
 	Kind struct {
 		Name            string
 		Apart           bool
 		RefusalNeverRan bool
 		PerCall         int
 	}
+	// Partner configures a partner and the calls to it.
 	Partner struct {
 		Name string
 		Kind string
@@ -67,20 +74,24 @@
 		Host string
 		TLS  *PartnerTLS
 	}
+	// PartnerTLS configures TLS for outgoing connections, to partners and catalogues.
 	PartnerTLS struct{ CA, Cert, Key, Name string }
-	TLS        struct {
+	// TLS configures TLS for incoming connections.
+	TLS struct {
 		Cert, Key, ClientCA string
 		RequireClient       bool
 	}
+	// Zone is a zone with the fee for traffic to it.
 	Zone struct {
 		Name string
 		Fee  float64
 	}
+	// User is an MQTT user with the bcrypt hash of the password.
 	User struct {
 		Name   string
 		Bcrypt string
 	}
-	// Endpoint is one entry of an endpoint list.
+	// Endpoint is an entry of an endpoint list.
 	Endpoint struct {
 		Addr    string   `json:"addr"`
 		Addrs   []string `json:"addrs"`
@@ -91,7 +102,7 @@
 	}
 )
 
-// Consul is one catalogue.
+// Consul configures a Consul catalogue as a source of endpoints.
 type Consul struct {
 	Name, Address, Token, TokenFile, Datacenter, Namespace, Partition, Consistency string
 	MaxStale, Wait                                                                 Duration
@@ -143,7 +154,7 @@
 	WriteBuffer int
 }
 
-// Config is a checked configuration.
+// Config is a validated configuration. Its fields are documented in schema.cue under the same names.
 type Config struct {
 	Relay struct {
 		Name          string
@@ -239,18 +250,20 @@
 	Log     struct{ Level, Format string }
 }
 
-// Error is everything that is wrong with one file.
+// Error holds all errors found in one file.
 type Error struct {
 	File  string
-	Lines []string
+	Lines []string // one for each error, with file, line and path
 }
 
 func (e *Error) Error() string { return strings.Join(e.Lines, "\n") }
 
-// evaluation of CUE is not safe for concurrent use of one context, and a
-// context grows with all that it compiled: each reading makes a new one.
+// evaluating serialises CUE evaluation, since a context is not safe for concurrent use. Each read creates
+// a new context, because a context keeps everything that it has compiled.
 var evaluating sync.Mutex
 
+// read validates text against the schema definition def and decodes the result into the value that into points
+// to. It returns the CUE value of the text, without defaults, which has the source positions.
 func read(name string, text []byte, def string, into any) (cue.Value, error) {
 	evaluating.Lock()
 	defer evaluating.Unlock()
@@ -278,8 +291,8 @@
 	return user, nil
 }
 
-// explain turns CUE's errors into one line for each path: file:line: path, what
-// is wrong, and what the schema wants there, with its comment.
+// explain converts CUE errors into an Error with one line for each path: "file:line: path: error; want ...",
+// where the last part is the constraint in the schema with its comment.
 func explain(name string, err error, def cue.Value) error {
 	e := &Error{File: name}
 	seen := map[string]int{}
@@ -287,7 +300,7 @@
 		format, args := c.Msg()
 		what := fmt.Sprintf(format, args...)
 		if strings.Contains(what, "errors in empty disjunction") {
-			continue // each of them follows
+			continue // only a heading: the errors of the alternatives follow
 		}
 		at := ""
 		for _, p := range cueerrors.Positions(c) {
@@ -320,7 +333,8 @@
 	return e
 }
 
-// wanted is what the schema has at a path.
+// wanted describes the constraint that def has at path, with the comment of the field. It returns "" where
+// there is none that fits on one line of 200 bytes.
 func wanted(def cue.Value, path []string) string {
 	if !def.Exists() || len(path) == 0 {
 		return ""
@@ -350,8 +364,8 @@
 	return want
 }
 
-// Load reads and checks a configuration file. Relative paths in it are taken
-// from its folder.
+// Load reads and validates a configuration file. Relative file names in it are resolved against the
+// directory of the file.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -390,7 +404,8 @@
 	return c, nil
 }
 
-// Parse checks a configuration that was read from the named file.
+// Parse validates the text of a configuration. The name of its file appears in errors. Unlike Load, Parse
+// leaves relative file names as they are.
 func Parse(name string, text []byte) (*Config, error) {
 	c := &Config{}
 	v, err := read(name, text, "#Config", c)
@@ -409,7 +424,7 @@
 		seen := map[string]bool{}
 		for i := range n {
 			if seen[name(i)] {
-				fail(fmt.Sprintf("%s[%d].name", list, i), "%q stands twice; names must differ", name(i))
+				fail(fmt.Sprintf("%s[%d].name", list, i), "%q is a duplicate; names must be unique", name(i))
 			}
 			seen[name(i)] = true
 		}
@@ -421,23 +436,23 @@
 	partners := unique("partners", len(c.Partners), func(i int) string { return c.Partners[i].Name })
 	for i, k := range c.Classes {
 		if k.Aim <= 0 || k.Deadline < k.Aim {
-			fail(fmt.Sprintf("classes[%d].deadline", i), "%v must be at least the aim %v, and both above 0",
+			fail(fmt.Sprintf("classes[%d].deadline", i), "%v must be at least the aim %v, and both must be above 0",
 				k.Deadline.D(), k.Aim.D())
 		}
 	}
 	for i, p := range c.Partners {
 		if !kinds[p.Kind] {
-			fail(fmt.Sprintf("partners[%d].kind", i), "%q is no kind; the kinds are under kinds", p.Kind)
+			fail(fmt.Sprintf("partners[%d].kind", i), "%q is not defined under kinds", p.Kind)
 		}
 	}
 	if c.Relay.Zone != "" && !zones[c.Relay.Zone] {
-		fail("relay.zone", "%q is no zone; the zones are under zones", c.Relay.Zone)
+		fail("relay.zone", "%q is not defined under zones", c.Relay.Zone)
 	}
 	loopback := func(list string, addrs []string, without string) {
 		for i, l := range addrs {
 			host, _, _ := net.SplitHostPort(l)
 			if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-				fail(fmt.Sprintf("%s[%d]", list, i), "%q is not loopback; without %s it must be", l, without)
+				fail(fmt.Sprintf("%s[%d]", list, i), "%q is not a loopback address; without %s it must be", l, without)
 			}
 		}
 	}
@@ -452,7 +467,7 @@
 	if len(w.Keys) == 0 {
 		loopback("webpush.tlsListen", w.TLSListen, "webpush.keys")
 	} else if len(w.Audience) == 0 {
-		fail("webpush.audience", "is empty; with webpush.keys name the origins that tokens are for")
+		fail("webpush.audience", "is empty; webpush.keys needs the origins for which tokens are issued")
 	}
 	for _, f := range []struct {
 		name  string
@@ -460,7 +475,7 @@
 		t     *TLS
 	}{{"mqtt", c.MQTT.TLSListen, c.MQTT.TLS}, {"webpush", w.TLSListen, w.TLS}} {
 		if len(f.addrs) > 0 && f.t == nil {
-			fail(f.name+".tlsListen", "needs %s.tls with certificate and key", f.name)
+			fail(f.name+".tlsListen", "needs %s.tls with cert and key", f.name)
 		}
 		if f.t != nil && f.t.RequireClient && f.t.ClientCA == "" {
 			fail(f.name+".tls.requireClient", "needs %s.tls.clientCA", f.name)
@@ -468,23 +483,23 @@
 	}
 	for i, p := range c.Partners {
 		if p.TLS != nil && (p.TLS.Cert == "") != (p.TLS.Key == "") {
-			fail(fmt.Sprintf("partners[%d].tls", i), "cert and key belong together")
+			fail(fmt.Sprintf("partners[%d].tls", i), "cert and key must be set together")
 		}
 	}
 	if c.Directory.File == "" && len(c.Directory.Consul) == 0 {
 		fail("directory", "needs a file or consul")
 	}
 	if c.Fleet != nil && len(c.Directory.Consul) == 0 {
-		fail("fleet", "needs directory.consul, where relays register")
+		fail("fleet", "needs directory.consul, where the relays register")
 	}
 	for i, k := range c.Directory.Consul {
 		for j, m := range k.Services {
 			at := fmt.Sprintf("directory.consul[%d].services[%d]", i, j)
 			if !partners[m.Partner] {
-				fail(at+".partner", "%q is no partner; the partners are under partners", m.Partner)
+				fail(at+".partner", "%q is not defined under partners", m.Partner)
 			}
 			if !zones[m.Zone] {
-				fail(at+".zone", "%q is no zone; the zones are under zones", m.Zone)
+				fail(at+".zone", "%q is not defined under zones", m.Zone)
 			}
 		}
 	}
@@ -500,7 +515,7 @@
 	return c, nil
 }
 
-// ParseList checks an endpoint list that was read from the named file.
+// ParseList validates the text of an endpoint list. The name of its file appears in errors.
 func ParseList(name string, text []byte) ([]Endpoint, error) {
 	var l struct{ Endpoints []Endpoint }
 	if _, err := read(name, text, "#List", &l); err != nil {
@@ -509,9 +524,10 @@
 	return l.Endpoints, nil
 }
 
+// effects maps the values of effect in the schema to those of the decision module.
 var effects = map[string]choice.Effect{"safe": choice.Safe, "keyed": choice.Keyed, "unsafe": choice.Unsafe}
 
-// Settings are those of the decision module.
+// Settings returns the settings of the decision module (package choice) for the configuration.
 func (c *Config) Settings() choice.Settings {
 	s := choice.Settings{
 		Index: c.Relay.Index, Fleet: c.Relay.Fleet, Workers: c.Relay.Workers, MaxHeld: c.Relay.Held,
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,8 @@
 directory: file: "list.cue"
 `
 
-// Each error names file, line and path, and what would be right.
+// TestErrors guards against errors that don't name file, line and path, so that the wrong value has to be
+// searched for in a long configuration.
 func TestErrors(t *testing.T) {
 	if _, err := Parse("r.cue", []byte(good)); err != nil {
 		t.Fatal(err)
@@ -23,10 +24,13 @@
 		{"perCall", `"bank"}]`, `"bank", perCall: 5}]`, "r.cue:2: kinds.0.perCall: "},
 		{"missing", `directory: file: "list.cue"`, ``, "directory: needs a file"},
 		{"window", `effect: "safe"`, `effect: "keyed"`, "classes.0.window"},
-		{"unknown kind", `kind: "bank"`, `kind: "shop"`, `r.cue:3: partners[0].kind: "shop" is no kind`},
-		{"twice", `kinds: [{name: "bank"}]`, `kinds: [{name: "bank"}, {name: "bank"}]`, `r.cue:2: kinds[1].name: "bank" stands twice`},
-		{"deadline", `deadline: "6s"`, `deadline: "500ms"`, "r.cue:1: classes[0].deadline: 500ms must be at least the aim 1s"},
-		{"open to all", `directory:`, `mqtt: listen: ["0.0.0.0:1883"]` + "\ndirectory:", `r.cue:4: mqtt.listen[0]: "0.0.0.0:1883" is not loopback`},
+		{"unknown kind", `kind: "bank"`, `kind: "shop"`, `r.cue:3: partners[0].kind: "shop" is not defined under kinds`},
+		{"duplicate name", `kinds: [{name: "bank"}]`, `kinds: [{name: "bank"}, {name: "bank"}]`,
+			`r.cue:2: kinds[1].name: "bank" is a duplicate`},
+		{"deadline", `deadline: "6s"`, `deadline: "500ms"`,
+			"r.cue:1: classes[0].deadline: 500ms must be at least the aim 1s"},
+		{"not loopback", `directory:`, `mqtt: listen: ["0.0.0.0:1883"]` + "\ndirectory:",
+			`r.cue:4: mqtt.listen[0]: "0.0.0.0:1883" is not a loopback address`},
 		{"syntax", `kinds: [`, `kinds: [[`, "r.cue:"},
 	} {
 		_, err := Parse("r.cue", []byte(strings.Replace(good, c.old, c.new, 1)))
