--- a/cmd/basaltcross/addresses.go
+++ b/cmd/basaltcross/addresses.go
@@ -17,7 +17,8 @@
 
 func addressesCommand() *cobra.Command {
 	var from string
-	c := &cobra.Command{Use: "addresses", Short: "What a running relay knows of its endpoints' addresses", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "addresses",
+		Short: "Report what a running relay knows about the addresses of its endpoints", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !strings.Contains(from, "://") {
 				from = "http://" + from
@@ -36,11 +37,11 @@
 			}
 			known := report.Endpoints
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(t, "endpoint\taddress\tfamily\tconnect\tfailed\thung\tleft alone for")
+			fmt.Fprintln(t, "endpoint\taddress\tfamily\tconnect\tfailed\thung\tback-off left")
 			for _, host := range slices.Sorted(maps.Keys(known)) {
 				for _, k := range known[host] {
-					fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%d\t%d\t%v\n", host, k.Address, k.Family, k.Connect.Round(time.Microsecond),
-						k.Failures, k.Hung, k.BackoffLeft.Round(time.Millisecond))
+					fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%d\t%d\t%v\n", host, k.Address, k.Family,
+						k.Connect.Round(time.Microsecond), k.Failures, k.Hung, k.BackoffLeft.Round(time.Millisecond))
 				}
 			}
 			for i, k := range report.Names {
@@ -50,7 +51,7 @@
 				fmt.Fprintf(t, "%s\t%v\t%v\t%d\n", k.Name, k.Addrs, k.TTLLeft.Round(time.Second), k.Failures)
 			}
 			for _, x := range report.LeftOut {
-				fmt.Fprintf(t, "left out: %s of %s, another partner has it\n", x.Address, x.Host)
+				fmt.Fprintf(t, "left out: %s of %s, which is an address of another partner\n", x.Address, x.Host)
 			}
 			return t.Flush()
 		}}
--- a/cmd/basaltcross/crash.go
+++ b/cmd/basaltcross/crash.go
@@ -11,8 +11,9 @@
 
 func crashCommand() *cobra.Command {
 	var o badday.CrashOptions
-	c := &cobra.Command{Use: "crash", Short: "Kill a relay with a journal again and again under load, and audit its promises",
-		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) (err error) {
+	c := &cobra.Command{Use: "crash",
+		Short: "Kill a relay with a journal repeatedly under load, and audit its delivery guarantees",
+		Args:  cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) (err error) {
 			if o.Binary, err = os.Executable(); err != nil {
 				return err
 			}
@@ -29,10 +30,10 @@
 			return nil
 		}}
 	f := c.Flags()
-	f.IntVar(&o.Kills, "kills", 50, "how often")
+	f.IntVar(&o.Kills, "kills", 50, "number of kills")
 	f.IntVar(&o.Clients, "clients", 8, "MQTT clients")
-	f.Uint64Var(&o.Seed, "seed", 1, "of kills and messages")
-	f.StringVar(&o.Plant, "break", "", "plant a fault: answer-before-sync")
-	f.StringVar(&o.Keep, "keep", "", "keep configuration, journal and log in this folder")
+	f.Uint64Var(&o.Seed, "seed", 1, "seed of the kills and the messages")
+	f.StringVar(&o.Plant, "break", "", "plant a fault that the audit must detect: answer-before-sync")
+	f.StringVar(&o.Keep, "keep", "", "keep configuration, journal and log in this directory")
 	return c
 }
--- a/cmd/basaltcross/day.go
+++ b/cmd/basaltcross/day.go
@@ -17,10 +17,10 @@
 	var script, trouble, plant, keep string
 	var all, asJSON bool
 	var acknowledge time.Duration
-	c := &cobra.Command{Use: "day", Short: "Play a bad day on loopback and audit the six rules",
-		Long: "Starts relays as processes of their own, stand-ins for partners and MQTT clients, plays a script of\n" +
-			"troubles and audits the six rules from what stand-ins and clients saw. Ends with 'rules broken: N';\n" +
-			"the exit code is 1 where N is above 0.",
+	c := &cobra.Command{Use: "day", Short: "Run a scenario of faults on loopback and audit the six delivery rules",
+		Long: "Starts relay processes, stand-ins for partners and MQTT clients, injects the faults of a script and\n" +
+			"audits the six rules from what the stand-ins and clients recorded. Ends with 'rules broken: N';\n" +
+			"the exit code is 1 if N is above 0.",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			out := c.OutOrStdout()
 			self, err := os.Executable()
@@ -84,12 +84,13 @@
 			return nil
 		}}
 	f := c.Flags()
-	f.StringVar(&script, "script", "", "play this script (CUE)")
-	f.StringVar(&trouble, "trouble", "", "play one kind of trouble")
-	f.BoolVar(&all, "all", false, "play each kind of trouble in turn")
-	f.StringVar(&plant, "break", "", "plant a fault that the audit must catch: "+strings.Join(badday.Breaks, ", "))
-	f.StringVar(&keep, "keep", "", "keep configurations and logs in this folder")
-	f.DurationVar(&acknowledge, "acknowledge-every", 0, "let MQTT clients acknowledge answers in batches this far apart")
+	f.StringVar(&script, "script", "", "run this script (CUE)")
+	f.StringVar(&trouble, "trouble", "", "inject one kind of fault only")
+	f.BoolVar(&all, "all", false, "run one scenario for each kind of fault")
+	f.StringVar(&plant, "break", "", "plant a fault that the audit must detect: "+strings.Join(badday.Breaks, ", "))
+	f.StringVar(&keep, "keep", "", "keep configurations and logs in this directory")
+	f.DurationVar(&acknowledge, "acknowledge-every", 0,
+		"interval at which MQTT clients acknowledge answers in batches; 0 for at once")
 	f.BoolVar(&asJSON, "json", false, "print the reports as JSON")
 	return c
 }
--- a/cmd/basaltcross/keys.go
+++ b/cmd/basaltcross/keys.go
@@ -12,8 +12,8 @@
 )
 
 func keysCommand() *cobra.Command {
-	c := &cobra.Command{Use: "keys", Short: "Make VAPID pairs and a test authority"}
-	vapid := &cobra.Command{Use: "vapid", Short: "Print a VAPID key pair (RFC 8292)", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "keys", Short: "Generate VAPID key pairs and a test certificate authority"}
+	vapid := &cobra.Command{Use: "vapid", Short: "Generate and print a VAPID key pair (RFC 8292)", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			public, private, err := keys.VAPID()
 			if err == nil {
@@ -25,10 +25,10 @@
 	var hosts, clients []string
 	var lasts time.Duration
 	authority := &cobra.Command{Use: "authority", Args: cobra.NoArgs,
-		Short: "Make a test authority, a server's certificate and certificates of clients",
+		Short: "Generate a test certificate authority, a server certificate and client certificates",
 		RunE: func(c *cobra.Command, _ []string) error {
 			if _, err := os.Stat(filepath.Join(dir, "ca.pem")); err == nil {
-				return fmt.Errorf("%s holds an authority already", dir)
+				return fmt.Errorf("%s already contains an authority (ca.pem)", dir)
 			}
 			if err := os.MkdirAll(dir, 0o700); err != nil {
 				return err
@@ -49,15 +49,16 @@
 					return err
 				}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: ca.pem, server.pem and server.key for %v, clients %v; until %v\n", dir, hosts,
-				clients, to.UTC().Format(time.RFC3339))
+			fmt.Fprintf(c.OutOrStdout(), "%s: ca.pem, server.pem and server.key for %v, clients %v; valid until %v\n", dir,
+				hosts, clients, to.UTC().Format(time.RFC3339))
 			return nil
 		}}
 	f := authority.Flags()
-	f.StringVar(&dir, "dir", "keys", "folder to write to")
-	f.StringSliceVar(&hosts, "host", []string{"localhost", "127.0.0.1", "::1"}, "names and addresses of the server")
-	f.StringSliceVar(&clients, "client", []string{"client"}, "names of clients")
-	f.DurationVar(&lasts, "for", 30*24*time.Hour, "how long they are valid")
+	f.StringVar(&dir, "dir", "keys", "directory to write to")
+	f.StringSliceVar(&hosts, "host", []string{"localhost", "127.0.0.1", "::1"},
+		"host names and addresses of the server certificate")
+	f.StringSliceVar(&clients, "client", []string{"client"}, "common names of the client certificates")
+	f.DurationVar(&lasts, "for", 30*24*time.Hour, "validity of the certificates")
 	c.AddCommand(vapid, authority)
 	return c
 }
--- a/cmd/basaltcross/load.go
+++ b/cmd/basaltcross/load.go
@@ -20,7 +20,7 @@
 func loadCommand() *cobra.Command {
 	o := load.Options{}
 	var asJSON, withJournal bool
-	c := &cobra.Command{Use: "load", Short: "Measure a relay beside straight calls and a reverse proxy, on loopback",
+	c := &cobra.Command{Use: "load", Short: "Compare a relay with direct calls and a reverse proxy, on loopback",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			self, err := os.Executable()
 			if err != nil {
@@ -49,20 +49,21 @@
 			return nil
 		}}
 	f := c.Flags()
-	f.Float64Var(&o.Rate, "rate", 1200, "messages a second of the open-loop runs")
+	f.Float64Var(&o.Rate, "rate", 1200, "messages per second in the open-loop runs")
 	f.DurationVar(&o.Lasts, "for", 8*time.Second, "length of each run")
-	f.IntVar(&o.Window, "window", 256, "messages under way at saturation")
-	f.IntVar(&o.Connections, "connections", 16, "connections of light clients")
-	f.IntVar(&o.Idle, "idle", 10000, "idle MQTT connections to measure; 0 leaves them out")
-	f.IntVar(&o.Burst, "burst", 10000, "TLS handshakes to begin at once; 0 leaves them out")
-	f.IntVar(&o.Partners, "partners", 8, "partners")
-	f.DurationVar(&o.Service, "service", 0, "service time of the stand-in")
-	f.BoolVar(&withJournal, "journal", false, "compare a relay without a journal, with one, and with one that is synced")
+	f.IntVar(&o.Window, "window", 256, "messages in flight in the saturation run")
+	f.IntVar(&o.Connections, "connections", 16, "connections of the lightweight clients")
+	f.IntVar(&o.Idle, "idle", 10000, "idle MQTT connections to measure; 0 to skip")
+	f.IntVar(&o.Burst, "burst", 10000, "TLS handshakes to start at once; 0 to skip")
+	f.IntVar(&o.Partners, "partners", 8, "number of partners")
+	f.DurationVar(&o.Service, "service", 0, "service time of the stand-ins")
+	f.BoolVar(&withJournal, "journal", false,
+		"compare relays without a journal, with a journal and with a synced journal")
 	f.BoolVar(&asJSON, "json", false, "print the report as JSON")
 	return c
 }
 
-// proxyCommand is the standard library's reverse proxy, to measure against.
+// proxyCommand runs the standard library's reverse proxy, with which the load command compares a relay.
 func proxyCommand() *cobra.Command {
 	var ready string
 	c := &cobra.Command{Use: "proxy ADDR...", Hidden: true, Args: cobra.MinimumNArgs(1),
@@ -90,6 +91,6 @@
 			}
 			return nil
 		}}
-	c.Flags().StringVar(&ready, "ready-file", "", "write the address here once up")
+	c.Flags().StringVar(&ready, "ready-file", "", "file to write the address to when listening")
 	return c
 }
--- a/cmd/basaltcross/main.go
+++ b/cmd/basaltcross/main.go
@@ -1,5 +1,6 @@
-// Command basaltcross is the delivery service: a relay, the tools to check and
-// to try it, and stand-ins for partners.
+// Command basaltcross is a delivery service. It runs a relay, which carries messages of clients to partners,
+// and has the tools around it: checks of configurations and journals, reports of running relays, stand-ins for
+// partners, load and fault tests, and simulations.
 package main
 
 import (
@@ -25,13 +26,15 @@
 	}
 }
 
-// errSilent ends with exit code 1 after everything was said.
+// errSilent makes the program exit with code 1 without a message, after a command has printed its findings.
 var errSilent = errors.New("failed")
 
 func root() *cobra.Command {
-	c := &cobra.Command{Use: "basaltcross", Short: "A delivery service: carries messages to partners through failures",
+	c := &cobra.Command{Use: "basaltcross", Short: "Deliver messages to partners in spite of failures",
 		SilenceUsage: true, SilenceErrors: true}
-	c.AddCommand(relayCommand(), nodeCommand(), checkCommand(), keysCommand(), zonesCommand(), addressesCommand(), standinCommand(), dayCommand(), loadCommand(), crashCommand(), journalCommand(), modelCommand(), soakCommand(), shimCommand(), demoCommand(), proxyCommand(), versionCommand())
+	c.AddCommand(relayCommand(), nodeCommand(), checkCommand(), keysCommand(), zonesCommand(), addressesCommand(),
+		standinCommand(), dayCommand(), loadCommand(), crashCommand(), journalCommand(), modelCommand(), soakCommand(),
+		shimCommand(), demoCommand(), proxyCommand(), versionCommand())
 	return c
 }
 
--- a/cmd/basaltcross/model.go
+++ b/cmd/basaltcross/model.go
@@ -15,11 +15,13 @@
 	var each []float64
 	var record, plot string
 	var check bool
-	c := &cobra.Command{Use: "model", Short: "Model a fleet with zone budgets in simulated time", Args: cobra.NoArgs,
-		Long: "Runs many relays with the program's own core, decision module and budgets against modelled partners, from\n" +
-			"one seed, and compares budgets with none and with a cap that does not look at zones.\nLeft out: " + fleet.Limits + ".",
+	c := &cobra.Command{Use: "model",
+		Short: "Simulate a fleet with budgets for traffic between zones", Args: cobra.NoArgs,
+		Long: "Runs relays with the real core, decision module and budgets against simulated partners, from one seed,\n" +
+			"and compares budgets with no limit and with a limit that ignores zones.\nLimits of the simulation: " +
+			fleet.Limits + ".",
 		RunE: func(c *cobra.Command, _ []string) error {
-			// What all traffic would be over a window, both ways: budgets are shares of it.
+			// Total traffic in bytes over a window, both ways, of which the budgets are shares.
 			all := s.Rate * 1000 * s.Window.Seconds()
 			var budgets []float64
 			for _, e := range each {
@@ -34,13 +36,16 @@
 				return err
 			}
 			begin := time.Now()
-			results, err := fleet.Sweep(s, budgets, []fleet.How{fleet.Budget, fleet.Ideal, fleet.None, fleet.Blind}, seeds)
+			results, err := fleet.Sweep(s, budgets,
+				[]fleet.How{fleet.Budget, fleet.Ideal, fleet.None, fleet.Blind}, seeds)
 			if err != nil {
 				return err
 			}
 			lines := fleet.Lines(results)
-			fmt.Fprintf(c.OutOrStdout(), "%d relays, %d endpoints, %d zones, %.0f messages a second for %v, %d seeds: %d runs in %v\n",
-				s.Relays, 2*s.Partners, s.Zones, s.Rate, s.Lasts, seeds, len(results), time.Since(begin).Round(100*time.Millisecond))
+			fmt.Fprintf(c.OutOrStdout(),
+				"%d relays, %d endpoints, %d zones, %.0f messages per second for %v, %d seeds: %d runs in %v\n",
+				s.Relays, 2*s.Partners, s.Zones, s.Rate, s.Lasts, seeds, len(results),
+				time.Since(begin).Round(100*time.Millisecond))
 			fleet.Print(c.OutOrStdout(), lines)
 			if record != "" {
 				if err := fleet.Write(record, results); err != nil {
@@ -48,56 +53,61 @@
 				}
 			}
 			if plot != "" {
-				return fleet.Plot(plot, lines, fmt.Sprintf("%d relays, %d endpoints, uneven %.1f", s.Relays, 2*s.Partners, s.Uneven))
+				return fleet.Plot(plot, lines,
+					fmt.Sprintf("%d relays, %d endpoints, uneven %.1f", s.Relays, 2*s.Partners, s.Uneven))
 			}
 			return nil
 		}}
 	c.AddCommand(modelAddresses(), modelSize())
 	f := c.Flags()
 	f.Uint64Var(&s.Seed, "seed", 1, "first seed")
-	f.IntVar(&seeds, "seeds", 5, "runs of each kind, for the error bars")
-	f.IntVar(&s.Relays, "relays", 30, "relays")
+	f.IntVar(&seeds, "seeds", 5, "runs of each variant, for the error bars")
+	f.IntVar(&s.Relays, "relays", 30, "number of relays")
 	f.IntVar(&s.Partners, "partners", 50, "partners, each with two endpoints in two zones")
-	f.IntVar(&s.Zones, "zones", 3, "zones")
-	f.Float64Var(&s.Rate, "rate", 300, "messages a second of all relays")
-	f.DurationVar(&s.Lasts, "for", 30*time.Second, "simulated time of arrivals")
+	f.IntVar(&s.Zones, "zones", 3, "number of zones")
+	f.Float64Var(&s.Rate, "rate", 300, "messages per second over all relays")
+	f.DurationVar(&s.Lasts, "for", 30*time.Second, "simulated time during which messages arrive")
 	f.DurationVar(&s.Window, "window", 10*time.Second, "window of the budget")
-	f.Float64SliceVar(&each, "budgets", []float64{0.02, 0.05, 0.1, 0.2, 0.4}, "budgets, as shares of what all traffic takes")
-	f.Float64Var(&s.Overdraft, "overdraft", 0.5, "of the at-most-once class, as a share of the budget")
-	f.Float64Var(&s.Uneven, "uneven", 0.5, "0 for even load, 1 for twice the mean at one end and none at the other")
-	f.Float64Var(&s.Outage, "outage", 0.3, "part of the partners whose first endpoint is gone in the middle third")
-	f.BoolVar(&s.Silent, "silent", false, "the first zone takes calls and never answers in the middle third")
-	f.Float64Var(&s.Die, "die", 0, "part of the relays that die at half the time")
-	f.DurationVar(&s.Late, "late", 2*time.Second, "until the others learn of it")
-	f.BoolVar(&check, "check", false, "play the middle budget on sockets too, and tell how far the model is off")
-	f.StringVar(&record, "record", "", "write the runs to this file (parquet)")
-	f.StringVar(&plot, "plot", "", "draw worth against bytes to this file (.svg, .png)")
+	f.Float64SliceVar(&each, "budgets", []float64{0.02, 0.05, 0.1, 0.2, 0.4},
+		"budgets, as shares of the total traffic")
+	f.Float64Var(&s.Overdraft, "overdraft", 0.5, "overdraft of the at-most-once class, as a share of the budget")
+	f.Float64Var(&s.Uneven, "uneven", 0.5,
+		"skew of the load: 0 for even, 1 for twice the mean at one end and none at the other")
+	f.Float64Var(&s.Outage, "outage", 0.3, "share of the partners whose first endpoint is gone in the middle third")
+	f.BoolVar(&s.Silent, "silent", false, "the first zone accepts calls and never answers in the middle third")
+	f.Float64Var(&s.Die, "die", 0, "share of the relays that crash at half time")
+	f.DurationVar(&s.Late, "late", 2*time.Second, "delay until the other relays learn of the crash")
+	f.BoolVar(&check, "check", false, "run the middle budget on sockets too, and report the error of the simulation")
+	f.StringVar(&record, "record", "", "write the runs to this file (Parquet)")
+	f.StringVar(&plot, "plot", "", "plot worth against bytes to this file (.svg, .png)")
 	return c
 }
 
 func modelAddresses() *cobra.Command {
 	s := fleet.AddressSettings{}
-	c := &cobra.Command{Use: "addresses", Short: "Model a fleet's connections while a family of addresses is dead", Args: cobra.NoArgs,
-		Long: "Relays connect to endpoints with an IPv6 and an IPv4 address each; IPv6 is dead at a part of them in the middle\n" +
-			"third. Left out: everything but setting up connections; the dead addresses are silent, none refuses.",
+	c := &cobra.Command{Use: "addresses",
+		Short: "Simulate a fleet's connections while an address family is unreachable", Args: cobra.NoArgs,
+		Long: "Relays connect to endpoints with an IPv6 and an IPv4 address each; IPv6 is unreachable at a share of them\n" +
+			"in the middle third. Only connection set-up is simulated; unreachable addresses time out, none refuses.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var results []fleet.AddressResult
 			for _, s.Learns = range []fleet.Learns{fleet.All, fleet.Books, fleet.NoMemory} {
 				results = append(results, fleet.Addresses(s))
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d relays, %d endpoints, %.0f calls a second for %v, IPv6 dead at %.0f%% in the middle third\n",
+			fmt.Fprintf(c.OutOrStdout(),
+				"%d relays, %d endpoints, %.0f calls per second for %v, IPv6 unreachable at %.0f%% in the middle third\n",
 				s.Relays, s.Endpoints, s.Rate, s.Lasts, 100*s.Dead)
 			fleet.PrintAddresses(c.OutOrStdout(), results)
 			return nil
 		}}
 	f := c.Flags()
 	f.Uint64Var(&s.Seed, "seed", 1, "seed")
-	f.IntVar(&s.Relays, "relays", 250, "relays")
-	f.IntVar(&s.Endpoints, "endpoints", 940, "endpoints")
-	f.Float64Var(&s.Rate, "rate", 3000, "calls a second of all relays")
+	f.IntVar(&s.Relays, "relays", 250, "number of relays")
+	f.IntVar(&s.Endpoints, "endpoints", 940, "number of endpoints")
+	f.Float64Var(&s.Rate, "rate", 3000, "calls per second over all relays")
 	f.DurationVar(&s.Lasts, "for", 15*time.Minute, "simulated time")
-	f.Float64Var(&s.Dead, "dead", 0.2, "part of the endpoints")
-	f.DurationVar(&s.Keep, "keep", 30*time.Second, "how long an idle connection stands")
+	f.Float64Var(&s.Dead, "dead", 0.2, "share of the endpoints whose IPv6 address becomes unreachable")
+	f.DurationVar(&s.Keep, "keep", 30*time.Second, "time after which an idle connection is closed")
 	return c
 }
 
@@ -105,9 +115,10 @@
 	s := fleet.Settings{}
 	z := fleet.Size{}
 	var seeds int
-	c := &cobra.Command{Use: "size", Short: "Model a fleet that believes in different sizes of itself", Args: cobra.NoArgs,
-		Long: "The fleet goes from one number of relays to another at half time; partners have limits that all relays share; a\n" +
-			"fifth of the partners is away in the middle third and returns cold.",
+	c := &cobra.Command{Use: "size",
+		Short: "Simulate a fleet whose relays assume different fleet sizes", Args: cobra.NoArgs,
+		Long: "The number of relays changes at half time; partners have rate limits that all relays share; a fifth of\n" +
+			"the partners is unavailable in the middle third and warms up afterwards.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			way := func(name string, follow bool, think float64) fleet.Size {
 				w := z
@@ -121,22 +132,24 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d relays, %d after half time, told after %v; %d endpoints, limits of %.2f times the traffic (listed: %v), %.0f messages a second for %v, %d seeds\n",
+			fmt.Fprintf(c.OutOrStdout(),
+				"%d relays, %d after half time, reported after %v; %d endpoints, limits of %.2f times the traffic (listed: %v), %.0f messages per second for %v, %d seeds\n",
 				z.From, z.To, s.Late, 2*s.Partners, z.Limit, z.Listed, s.Rate, s.Lasts, seeds)
 			fleet.PrintSizes(c.OutOrStdout(), lines)
 			return nil
 		}}
 	f := c.Flags()
 	f.Uint64Var(&s.Seed, "seed", 1, "first seed")
-	f.IntVar(&seeds, "seeds", 4, "runs of each kind, for the error bars")
-	f.IntVar(&z.From, "from", 50, "relays at first")
+	f.IntVar(&seeds, "seeds", 4, "runs of each variant, for the error bars")
+	f.IntVar(&z.From, "from", 50, "relays until half time")
 	f.IntVar(&z.To, "to", 100, "relays after half time")
 	f.IntVar(&s.Partners, "partners", 40, "partners, each with two endpoints")
-	f.Float64Var(&s.Rate, "rate", 800, "messages a second of all relays")
-	f.DurationVar(&s.Lasts, "for", 45*time.Second, "simulated time of arrivals")
-	f.DurationVar(&s.Late, "late", 10*time.Second, "until deaths are told; joins are told at once")
-	f.Float64Var(&z.Limit, "limit", 1.3, "limit of each partner, over its mean traffic")
-	f.BoolVar(&z.Listed, "listed", false, "the list tells the limits")
+	f.Float64Var(&s.Rate, "rate", 800, "messages per second over all relays")
+	f.DurationVar(&s.Lasts, "for", 45*time.Second, "simulated time during which messages arrive")
+	f.DurationVar(&s.Late, "late", 10*time.Second,
+		"delay until losses of relays are reported; joins are reported at once")
+	f.Float64Var(&z.Limit, "limit", 1.3, "rate limit of each partner, as a multiple of its mean traffic")
+	f.BoolVar(&z.Listed, "listed", false, "the endpoint list contains the limits")
 	s.Zones = 3
 	return c
 }
--- a/cmd/basaltcross/node.go
+++ b/cmd/basaltcross/node.go
@@ -13,7 +13,8 @@
 )
 
 func nodeCommand() *cobra.Command {
-	return &cobra.Command{Use: "node", Short: "Run a relay on the users' platform, as its environment says", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "node",
+		Short: "Run a relay as a node of the platform, configured by environment variables", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			reload := make(chan os.Signal, 1)
 			signal.Notify(reload, syscall.SIGHUP)
--- a/cmd/basaltcross/relay.go
+++ b/cmd/basaltcross/relay.go
@@ -36,7 +36,8 @@
 			if err != nil {
 				return err
 			}
-			hooks.Broken = func(error) { os.Exit(3) } // to recover from what is on disk for certain
+			// Exit, so that the restart recovers from what is certainly on disk.
+			hooks.Broken = func(error) { os.Exit(3) }
 			r, err := relay.Start(cfg, log, hooks)
 			if err != nil {
 				return err
@@ -46,19 +47,20 @@
 				return err
 			}
 			<-c.Context().Done()
-			log.Info().Msg("stopping: nothing further is taken")
+			log.Info().Msg("stopping: no new messages are accepted")
 			r.Stop()
 			log.Info().Msg("stopped")
 			return nil
 		}}
 	c.Flags().StringVarP(&file, "config", "c", "relay.cue", "configuration file")
-	c.Flags().StringVar(&ready, "ready-file", "", "write the addresses listened on to this file once up")
-	c.Flags().StringVar(&plant, "plant", "", "plant a fault for an audit to catch")
+	c.Flags().StringVar(&ready, "ready-file", "", "file to write the listening addresses to when started")
+	c.Flags().StringVar(&plant, "plant", "", "plant a fault that an audit must detect")
 	_ = c.Flags().MarkHidden("plant")
 	return c
 }
 
-// writeReady tells the MQTT addresses, a line each, then that of the metrics.
+// writeReady writes the listening addresses to the file path, one on each line: MQTT addresses as they are,
+// those of the other listeners with their protocol before them.
 func writeReady(path string, r *relay.Relay) error {
 	lines := r.Addrs()
 	for _, a := range r.TLSAddrs() {
@@ -77,6 +79,8 @@
 	return writeLines(path, lines...)
 }
 
+// writeLines writes the file through a rename, so that a process that waits for it never reads part of it.
+// It does nothing if path is empty.
 func writeLines(path string, lines ...string) error {
 	if path == "" {
 		return nil
@@ -98,12 +102,12 @@
 			}
 			n, err := relay.CheckList(cfg)
 			if err != nil {
-				return fmt.Errorf("the configuration is good, its endpoint list is not: %w", err)
+				return fmt.Errorf("the configuration is valid, but its endpoint list is not: %w", err)
 			}
 			if err := relay.CheckKeys(cfg); err != nil {
-				return fmt.Errorf("the configuration is good, its keys are not: %w", err)
+				return fmt.Errorf("the configuration is valid, but its keys are not: %w", err)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s is good: %d classes, %d partners; %s lists %d endpoints\n",
+			fmt.Fprintf(c.OutOrStdout(), "%s is valid: %d classes, %d partners; %s lists %d endpoints\n",
 				args[0], len(cfg.Classes), len(cfg.Partners), cfg.Directory.File, n)
 			return nil
 		}}
@@ -116,14 +120,14 @@
 	var ready string
 	var hang, shut, quick bool
 	var errs float64
-	c := &cobra.Command{Use: "standin", Short: "Play a partner on loopback", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "standin", Short: "Run a stand-in for a partner on loopback", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			rec := standin.NewRecorder(100000)
 			var addrs []string
 			p := standin.NewPartner(name, m, 1)
 			for _, l := range listen {
 				if !strings.HasPrefix(l, "127.") && !strings.HasPrefix(l, "localhost:") && !strings.HasPrefix(l, "[::1]:") {
-					return fmt.Errorf("--listen %s: stand-ins stay on loopback", l)
+					return fmt.Errorf("--listen %s: stand-ins listen on loopback only", l)
 				}
 				if quick {
 					addr, stop, err := standin.Quick(l, m.Service)
@@ -155,24 +159,26 @@
 			return nil
 		}}
 	f := c.Flags()
-	f.StringSliceVar(&listen, "listen", []string{"127.0.0.1:9001"}, "addresses, one for each endpoint")
+	f.StringSliceVar(&listen, "listen", []string{"127.0.0.1:9001"}, "addresses to listen on, one for each endpoint")
 	f.StringVar(&name, "name", "bank", "name of the partner")
-	f.DurationVar(&m.Service, "service", 50*time.Millisecond, "mean time of a call")
-	f.Float64Var(&m.Spread, "spread", 0.3, "share by which it varies")
-	f.Float64Var(&m.Rate, "rate", 0, "calls a second at most, 0 for no limit")
-	f.DurationVar(&m.Span, "span", 0, "count the limit in spans; 0 for a plain rate")
-	f.BoolVar(&m.Tells, "tells", true, "refusals tell how long to wait")
-	f.IntVar(&m.Concurrency, "concurrency", 0, "calls in service at once, 0 for no limit")
-	f.IntVar(&m.Queue, "queue", 100, "calls that wait for service")
-	f.DurationVar(&m.Window, "window", time.Minute, "how long idempotency keys are remembered")
-	f.StringVar(&ready, "ready-file", "", "write the addresses to this file once up")
+	f.DurationVar(&m.Service, "service", 50*time.Millisecond, "mean service time of a call")
+	f.Float64Var(&m.Spread, "spread", 0.3, "share by which the service time varies")
+	f.Float64Var(&m.Rate, "rate", 0, "rate limit in calls per second; 0 for no limit")
+	f.DurationVar(&m.Span, "span", 0,
+		"count the rate limit over fixed windows of this length; 0 for a continuous rate")
+	f.BoolVar(&m.Tells, "tells", true, "refusals carry Retry-After")
+	f.IntVar(&m.Concurrency, "concurrency", 0, "calls served concurrently; 0 for no limit")
+	f.IntVar(&m.Queue, "queue", 100, "length of the queue of calls that wait for service")
+	f.DurationVar(&m.Window, "window", time.Minute, "time for which idempotency keys are remembered")
+	f.StringVar(&ready, "ready-file", "", "file to write the addresses to when listening")
 	f.BoolVar(&quick, "quick", false, "answer at once and record nothing, for measurements")
-	f.BoolVar(&hang, "hang", false, "take calls and never answer")
+	f.BoolVar(&hang, "hang", false, "accept calls and never answer")
 	f.BoolVar(&shut, "shut", false, "refuse all calls")
-	f.Float64Var(&errs, "errors", 0, "share of calls answered 500")
+	f.Float64Var(&errs, "errors", 0, "share of calls answered with status 500")
 	return c
 }
 
+// demoConfig is the configuration of the demo's relay.
 const demoConfig = `
 classes: [
 	{name: "status", aim: "1s", deadline: "6s", effect: "safe"},
@@ -188,11 +194,12 @@
 
 func demoCommand() *cobra.Command {
 	var count int
-	c := &cobra.Command{Use: "demo", Short: "Run a relay, two partners and a client that sends and prints answers",
-		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+	c := &cobra.Command{Use: "demo",
+		Short: "Run a relay, two partners and a client that sends messages and prints the answers",
+		Args:  cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			return demo(c.Context(), c, count)
 		}}
-	c.Flags().IntVar(&count, "messages", 12, "messages to send")
+	c.Flags().IntVar(&count, "messages", 12, "number of messages to send")
 	return c
 }
 
@@ -244,7 +251,7 @@
 	}
 	defer cl.Close()
 	out := c.OutOrStdout()
-	fmt.Fprintln(out, "acme is well; globex answers a fifth of the calls with an error")
+	fmt.Fprintln(out, "acme is healthy; globex answers a fifth of the calls with an error")
 	classes := []string{"status", "order", "charge"}
 	sent := map[string]time.Time{}
 	for i := range count {
@@ -270,6 +277,6 @@
 	for _, k := range rec.Calls() {
 		calls[k.Partner+" "+k.What]++
 	}
-	fmt.Fprintf(out, "calls that the partners saw: %v\n", calls)
+	fmt.Fprintf(out, "calls that the partners received: %v\n", calls)
 	return nil
 }
--- a/cmd/basaltcross/soak.go
+++ b/cmd/basaltcross/soak.go
@@ -19,7 +19,8 @@
 	opt := soak.Options{}
 	var seeds, shrinks int
 	var faults, kinds, plant, out string
-	c := &cobra.Command{Use: "soak", Short: "Run nodes under overlapping faults and hold them against the rules", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "soak",
+		Short: "Run nodes under overlapping faults and audit the invariants", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) (err error) {
 			if opt.Shim, err = os.Executable(); err != nil {
 				return err
@@ -34,7 +35,7 @@
 			}
 			for _, k := range strings.FieldsFunc(kinds, func(r rune) bool { return r == ',' }) {
 				if !slices.Contains(soak.Kinds(), soak.Kind(k)) {
-					return fmt.Errorf("soak: %q is no kind of fault; there are %v", k, soak.Kinds())
+					return fmt.Errorf("soak: unknown kind of fault %q; known are %v", k, soak.Kinds())
 				}
 				opt.Kinds = append(opt.Kinds, soak.Kind(k))
 			}
@@ -59,40 +60,44 @@
 		}}
 	f := c.Flags()
 	f.Uint64Var(&opt.Seed, "seed", 1, "first seed")
-	f.IntVar(&seeds, "seeds", 1, "number of seeds, one after the other")
-	f.IntVar(&opt.Nodes, "nodes", 10, "node processes")
-	f.IntVar(&opt.Hosts, "hosts", 6, "hosts, each a destination of its own")
-	f.IntVar(&opt.Clients, "clients", 4, "clients of each node")
-	f.DurationVar(&opt.Duration, "duration", 20*time.Second, "length of a seed's load")
-	f.StringVar(&opt.Program, "program", "", "the build whose nodes are played; this one if empty")
-	f.StringVar(&faults, "faults", "", "play exactly these faults, as a failing seed prints them; none for none")
-	f.StringVar(&kinds, "kinds", "", "draw only these kinds of faults, separated by commas")
-	f.StringVar(&plant, "plant", "", "put a violation there that the audit must find: "+fmt.Sprint(append(soak.Plants, soak.PlantTrust)))
-	f.StringArrayVar(&opt.Known, "known", nil, "an invariant that is known to be broken: printed and passed over")
-	f.IntVar(&shrinks, "shrink", 0, "plays that may be spent on shrinking a seed that fails")
-	f.StringVar(&opt.Trace, "trace", "", "write the nodes' logs, with each step of each request, into this folder")
+	f.IntVar(&seeds, "seeds", 1, "number of seeds, run one after the other")
+	f.IntVar(&opt.Nodes, "nodes", 10, "number of node processes")
+	f.IntVar(&opt.Hosts, "hosts", 6, "number of hosts, each a destination of its own")
+	f.IntVar(&opt.Clients, "clients", 4, "number of clients of each node")
+	f.DurationVar(&opt.Duration, "duration", 20*time.Second, "duration of the load of each seed")
+	f.StringVar(&opt.Program, "program", "", "executable to run the nodes from; this one if empty")
+	f.StringVar(&faults, "faults", "",
+		"inject exactly these faults, as printed by a failing seed; 'none' for no faults")
+	f.StringVar(&kinds, "kinds", "", "inject only these kinds of faults, separated by commas")
+	f.StringVar(&plant, "plant", "", "plant a violation that the audit must detect: "+
+		fmt.Sprint(append(soak.Plants, soak.PlantTrust)))
+	f.StringArrayVar(&opt.Known, "known", nil,
+		"invariant that is known to be broken: violations are printed, but don't fail the run")
+	f.IntVar(&shrinks, "shrink", 0, "limit on the runs for reducing a failing seed to fewer faults")
+	f.StringVar(&opt.Trace, "trace", "", "write the nodes' logs, with each step of each request, to this directory")
 	f.StringVar(&out, "json", "", "write the report to this file as JSON")
 	c.AddCommand(explainCommand())
 	return c
 }
 
-// explainCommand prints the course of one request over all processes of a run that was traced.
+// explainCommand prints the steps of one request across all processes of a traced run.
 func explainCommand() *cobra.Command {
-	return &cobra.Command{Use: "explain DIR ID", Short: "Print one request's course from the logs that --trace has written", Args: cobra.ExactArgs(2),
+	return &cobra.Command{Use: "explain DIR ID",
+		Short: "Print the steps of one request from the logs written with --trace", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			steps, err := trace.Read(args[0], args[1])
 			if err != nil {
 				return err
 			}
 			if len(steps) == 0 {
-				return fmt.Errorf("soak: %s has no step of %s", args[0], args[1])
+				return fmt.Errorf("soak: %s has no steps of request %s", args[0], args[1])
 			}
 			trace.Print(c.OutOrStdout(), steps)
 			return nil
 		}}
 }
 
-// shimCommand becomes a program whose system calls a tracer may have fail.
+// shimCommand replaces this process by a program whose system calls a tracer can make fail.
 func shimCommand() *cobra.Command {
 	return &cobra.Command{Use: "shim-exec PROGRAM [ARGS]", Hidden: true, Args: cobra.MinimumNArgs(1), DisableFlagParsing: true,
 		RunE: func(_ *cobra.Command, args []string) error { return shim.Exec(args) }}
--- a/cmd/basaltcross/zones.go
+++ b/cmd/basaltcross/zones.go
@@ -17,9 +17,10 @@
 func zonesCommand() *cobra.Command {
 	var from string
 	var minutes, asJSON bool
-	c := &cobra.Command{Use: "zones", Short: "Report traffic between zones by class, zone and minute", Args: cobra.NoArgs,
-		Long: "Asks a running relay's metrics listener, or reads a report that --json wrote before, or the relay's\n" +
-			"file of minutes (zoneRecords).",
+	c := &cobra.Command{Use: "zones",
+		Short: "Report traffic between zones by class, zone and minute", Args: cobra.NoArgs,
+		Long: "Queries the metrics listener of a running relay, or reads a file: a report written with --json,\n" +
+			"or the relay's records per minute (zoneRecords).",
 		RunE: func(c *cobra.Command, _ []string) error {
 			var r zone.Report
 			if err := fetchReport(from, &r); err != nil {
@@ -32,11 +33,13 @@
 			return nil
 		}}
 	c.Flags().StringVar(&from, "from", "127.0.0.1:9300", "address of the relay's metrics listener, or a file")
-	c.Flags().BoolVar(&minutes, "minutes", false, "each minute of the last day too")
+	c.Flags().BoolVar(&minutes, "minutes", false, "also print each minute of the last day")
 	c.Flags().BoolVar(&asJSON, "json", false, "print the report as JSON")
 	return c
 }
 
+// fetchReport reads the report from the file named from or, if there is none, from the metrics listener at that
+// address. A file holds either a report or the records of zoneRecords.
 func fetchReport(from string, r *zone.Report) error {
 	if text, err := os.ReadFile(from); err == nil {
 		if json.Unmarshal(text, r) == nil && r.Relay != "" {
@@ -48,7 +51,7 @@
 		}
 		*r = zone.Report{Relay: from, At: time.Now(), Totals: rows, Minutes: rows}
 		if broken > 0 {
-			fmt.Fprintf(os.Stderr, "%s: %d lines are not whole and left out\n", from, broken)
+			fmt.Fprintf(os.Stderr, "%s: skipped %d incomplete lines\n", from, broken)
 		}
 		return nil
 	}
--- a/internal/config/schema.cue
+++ b/internal/config/schema.cue
@@ -121,7 +121,7 @@
 		index: int & >=0 | *0
 		// Number of relays in the fleet.
 		fleet: int & >=1 | *1
-		// Seed of the random decisions.
+		// Seed of the random decisions; 0 for one from the clock.
 		seed: int & >=0 | *0
 		// Limit on calls in flight.
 		workers: int & >=1 & <=65536 | *64
