--- a/cmd/basaltcross/keys.go
+++ b/cmd/basaltcross/keys.go
@@ -23,7 +23,7 @@
 		}}
 	var dir string
 	var hosts, clients []string
-	var lasts time.Duration
+	var validity time.Duration
 	authority := &cobra.Command{Use: "authority", Args: cobra.NoArgs,
 		Short: "Generate a test certificate authority, a server certificate and client certificates",
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -33,14 +33,14 @@
 			if err := os.MkdirAll(dir, 0o700); err != nil {
 				return err
 			}
-			a, err := keys.NewAuthority("basaltcross test authority", lasts)
+			a, err := keys.NewAuthority("basaltcross test authority", validity)
 			if err != nil {
 				return err
 			}
 			if err := a.Save(dir); err != nil {
 				return err
 			}
-			from, to := time.Now().Add(-time.Minute), time.Now().Add(lasts)
+			from, to := time.Now().Add(-time.Minute), time.Now().Add(validity)
 			if _, _, err := a.Issue(dir, "server", from, to, hosts...); err != nil {
 				return err
 			}
@@ -58,7 +58,7 @@
 	f.StringSliceVar(&hosts, "host", []string{"localhost", "127.0.0.1", "::1"},
 		"host names and addresses of the server certificate")
 	f.StringSliceVar(&clients, "client", []string{"client"}, "common names of the client certificates")
-	f.DurationVar(&lasts, "for", 30*24*time.Hour, "validity of the certificates")
+	f.DurationVar(&validity, "for", 30*24*time.Hour, "validity of the certificates")
 	c.AddCommand(vapid, authority)
 	return c
 }
--- a/cmd/basaltcross/load.go
+++ b/cmd/basaltcross/load.go
@@ -69,12 +69,12 @@
 	c := &cobra.Command{Use: "proxy ADDR...", Hidden: true, Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var n atomic.Uint64
-			var to []*url.URL
+			var targets []*url.URL
 			for _, a := range args {
-				to = append(to, &url.URL{Scheme: "http", Host: a})
+				targets = append(targets, &url.URL{Scheme: "http", Host: a})
 			}
 			p := &httputil.ReverseProxy{
-				Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(to[n.Add(1)%uint64(len(to))]) },
+				Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(targets[n.Add(1)%uint64(len(targets))]) },
 				Transport: &http.Transport{MaxIdleConnsPerHost: 1024, MaxIdleConns: 0},
 			}
 			l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/basaltcross/model.go
+++ b/cmd/basaltcross/model.go
@@ -12,7 +12,7 @@
 func modelCommand() *cobra.Command {
 	s := fleet.Settings{}
 	var seeds int
-	var each []float64
+	var budgetShares []float64
 	var record, plot string
 	var check bool
 	c := &cobra.Command{Use: "model",
@@ -22,10 +22,10 @@
 			fleet.Limits + ".",
 		RunE: func(c *cobra.Command, _ []string) error {
 			// Total traffic in bytes over a window, both ways, of which the budgets are shares.
-			all := s.Rate * 1000 * s.Window.Seconds()
+			totalBytes := s.Rate * 1000 * s.Window.Seconds()
 			var budgets []float64
-			for _, e := range each {
-				budgets = append(budgets, e*all)
+			for _, e := range budgetShares {
+				budgets = append(budgets, e*totalBytes)
 			}
 			if check {
 				s.How, s.Bytes = fleet.Budget, budgets[len(budgets)/2]
@@ -68,7 +68,7 @@
 	f.Float64Var(&s.Rate, "rate", 300, "messages per second over all relays")
 	f.DurationVar(&s.Lasts, "for", 30*time.Second, "simulated time during which messages arrive")
 	f.DurationVar(&s.Window, "window", 10*time.Second, "window of the budget")
-	f.Float64SliceVar(&each, "budgets", []float64{0.02, 0.05, 0.1, 0.2, 0.4},
+	f.Float64SliceVar(&budgetShares, "budgets", []float64{0.02, 0.05, 0.1, 0.2, 0.4},
 		"budgets, as shares of the total traffic")
 	f.Float64Var(&s.Overdraft, "overdraft", 0.5, "overdraft of the at-most-once class, as a share of the budget")
 	f.Float64Var(&s.Uneven, "uneven", 0.5,
@@ -120,15 +120,15 @@
 		Long: "The number of relays changes at half time; partners have rate limits that all relays share; a fifth of\n" +
 			"the partners is unavailable in the middle third and warms up afterwards.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			way := func(name string, follow bool, think float64) fleet.Size {
+			variant := func(name string, follow bool, think float64) fleet.Size {
 				w := z
 				w.Name, w.Follow, w.Think = name, follow, think
 				return w
 			}
-			ways := []fleet.Size{way("followed", true, 1), way("fixed at the first", false, 1),
-				way("fixed at the second", false, float64(z.To)/float64(z.From)), way("followed, thought half", true, 0.5),
-				way("followed, thought double", true, 2)}
-			lines, err := fleet.Sizes(s, ways, seeds)
+			variants := []fleet.Size{variant("followed", true, 1), variant("fixed at the first", false, 1),
+				variant("fixed at the second", false, float64(z.To)/float64(z.From)),
+				variant("followed, assumed half", true, 0.5), variant("followed, assumed double", true, 2)}
+			lines, err := fleet.Sizes(s, variants, seeds)
 			if err != nil {
 				return err
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -258,15 +258,15 @@
 
 func (e *Error) Error() string { return strings.Join(e.Lines, "\n") }
 
-// evaluating serialises CUE evaluation, since a context is not safe for concurrent use. Each read creates
+// evalMutex serialises CUE evaluation, since a context is not safe for concurrent use. Each read creates
 // a new context, because a context keeps everything that it has compiled.
-var evaluating sync.Mutex
+var evalMutex sync.Mutex
 
 // read validates text against the schema definition def and decodes the result into the value that into points
 // to. It returns the CUE value of the text, without defaults, which has the source positions.
 func read(name string, text []byte, def string, into any) (cue.Value, error) {
-	evaluating.Lock()
-	defer evaluating.Unlock()
+	evalMutex.Lock()
+	defer evalMutex.Unlock()
 	ctx := cuecontext.New()
 	schema := ctx.CompileString(schemaText, cue.Filename("schema.cue"))
 	if err := schema.Err(); err != nil {
@@ -322,7 +322,7 @@
 		}
 		seen[where] = len(e.Lines)
 		line := fmt.Sprintf("%s%s: %s: %s", name, at, where, what)
-		if want := wanted(def, path); want != "" && !strings.Contains(what, "not allowed") {
+		if want := constraintAt(def, path); want != "" && !strings.Contains(what, "not allowed") {
 			line += "; want " + want
 		}
 		e.Lines = append(e.Lines, line)
@@ -333,9 +333,9 @@
 	return e
 }
 
-// wanted describes the constraint that def has at path, with the comment of the field. It returns "" where
+// constraintAt describes the constraint that def has at path, with the comment of the field. It returns "" where
 // there is none that fits on one line of 200 bytes.
-func wanted(def cue.Value, path []string) string {
+func constraintAt(def cue.Value, path []string) string {
 	if !def.Exists() || len(path) == 0 {
 		return ""
 	}
@@ -412,15 +412,15 @@
 	if err != nil {
 		return nil, err
 	}
-	bad := &Error{File: name}
+	found := &Error{File: name}
 	fail := func(path, format string, args ...any) {
 		at := name
 		if p := v.LookupPath(cue.ParsePath(path)).Pos(); p.IsValid() {
 			at = fmt.Sprintf("%s:%d", name, p.Line())
 		}
-		bad.Lines = append(bad.Lines, fmt.Sprintf("%s: %s: %s", at, path, fmt.Sprintf(format, args...)))
+		found.Lines = append(found.Lines, fmt.Sprintf("%s: %s: %s", at, path, fmt.Sprintf(format, args...)))
 	}
-	unique := func(list string, n int, name func(int) string) map[string]bool {
+	checkUnique := func(list string, n int, name func(int) string) map[string]bool {
 		seen := map[string]bool{}
 		for i := range n {
 			if seen[name(i)] {
@@ -430,10 +430,10 @@
 		}
 		return seen
 	}
-	zones := unique("zones", len(c.Zones), func(i int) string { return c.Zones[i].Name })
-	unique("classes", len(c.Classes), func(i int) string { return c.Classes[i].Name })
-	kinds := unique("kinds", len(c.Kinds), func(i int) string { return c.Kinds[i].Name })
-	partners := unique("partners", len(c.Partners), func(i int) string { return c.Partners[i].Name })
+	zones := checkUnique("zones", len(c.Zones), func(i int) string { return c.Zones[i].Name })
+	checkUnique("classes", len(c.Classes), func(i int) string { return c.Classes[i].Name })
+	kinds := checkUnique("kinds", len(c.Kinds), func(i int) string { return c.Kinds[i].Name })
+	partners := checkUnique("partners", len(c.Partners), func(i int) string { return c.Partners[i].Name })
 	for i, k := range c.Classes {
 		if k.Aim <= 0 || k.Deadline < k.Aim {
 			fail(fmt.Sprintf("classes[%d].deadline", i), "%v must be at least the aim %v, and both must be above 0",
@@ -448,7 +448,7 @@
 	if c.Relay.Zone != "" && !zones[c.Relay.Zone] {
 		fail("relay.zone", "%q is not defined under zones", c.Relay.Zone)
 	}
-	loopback := func(list string, addrs []string, without string) {
+	requireLoopback := func(list string, addrs []string, without string) {
 		for i, l := range addrs {
 			host, _, _ := net.SplitHostPort(l)
 			if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
@@ -457,15 +457,15 @@
 		}
 	}
 	if len(c.MQTT.Users) == 0 {
-		loopback("mqtt.listen", c.MQTT.Listen, "mqtt.users")
+		requireLoopback("mqtt.listen", c.MQTT.Listen, "mqtt.users")
 		if c.MQTT.TLS == nil || !c.MQTT.TLS.RequireClient {
-			loopback("mqtt.tlsListen", c.MQTT.TLSListen, "mqtt.users or mqtt.tls.requireClient")
+			requireLoopback("mqtt.tlsListen", c.MQTT.TLSListen, "mqtt.users or mqtt.tls.requireClient")
 		}
 	}
 	w := &c.WebPush
-	loopback("webpush.listen", w.Listen, "TLS")
+	requireLoopback("webpush.listen", w.Listen, "TLS")
 	if len(w.Keys) == 0 {
-		loopback("webpush.tlsListen", w.TLSListen, "webpush.keys")
+		requireLoopback("webpush.tlsListen", w.TLSListen, "webpush.keys")
 	} else if len(w.Audience) == 0 {
 		fail("webpush.audience", "is empty; webpush.keys needs the origins for which tokens are issued")
 	}
@@ -506,8 +506,8 @@
 	if c.Relay.Index >= c.Relay.Fleet {
 		fail("relay.index", "%d must be below relay.fleet %d", c.Relay.Index, c.Relay.Fleet)
 	}
-	if len(bad.Lines) > 0 {
-		return nil, bad
+	if len(found.Lines) > 0 {
+		return nil, found
 	}
 	if _, err := choice.New(c.Settings(), 0); err != nil {
 		return nil, &Error{name, []string{name + ": " + err.Error()}}
