--- a/cmd/basaltcross/soak.go
+++ b/cmd/basaltcross/soak.go
@@ -71,7 +71,7 @@
 	f.StringVar(&kinds, "kinds", "", "inject only these kinds of faults, separated by commas")
 	f.StringVar(&plant, "plant", "", "plant a violation that the audit must detect: "+
 		fmt.Sprint(append(soak.Plants, soak.PlantTrust)))
-	f.StringArrayVar(&opt.Known, "known", nil,
+	f.StringArrayVar(&opt.KnownBroken, "known", nil,
 		"invariant that is known to be broken: violations are printed, but don't fail the run")
 	f.IntVar(&shrinks, "shrink", 0, "limit on the runs for reducing a failing seed to fewer faults")
 	f.StringVar(&opt.Trace, "trace", "", "write the nodes' logs, with each step of each request, to this directory")
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -20,26 +20,26 @@
 	"basaltcross.example/basaltcross/internal/trace"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Shim     string // this program, which becomes the relay under the shim
-	Program  string // the relay's; another build may be tried
-	Seed     uint64
-	Nodes    int
-	Hosts    int
-	Clients  int // of each node
-	Duration time.Duration
-	Faults   []Fault  // nil: drawn from the seed
-	Kinds    []Kind   // of which they are drawn; nil for all
-	Known    []string // invariants that are known to be broken: they are printed and passed over
-	Trace    string   // folder for the nodes' logs with each step of each request; empty for none
-	Plant    Plant    // a fault of the oracle's making, which it must catch; empty for none
+	Shim        string // executable that runs the relay under the shim
+	Program     string // executable of the relay, possibly another build
+	Seed        uint64
+	Nodes       int
+	Hosts       int
+	Clients     int // clients per node
+	Duration    time.Duration
+	Faults      []Fault  // faults to inject; nil for faults drawn from the seed
+	Kinds       []Kind   // kinds that faults are drawn from; nil for all
+	KnownBroken []string // invariants known to be broken: printed, not counted as failures
+	Trace       string   // directory for the nodes' logs with each step of each request; empty for none
+	Plant       Plant    // violation planted to test the audit; empty for none
 }
 
-// Plant is a violation that is put there for the audit to find.
+// Plant is a violation put into a run to test that the audit finds it.
 type Plant string
 
-// The plants.
+// The planted violations.
 const (
 	PlantCut     Plant = "answer-cut"
 	PlantForward Plant = "refused-and-forwarded"
@@ -48,57 +48,60 @@
 	PlantSilent  Plant = "unanswered"
 	PlantServed  Plant = "served-and-refused"
 	PlantReset   Plant = "reset-while-leaving"
-	// PlantTrust has the nodes believe every answer of a host, as if its own protection was off.
+	// PlantTrust makes the nodes accept every answer of a host, as if their protection against misattributed
+	// answers were off.
 	PlantTrust Plant = "peers-trusted"
 )
 
-// Plants are those that are put into the record, once.
+// Plants lists the violations that are planted in the record, each once.
 var Plants = []Plant{PlantCut, PlantForward, PlantForget, PlantTwice, PlantSilent, PlantServed, PlantReset}
 
-// Result of a run.
+// Result is the result of a run.
 type Result struct {
-	Seed       uint64              `json:"seed"`
-	Findings   []*emulator.Finding `json:"findings"`
-	Hits       map[Kind]int        `json:"faults"`
-	Violations []string            `json:"violations,omitempty"` // that processes told, and their unasked ends
-	Requests   int                 `json:"requests"`
-	Replies    map[string]int      `json:"replies"`
-	Service    emulator.Service    `json:"service"`
-	Accepted   int                 `json:"accepted"`        // connections to hosts
-	Lag        time.Duration       `json:"lag_ns"`          // how late the emulator's own timers were at most
-	Busiest    float64             `json:"busiest"`         // largest share of a core that a process used over its life
-	Known      []string            `json:"known,omitempty"` // of the broken invariants, those passed over
-	Faults     []Fault             `json:"-"`
+	Seed     uint64              `json:"seed"`
+	Findings []*emulator.Finding `json:"findings"`
+	Hits     map[Kind]int        `json:"faults"` // number of injected faults by kind
+	// Violations are the rule violations that processes reported, and their unexpected exits.
+	Violations     []string                `json:"violations,omitempty"`
+	Requests       int                     `json:"requests"`
+	Replies        map[string]int          `json:"replies"` // number of requests by status or connection end
+	DeliveryCounts emulator.DeliveryCounts `json:"service"`
+	Connections    int                     `json:"accepted"`        // number of connections to hosts
+	Lag            time.Duration           `json:"lag_ns"`          // largest delay of the emulator's own timers
+	MaxCPUShare    float64                 `json:"busiest"`         // largest share of a core that one process used
+	KnownBroken    []string                `json:"known,omitempty"` // invariants not counted as failures
+	Faults         []Fault                 `json:"-"`
 }
 
-// Broken counts the invariants that were, and what processes told.
+// Broken returns the number of invariants broken and not known to be, plus that of violations.
 func (r *Result) Broken() int {
 	n := len(r.Violations)
 	for _, f := range r.Findings {
-		if f.Broken > 0 && !slices.Contains(r.Known, f.Invariant) {
+		if f.Broken > 0 && !slices.Contains(r.KnownBroken, f.Invariant) {
 			n++
 		}
 	}
 	return n
 }
 
+// run is a run in progress.
 type run struct {
 	opt      Options
 	platform *emulator.Platform
 	nodes    []*node
 
-	mu      sync.Mutex
-	hits    map[Kind]int
-	active  map[Kind]map[int]int // how many faults of a kind lie over a place
-	errs    []string
-	lag     time.Duration
-	busiest float64 // share of a core that a process used
+	mu     sync.Mutex
+	hits   map[Kind]int
+	active map[Kind]map[int]int // number of active faults by kind and node or host
+	errs   []string             // errors in injecting faults
+	lag    time.Duration        // largest delay of the emulator's own timers
+	maxCPU float64              // largest share of a core that a process used
 }
 
-// kindsOfHosts alternate between one message a call and several.
-var kindsOfHosts = []string{"small", "small", "large"}
+// hostKinds are the kinds of hosts, used in turn: "small" ones take one message per call, "large" ones several.
+var hostKinds = []string{"small", "small", "large"}
 
-// Run plays one seed.
+// Run runs one seed.
 func Run(ctx context.Context, opt Options) (*Result, error) {
 	if opt.Faults == nil {
 		kinds := opt.Kinds
@@ -119,7 +122,7 @@
 	defer os.RemoveAll(dir)
 	var kinds []string
 	for i := range opt.Hosts {
-		kinds = append(kinds, kindsOfHosts[i%len(kindsOfHosts)])
+		kinds = append(kinds, hostKinds[i%len(hostKinds)])
 	}
 	platform, err := emulator.New(opt.Seed, kinds...)
 	if err != nil {
@@ -137,21 +140,23 @@
 	var clients sync.WaitGroup
 	for _, n := range r.nodes {
 		for i := range opt.Clients {
-			c := &emulator.Client{Platform: platform, Node: n.number, Addr: n.addr, Name: fmt.Sprintf("c%d-%d", n.number, i), Lanes: lanes(),
-				Left: lifetime, Pause: 40 * time.Millisecond, Seed: opt.Seed*10_000 + uint64(n.number*100+i), Rude: n.isRude, Ends: n.ends}
+			c := &emulator.Client{Platform: platform, Node: n.number, Addr: n.addr,
+				Name: fmt.Sprintf("c%d-%d", n.number, i), Classes: clientClasses(),
+				TimeToLive: lifetime, MaxPause: 40 * time.Millisecond,
+				Seed: opt.Seed*10_000 + uint64(n.number*100+i), AbandonNext: n.abandonsRequests, HalfCloseNext: n.halfCloses}
 			clients.Go(func() { c.Run(load) })
 		}
 	}
 	r.play(ctx)
 	stop()
 	clients.Wait()
-	r.settle(ctx)
+	r.awaitOpen(ctx)
 	stopLag()
 	r.plant()
 	return r.result(), errors.Join(r.writeTrace(), ctx.Err())
 }
 
-// writeTrace writes the platform's side of each request beside the nodes' logs.
+// writeTrace writes the platform's steps of each request to a file next to the nodes' logs.
 func (r *run) writeTrace() error {
 	if r.opt.Trace == "" {
 		return nil
@@ -163,7 +168,7 @@
 	return errors.Join(r.platform.Record.WriteTrace(f), f.Close())
 }
 
-// startAll brings all nodes up.
+// startAll starts all nodes and waits until they are ready.
 func (r *run) startAll(dir string) error {
 	var all sync.WaitGroup
 	errs := make([]error, r.opt.Nodes)
@@ -176,8 +181,9 @@
 		if err != nil {
 			return err
 		}
-		n := &node{run: r, number: i, dir: filepath.Join(dir, fmt.Sprint("n", i)), addr: addr, agent: agent, hits: map[shim.Kind]int{}}
-		if err := os.MkdirAll(n.state(), 0o700); err != nil {
+		n := &node{run: r, number: i, dir: filepath.Join(dir, fmt.Sprint("n", i)), addr: addr, agent: agent,
+			hits: map[shim.Kind]int{}}
+		if err := os.MkdirAll(n.stateDir(), 0o700); err != nil {
 			return err
 		}
 		r.nodes = append(r.nodes, n)
@@ -187,11 +193,11 @@
 	return errors.Join(errs...)
 }
 
-// Ports of nodes lie below those that the system gives to connections: a node that is down
-// for a moment must find its own free again.
+// Range of the nodes' ports. It lies below the system's ephemeral ports, so that a node that restarts finds its
+// port still free.
 const firstPort, lastPort = 12_000, 32_000
 
-// freeAddr is an address that is free now.
+// freeAddr returns an address with a port that is free at the moment.
 func freeAddr(ip string) (string, error) {
 	for range 100 {
 		l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, firstPort+rand.IntN(lastPort-firstPort)))
@@ -200,13 +206,13 @@
 			return l.Addr().String(), nil
 		}
 	}
-	return "", errors.New("soak: no port is free")
+	return "", errors.New("soak: no free port found in 100 attempts")
 }
 
-// lagEvery is how often the emulator's own lateness is measured.
+// lagEvery is the interval at which the delay of the emulator's own timers is measured.
 const lagEvery = 10 * time.Millisecond
 
-// measureLag looks how late timers are in this process.
+// measureLag measures the largest delay of timers in this process, until stop is called.
 func (r *run) measureLag() (stop func()) {
 	done := make(chan struct{})
 	var over sync.WaitGroup
@@ -228,7 +234,7 @@
 	}
 }
 
-// play has each fault begin and end at its time.
+// play injects all faults at their times, and returns at the end of the load.
 func (r *run) play(ctx context.Context) {
 	began := time.Now()
 	var all sync.WaitGroup
@@ -236,13 +242,13 @@
 		if !pause.For(ctx, time.Until(began.Add(f.At))) {
 			break
 		}
-		all.Go(func() { r.fault(ctx, f) })
+		all.Go(func() { r.playFault(ctx, f) })
 	}
 	pause.For(ctx, time.Until(began.Add(r.opt.Duration)))
 	all.Wait()
 }
 
-// step takes in a step of a request that a node has logged.
+// step records a step of a request that a node has logged.
 func (r *run) step(s trace.Step) {
 	switch s.Name {
 	case "read":
@@ -252,29 +258,32 @@
 	}
 }
 
-// judgedSteps are those that the audit needs.
-const judgedSteps = "read,response"
+// auditedSteps are the steps that the audit needs.
+const auditedSteps = "read,response"
 
-// traced are the steps that the nodes log: each line is one more call that stops a node.
-func (r *run) traced() string {
+// traceSteps returns which steps the nodes log, as BASALTCROSS_TRACE expects them. They are as few as possible:
+// each line is one more system call that stops the node in the tracer.
+func (r *run) traceSteps() string {
 	if r.opt.Trace != "" {
 		return "1"
 	}
-	return judgedSteps
+	return auditedSteps
 }
 
-// draws tells whether a kind is among the faults of the run.
-func (r *run) draws(k Kind) bool {
+// includes reports whether a kind is among the faults of the run.
+func (r *run) includes(k Kind) bool {
 	return slices.ContainsFunc(r.opt.Faults, func(f Fault) bool { return f.Kind == k })
 }
 
-func (r *run) hit(k Kind) {
+// countHit counts an injected fault.
+func (r *run) countHit(k Kind) {
 	r.mu.Lock()
 	r.hits[k]++
 	r.mu.Unlock()
 }
 
-func (r *run) failed(err error) {
+// recordError records an error, if any, as a violation of the run.
+func (r *run) recordError(err error) {
 	if err != nil {
 		r.mu.Lock()
 		r.errs = append(r.errs, err.Error())
@@ -282,109 +291,112 @@
 	}
 }
 
-// fault plays one, from its begin to its end.
-func (r *run) fault(ctx context.Context, f Fault) {
+// playFault injects one fault and returns at its end.
+func (r *run) playFault(ctx context.Context, f Fault) {
 	switch f.Kind {
 	case Kill, Term, TermTwice:
-		r.failed(r.nodes[f.Where].restart(f.Kind))
+		r.recordError(r.nodes[f.Target].restart(f.Kind))
 		return
 	case Reload:
-		r.reload(r.nodes[f.Where])
+		r.moveDiscovery(r.nodes[f.Target])
 		return
 	case Crowd:
-		r.hit(f.Kind)
-		r.platform.Record.MayShut(f.Where, f.For)
-		r.nodes[f.Where].crowd(f.For)
+		r.countHit(f.Kind)
+		r.platform.Record.NewConnsMayClose(f.Target, f.Length)
+		r.nodes[f.Target].openIdleConns(f.Length)
 		return
 	}
-	if f.Kind == Kind(shim.PollNoMemory) { // a connection that was accepted and cannot be polled is closed
-		r.platform.Record.MayShut(f.Where, f.For)
+	if f.Kind == Kind(shim.PollNoMemory) { // an accepted connection that cannot be polled is closed
+		r.platform.Record.NewConnsMayClose(f.Target, f.Length)
 	}
-	if f.Kind.ofDisk() {
-		r.platform.Record.FolderFails(f.Where, f.For)
+	if f.Kind.isDiskFault() {
+		r.platform.Record.DiskFails(f.Target, f.Length)
 	}
 	if f.Kind == Kind(shim.WriteDown) {
-		r.platform.Record.WritesFail(f.Where, f.For)
+		r.platform.Record.SocketWritesFail(f.Target, f.Length)
 	}
-	if r.cover(f, 1) == 1 {
-		r.set(f.Kind, f.Where, true)
+	if r.adjustActive(f, 1) == 1 {
+		r.setFault(f.Kind, f.Target, true)
 	}
-	pause.For(ctx, f.For)
-	if r.cover(f, -1) == 0 {
-		r.set(f.Kind, f.Where, false)
+	pause.For(ctx, f.Length)
+	if r.adjustActive(f, -1) == 0 {
+		r.setFault(f.Kind, f.Target, false)
 	}
 }
 
-// cover counts the faults of one kind that lie over one place.
-func (r *run) cover(f Fault, by int) int {
+// adjustActive adds by to the number of active faults of a kind at one node or host, and returns the sum.
+func (r *run) adjustActive(f Fault, by int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.active[f.Kind] == nil {
 		r.active[f.Kind] = map[int]int{}
 	}
-	r.active[f.Kind][f.Where] += by
-	return r.active[f.Kind][f.Where]
+	r.active[f.Kind][f.Target] += by
+	return r.active[f.Kind][f.Target]
 }
 
-// set has a kind begin or end at one place.
-func (r *run) set(k Kind, where int, on bool) {
-	if !isShim(k) && on {
-		r.hit(k)
+// setFault activates or deactivates a kind of fault at one node or host.
+func (r *run) setFault(k Kind, where int, on bool) {
+	if !isSyscallFault(k) && on {
+		r.countHit(k)
 	}
-	moods := map[Kind]emulator.Mood{HostFails: emulator.Failing, HostFull: emulator.Full, HostHangs: emulator.Hanging, HostCuts: emulator.Cutting,
-		HostForgets: emulator.Forget, HostBlank: emulator.Blank}
-	if mood, is := moods[k]; is {
+	behaviours := map[Kind]emulator.Behaviour{HostFails: emulator.Failing, HostFull: emulator.Overloaded,
+		HostHangs: emulator.Hanging, HostCuts: emulator.Disconnecting,
+		HostForgets: emulator.ClosingAfterAnswer, HostBlank: emulator.NoStatus}
+	if behaviour, is := behaviours[k]; is {
 		if !on {
-			mood = emulator.Well
+			behaviour = emulator.Healthy
 		}
-		r.platform.Hosts[where].Set(mood)
+		r.platform.Hosts[where].SetBehaviour(behaviour)
 		return
 	}
 	if k == HostDrains {
-		r.platform.Change(func(l *agent.List) { l.Targets[where].State = map[bool]string{true: "draining", false: "up"}[on] })
+		r.platform.Change(func(l *agent.List) {
+			l.Targets[where].State = map[bool]string{true: "draining", false: "up"}[on]
+		})
 		return
 	}
 	switch k {
 	case HostNetHold:
-		r.platform.Hosts[where].Network.Hold(on)
+		r.platform.Hosts[where].Network.SetDelay(on)
 		return
 	case HostNetReset:
-		r.platform.Hosts[where].Network.Reset(on)
+		r.platform.Hosts[where].Network.SetReset(on)
 		return
 	case HostRepeats:
-		r.platform.Hosts[where].Network.Repeat(on)
+		r.platform.Hosts[where].Network.SetRepeat(on)
 		return
 	}
 	n := r.nodes[where]
 	switch k {
 	case AgentNetHold:
-		n.agent.Network.Hold(on)
+		n.agent.Network.SetDelay(on)
 	case AgentNetReset:
-		n.agent.Network.Reset(on)
+		n.agent.Network.SetReset(on)
 	case AgentRepeats:
-		n.agent.Network.Repeat(on)
+		n.agent.Network.SetRepeat(on)
 	case AgentSilent:
-		n.agent.Silent(on)
+		n.agent.SetSilent(on)
 	case NoticesMute:
-		n.agent.Mute(on)
+		n.agent.SetMute(on)
 	case ClientsLeave:
 		n.mu.Lock()
-		n.rude = on
+		n.clientsAbandon = on
 		n.mu.Unlock()
 	case ClientsEnd:
 		n.mu.Lock()
-		n.ending = on
+		n.clientsHalfClose = on
 		n.mu.Unlock()
 	default:
 		n.mu.Lock()
 		p := n.process
 		n.mu.Unlock()
-		apply(p, shim.Kind(k), on)
+		setSyscallFault(p, shim.Kind(k), on)
 	}
 }
 
-// apply sets a fault of system calls.
-func apply(p *shim.Process, k shim.Kind, on bool) {
+// setSyscallFault activates or deactivates a system call fault in a process.
+func setSyscallFault(p *shim.Process, k shim.Kind, on bool) {
 	switch {
 	case p == nil:
 	case k != shim.WallClock:
@@ -396,18 +408,19 @@
 	}
 }
 
-// reapply has a new process see the faults that lie over it.
+// reapply activates the current system call faults of a node in its new process.
 func (r *run) reapply(n *node) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k, places := range r.active {
-		if isShim(k) && places[n.number] > 0 {
-			apply(n.process, shim.Kind(k), true)
+		if isSyscallFault(k) && places[n.number] > 0 {
+			setSyscallFault(n.process, shim.Kind(k), true)
 		}
 	}
 }
 
-func isShim(k Kind) bool {
+// isSyscallFault reports whether a kind is one of package shim's.
+func isSyscallFault(k Kind) bool {
 	for _, s := range shim.Kinds {
 		if Kind(s) == k {
 			return true
@@ -416,44 +429,45 @@
 	return false
 }
 
-// reload moves a node's discovery.
-func (r *run) reload(n *node) {
-	r.hit(Reload)
-	if err := n.agent.Move(); err != nil {
-		r.failed(err)
+// moveDiscovery changes the address of a node's agent and makes the node reload its configuration.
+func (r *run) moveDiscovery(n *node) {
+	r.countHit(Reload)
+	if err := n.agent.ChangeAddress(); err != nil {
+		r.recordError(err)
 		return
 	}
-	r.failed(n.reload())
+	r.recordError(n.reload())
 }
 
-// settle waits until what was taken has ended, at most as long as that is owed.
-func (r *run) settle(ctx context.Context) {
+// awaitOpen ends all system call faults and waits until all accepted messages are delivered or ended, at most 3 s
+// longer than their time to live.
+func (r *run) awaitOpen(ctx context.Context) {
 	r.mu.Lock()
 	for k, places := range r.active {
 		for where := range places {
 			places[where] = 0
-			if isShim(k) {
-				apply(r.nodes[where].process, shim.Kind(k), false)
+			if isSyscallFault(k) {
+				setSyscallFault(r.nodes[where].process, shim.Kind(k), false)
 			}
 		}
 	}
 	r.mu.Unlock()
-	for end := time.Now().Add(lifetime + 3*time.Second); r.platform.Record.Open() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(lifetime + 3*time.Second); r.platform.Record.CountOpen() > 0 && time.Now().Before(end); {
 		if !pause.For(ctx, 20*time.Millisecond) {
 			return
 		}
 	}
-	pause.For(ctx, 200*time.Millisecond) // for what is still on its way
+	pause.For(ctx, 200*time.Millisecond) // for what is still in transit
 }
 
-// plant puts a violation there.
+// plant plants the run's violation in the record.
 func (r *run) plant() {
 	if r.opt.Plant != "" && r.opt.Plant != PlantTrust {
 		r.platform.Record.Plant(string(r.opt.Plant))
 	}
 }
 
-// killAll ends all processes.
+// killAll kills all processes.
 func (r *run) killAll() {
 	for _, n := range r.nodes {
 		n.mu.Lock()
@@ -466,38 +480,39 @@
 	}
 }
 
-// result ends all processes and audits the record.
+// result kills all processes and audits the record.
 func (r *run) result() *Result {
 	now := time.Now()
-	res := &Result{Known: r.opt.Known, Seed: r.opt.Seed, Hits: r.hits, Lag: r.lag, Faults: r.opt.Faults, Violations: r.errs}
+	res := &Result{KnownBroken: r.opt.KnownBroken, Seed: r.opt.Seed, Hits: r.hits, Lag: r.lag,
+		Faults: r.opt.Faults, Violations: r.errs}
 	for _, n := range r.nodes {
 		n.mu.Lock()
-		p, life := n.process, n.life
+		p, life := n.process, n.processRun
 		n.mu.Unlock()
 		if p == nil {
 			continue
 		}
 		select {
-		case <-p.Done(): // by itself
+		case <-p.Done(): // exited on its own
 		default:
-			n.used(p, life)
+			n.checkCPU(p, life)
 			p.Signal(9)
 			<-p.Done()
 		}
-		n.ended(p, life, false)
+		n.recordEnd(p, life, false)
 		for k, hits := range n.hits {
 			res.Hits[Kind(k)] += hits
 		}
-		for _, line := range n.bad {
+		for _, line := range n.problems {
 			res.Violations = append(res.Violations, strings.TrimSpace(line))
 		}
 	}
 	res.Findings = r.platform.Record.Audit(r.lag, now)
-	res.Busiest = r.busiest
+	res.MaxCPUShare = r.maxCPU
 	res.Requests, res.Replies = r.platform.Record.Replies()
-	res.Service = r.platform.Record.Service()
+	res.DeliveryCounts = r.platform.Record.DeliveryCounts()
 	for _, h := range r.platform.Hosts {
-		res.Accepted += h.Network.Accepted()
+		res.Connections += h.Network.Accepted()
 	}
 	return res
 }
