--- a/cmd/basaltcross/journal.go
+++ b/cmd/basaltcross/journal.go
@@ -22,14 +22,14 @@
 	Key      string `json:"key,omitempty" parquet:"key"`
 	Host     string `json:"host,omitempty" parquet:"host,dict"`
 	Attempt  int    `json:"attempt,omitempty" parquet:"attempt"`
-	Clear    bool   `json:"clear,omitempty" parquet:"clear"`
+	Clear    bool   `json:"clear,omitempty" parquet:"clear"` // the attempt certainly never ran
 	Verdict  int    `json:"verdict,omitempty" parquet:"verdict"`
-	Handed   bool   `json:"handed,omitempty" parquet:"handed"`
+	Handed   bool   `json:"handed,omitempty" parquet:"handed"` // the client has the final answer
 	Failing  bool   `json:"failing,omitempty" parquet:"failing"`
 	LeftNS   int64  `json:"left_ns,omitempty" parquet:"left_ns"`
-	Run      uint32 `json:"run,omitempty" parquet:"run"`
-	ClockNS  int64  `json:"clock_ns,omitempty" parquet:"clock_ns"`
-	Bytes    int    `json:"bytes,omitempty" parquet:"bytes"` // of a message, body and head
+	Run      uint32 `json:"run,omitempty" parquet:"run"`           // number of the run of the relay process
+	ClockNS  int64  `json:"clock_ns,omitempty" parquet:"clock_ns"` // time since the machine booted
+	Bytes    int    `json:"bytes,omitempty" parquet:"bytes"`       // of a message, body and head
 }
 
 // rows converts the contents of a journal into rows, with the attempts of a message after its row.
--- a/internal/config/schema.cue
+++ b/internal/config/schema.cue
@@ -104,10 +104,11 @@
 		filter: string | *""
 		// Zone of instances where neither the service's nor the node's metadata has the key "zone".
 		zone: #Name | *"default"
-		// Names of the tagged addresses that an instance is reached by, besides its own address.
+		// Names of the tagged addresses to reach an instance by, in order of preference, besides its own address.
 		tagged: [...string] | *[]
-		// use: critical instances get no new calls; ignore: health is read but not acted on; barred: health is not
-		// read, only the catalogue is, and maintenance mode goes unnoticed.
+		// use: critical instances get no new calls; ignore: health is read but not acted on, apart from maintenance
+		// mode, which ends new calls; barred: health is not read, only the catalogue is, and maintenance mode goes
+		// unnoticed.
 		health: "use" | "ignore" | "barred" | *"ignore"
 	}] | *[]
 }
