--- a/cmd/basaltcross/crash.go
+++ b/cmd/basaltcross/crash.go
@@ -34,6 +34,6 @@
 	f.IntVar(&o.Clients, "clients", 8, "MQTT clients")
 	f.Uint64Var(&o.Seed, "seed", 1, "seed of the kills and the messages")
 	f.StringVar(&o.Plant, "break", "", "plant a fault that the audit must detect: answer-before-sync")
-	f.StringVar(&o.Keep, "keep", "", "keep configuration, journal and log in this directory")
+	f.StringVar(&o.KeepDir, "keep", "", "keep configuration, journal and log in this directory")
 	return c
 }
--- a/cmd/basaltcross/day.go
+++ b/cmd/basaltcross/day.go
@@ -27,8 +27,8 @@
 			if err != nil {
 				return err
 			}
-			opt := badday.Options{Binary: self, Plant: plant, Out: out, Keep: keep, AcknowledgeEvery: acknowledge}
-			names, texts := []string{"the mixed day"}, []string{badday.Mixed}
+			opt := badday.Options{Binary: self, Plant: plant, Out: out, KeepDir: keep, AcknowledgeEvery: acknowledge}
+			names, texts := []string{"the mixed day"}, []string{badday.MixedScript}
 			switch {
 			case script != "":
 				b, err := os.ReadFile(script)
@@ -37,17 +37,17 @@
 				}
 				names, texts = []string{script}, []string{string(b)}
 			case plant != "" && trouble == "":
-				names, texts = []string{"break " + plant}, []string{badday.ForBreak(plant)}
+				names, texts = []string{"break " + plant}, []string{badday.ScriptForFault(plant)}
 			case trouble != "":
-				text, err := badday.One(trouble)
+				text, err := badday.SingleTrouble(trouble)
 				if err != nil {
 					return err
 				}
 				names, texts = []string{trouble}, []string{text}
 			case all:
 				names, texts = nil, nil
-				for _, k := range badday.Kinds {
-					text, _ := badday.One(k.Name)
+				for _, k := range badday.TroubleKinds {
+					text, _ := badday.SingleTrouble(k.Name)
 					names, texts = append(names, k.Name), append(texts, text)
 				}
 				opt.Out = io.Discard
@@ -87,7 +87,8 @@
 	f.StringVar(&script, "script", "", "run this script (CUE)")
 	f.StringVar(&trouble, "trouble", "", "inject one kind of fault only")
 	f.BoolVar(&all, "all", false, "run one scenario for each kind of fault")
-	f.StringVar(&plant, "break", "", "plant a fault that the audit must detect: "+strings.Join(badday.Breaks, ", "))
+	f.StringVar(&plant, "break", "", "plant a fault that the audit must detect: "+
+		strings.Join(badday.PlantableFaults, ", "))
 	f.StringVar(&keep, "keep", "", "keep configurations and logs in this directory")
 	f.DurationVar(&acknowledge, "acknowledge-every", 0,
 		"interval at which MQTT clients acknowledge answers in batches; 0 for at once")
--- a/internal/badday/audit.go
+++ b/internal/badday/audit.go
@@ -22,11 +22,11 @@
 
 // Report is the result of a run and its audit.
 type Report struct {
-	Rules    []*Rule        `json:"rules"`
-	Answers  map[string]int `json:"answers"`
-	Calls    map[string]int `json:"calls"`
-	Messages int            `json:"messages"`
-	Served   float64        `json:"delivered_share"`
+	Rules          []*Rule        `json:"rules"`
+	Answers        map[string]int `json:"answers"`
+	Calls          map[string]int `json:"calls"`
+	Messages       int            `json:"messages"`
+	DeliveredShare float64        `json:"delivered_share"`
 }
 
 // Broken returns the number of rules that were broken.
@@ -41,7 +41,8 @@
 
 // Print writes the report; its last line gives the number of broken rules.
 func (r *Report) Print(w io.Writer) {
-	fmt.Fprintf(w, "messages %d, delivered %.1f%%; answers %v; calls %v\n", r.Messages, 100*r.Served, r.Answers, r.Calls)
+	fmt.Fprintf(w, "messages %d, delivered %.1f%%; answers %v; calls %v\n",
+		r.Messages, 100*r.DeliveredShare, r.Answers, r.Calls)
 	for _, x := range r.Rules {
 		fmt.Fprintf(w, "  %-34s %6d occasions  %4d broken\n", x.Name, x.Occasions, x.Broken)
 		for _, e := range x.Examples {
@@ -103,11 +104,11 @@
 	for _, l := range byID {
 		slices.SortFunc(l, byStart)
 	}
-	var hands []*handIn
+	var handIns []*handIn
 	for _, s := range d.senders {
-		hands = append(hands, s.handIns...)
+		handIns = append(handIns, s.handIns...)
 	}
-	r.Rules = []*Rule{d.auditAnswers(hands, byID, r), auditEffects(byID), d.auditDrains(calls), d.auditReturns(),
+	r.Rules = []*Rule{d.auditAnswers(handIns, byID, r), auditEffects(byID), d.auditDrains(calls), d.auditReturns(),
 		d.auditOrder(calls), d.auditWaits(calls)}
 	return r
 }
@@ -116,9 +117,9 @@
 // an earlier hand-in of the same message, the relay may have received that one and joined the
 // later hand-in to it. The deadline of the earlier one then holds: the client rounds the
 // remaining time down to whole seconds when it retries.
-func answerDue(h *handIn, hands []*handIn) time.Time {
+func answerDue(h *handIn, handIns []*handIn) time.Time {
 	due := h.at.Add(h.timeLeft)
-	for _, before := range hands {
+	for _, before := range handIns {
 		if before.unknown && before.id == h.id && before.relay == h.relay && before.at.Before(h.at) {
 			if joined := before.at.Add(before.timeLeft); joined.After(due) {
 				due = joined
@@ -131,12 +132,12 @@
 // answersTo returns the answers to a hand-in. If the client handed the message in again at the
 // same relay before an answer came, the relay joins the two hand-ins and answers both at once;
 // the client records that answer on the newest hand-in.
-func answersTo(h *handIn, hands []*handIn) []client.Answer {
+func answersTo(h *handIn, handIns []*handIn) []client.Answer {
 	if len(h.answers) > 0 {
 		return h.answers
 	}
 	var joined *handIn
-	for _, later := range hands {
+	for _, later := range handIns {
 		if later.id == h.id && later.relay == h.relay && later.number > h.number && len(later.answers) > 0 &&
 			(joined == nil || later.number < joined.number) {
 			joined = later
@@ -150,14 +151,14 @@
 
 // auditAnswers checks that each message accepted by a relay that was not killed afterwards gets
 // exactly one final answer, in time, and that no call of it starts after the answer.
-func (d *deployment) auditAnswers(hands []*handIn, byID map[string][]*call, r *Report) *Rule {
+func (d *deployment) auditAnswers(handIns []*handIn, byID map[string][]*call, r *Report) *Rule {
 	x := &Rule{Name: "one answer, in time, and the last"}
-	got, all := map[string]bool{}, map[string]bool{}
-	for _, h := range hands {
-		all[h.id] = true
+	deliveredIDs, allIDs := map[string]bool{}, map[string]bool{}
+	for _, h := range handIns {
+		allIDs[h.id] = true
 		for _, a := range h.answers {
 			if a.Answer == "delivered" {
-				got[h.id] = true
+				deliveredIDs[h.id] = true
 			}
 		}
 		if !h.taken || h.orphan || d.relays[h.relay].killedAfter(h.at) && len(h.answers) == 0 {
@@ -165,7 +166,7 @@
 		}
 		x.Occasions++
 		name := fmt.Sprintf("%s (%s to %s, hand-in %d at relay %d)", h.id, h.class, h.partner, h.number, h.relay)
-		answers := answersTo(h, hands)
+		answers := answersTo(h, handIns)
 		if len(answers) == 0 {
 			x.fail("%s: no answer; %s", name, d.history(h))
 			continue
@@ -177,7 +178,7 @@
 				x.fail("%s: %s, then %s; %s", name, first.Answer, a.Answer, d.history(h))
 			}
 		}
-		due := answerDue(h, hands)
+		due := answerDue(h, handIns)
 		for _, s := range d.relays[h.relay].stalls {
 			// waited in the socket buffer while the relay was stopped; accepted only afterwards
 			if h.at.After(s[0].Add(-answerSlack)) && h.at.Before(s[1]) {
@@ -202,9 +203,9 @@
 			}
 		}
 	}
-	r.Messages = len(all)
-	if len(all) > 0 {
-		r.Served = float64(len(got)) / float64(len(all))
+	r.Messages = len(allIDs)
+	if len(allIDs) > 0 {
+		r.DeliveredShare = float64(len(deliveredIDs)) / float64(len(allIDs))
 	}
 	return x
 }
@@ -240,7 +241,7 @@
 	x := &Rule{Name: "no effect twice"}
 	for id, l := range byID {
 		effects := 0
-		var ran *call // first call that may have taken effect
+		var maybeRan *call // first call that may have taken effect
 		for i, c := range l {
 			if c.Effect {
 				effects++
@@ -251,17 +252,17 @@
 					x.fail("%s: a second attempt while the first was out for %v more", id, before.endedAt().Sub(c.Start))
 				}
 			}
-			if ran != nil {
+			if maybeRan != nil {
 				switch {
 				case c.Class == "charge":
 					x.fail("%s: charge sent again %v after an attempt that may have run (%s)", id,
-						c.Start.Sub(ran.Start), ran.What)
-				case c.Class == "order" && c.Start.Sub(ran.Start) > window+recordSlack:
-					x.fail("%s: keyed message sent again %v after an attempt that may have run", id, c.Start.Sub(ran.Start))
+						c.Start.Sub(maybeRan.Start), maybeRan.What)
+				case c.Class == "order" && c.Start.Sub(maybeRan.Start) > window+recordSlack:
+					x.fail("%s: keyed message sent again %v after an attempt that may have run", id, c.Start.Sub(maybeRan.Start))
 				}
 			}
-			if ran == nil && c.What != standin.Refused {
-				ran = c
+			if maybeRan == nil && c.What != standin.Refused {
+				maybeRan = c
 			}
 		}
 		if l[0].Class == "charge" {
@@ -278,15 +279,15 @@
 // the list marked the endpoint as draining or left it out.
 func (d *deployment) auditDrains(calls []*call) *Rule {
 	x := &Rule{Name: "drains kept"}
-	told := map[string]time.Time{}
+	withdrawnAt := map[string]time.Time{}
 	for _, e := range d.endpoints {
 		if !e.withdrawnAt.IsZero() {
-			told[e.Addr] = e.withdrawnAt
+			withdrawnAt[e.Addr] = e.withdrawnAt
 			x.Occasions += len(d.relays)
 		}
 	}
 	for _, c := range calls {
-		t, ok := told[c.Endpoint]
+		t, ok := withdrawnAt[c.Endpoint]
 		if !ok {
 			continue
 		}
@@ -300,7 +301,7 @@
 		}
 		if c.Start.After(t) {
 			x.fail("%s: a call of %s %v after it was listed as draining", c.Endpoint, c.Relay,
-				c.Start.Sub(told[c.Endpoint]))
+				c.Start.Sub(withdrawnAt[c.Endpoint]))
 		}
 	}
 	return x
@@ -314,15 +315,15 @@
 	for _, p := range d.partners {
 		x.Occasions += p.Returns()
 		for _, f := range p.Falls() {
-			all, saw := 0, 0
+			total, afterFailure := 0, 0
 			for relay, n := range f.Calls {
-				all += n
+				total += n
 				if f.Saw[relay] {
-					saw += n
+					afterFailure += n
 				}
 			}
-			if 3*saw >= 2*all {
-				x.fail("%s fell over: %d of %d calls from relays that had met a failure there", p.Name, saw, all)
+			if 3*afterFailure >= 2*total {
+				x.fail("%s fell over: %d of %d calls from relays that had met a failure there", p.Name, afterFailure, total)
 			}
 		}
 	}
@@ -426,6 +427,6 @@
 	for _, k := range slices.Sorted(maps.Keys(r.Answers)) {
 		parts = append(parts, fmt.Sprintf("%s %d", k, r.Answers[k]))
 	}
-	return fmt.Sprintf("%5d messages, %5.1f%% delivered (%s), rules broken: %d", r.Messages, 100*r.Served,
+	return fmt.Sprintf("%5d messages, %5.1f%% delivered (%s), rules broken: %d", r.Messages, 100*r.DeliveredShare,
 		strings.Join(parts, ", "), r.Broken())
 }
--- a/internal/badday/crash.go
+++ b/internal/badday/crash.go
@@ -31,28 +31,29 @@
 	Seed    uint64
 	Clients int
 	Out     io.Writer
-	Keep    string // directory for configuration, journal and log; empty for a temporary one
+	KeepDir string // directory for configuration, journal and log; empty for a temporary one
 }
 
-// CrashReport is the result of a crash run; each of the counters from Twice to Untrue must be 0.
+// CrashReport is the result of a crash run; each of the counters from DoubleEffects to
+// DeliveredWithoutEffect must be 0.
 type CrashReport struct {
-	Kills    int            `json:"kills"`
-	Early    int            `json:"kills_during_start"`
-	Taken    int            `json:"taken"`
-	Answers  map[string]int `json:"answers"`
-	Calls    int            `json:"calls"`
-	Twice    int            `json:"charges_with_two_effects"`
-	Again    int            `json:"charges_sent_again"`
-	Lost     int            `json:"taken_and_never_answered"`
-	Changed  int            `json:"answers_that_changed"`
-	Disorder int            `json:"order_broken"`
-	Untrue   int            `json:"delivered_without_effect"`
-	Examples []string       `json:"examples,omitempty"`
+	Kills                  int            `json:"kills"`
+	KillsDuringStart       int            `json:"kills_during_start"`
+	Taken                  int            `json:"taken"`
+	Answers                map[string]int `json:"answers"`
+	Calls                  int            `json:"calls"`
+	DoubleEffects          int            `json:"charges_with_two_effects"`
+	ResentCharges          int            `json:"charges_sent_again"`
+	Unanswered             int            `json:"taken_and_never_answered"`
+	ChangedAnswers         int            `json:"answers_that_changed"`
+	OutOfOrder             int            `json:"order_broken"`
+	DeliveredWithoutEffect int            `json:"delivered_without_effect"`
+	Examples               []string       `json:"examples,omitempty"`
 }
 
 // Broken returns the number of broken guarantees.
 func (r *CrashReport) Broken() int {
-	return r.Twice + r.Again + r.Lost + r.Changed + r.Disorder + r.Untrue
+	return r.DoubleEffects + r.ResentCharges + r.Unanswered + r.ChangedAnswers + r.OutOfOrder + r.DeliveredWithoutEffect
 }
 
 func (r *CrashReport) fail(n *int, format string, args ...any) {
@@ -167,7 +168,7 @@
 
 // Crash kills a relay repeatedly under load and audits its guarantees.
 func Crash(ctx context.Context, opt CrashOptions) (*CrashReport, error) {
-	dir := opt.Keep
+	dir := opt.KeepDir
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "basaltcross-crash-"); err != nil {
@@ -278,7 +279,7 @@
 			return nil, err
 		}
 		if early := rng.IntN(10) == 0; early { // kill it during start-up and recovery
-			r.Early++
+			r.KillsDuringStart++
 			pause.For(ctx, time.Duration(rng.Float64()*float64(60*time.Millisecond)))
 		} else {
 			if !up() {
@@ -335,7 +336,7 @@
 		byID[id] = append(byID[id], c)
 		if key != "" {
 			if was := newest[key]; n < was.n {
-				r.fail(&r.Disorder, "%s: %s went out after %s", key, id, was.id)
+				r.fail(&r.OutOfOrder, "%s: %s went out after %s", key, id, was.id)
 			} else {
 				newest[key] = last{n, id}
 			}
@@ -345,7 +346,7 @@
 		effects, ran := 0, false
 		for _, c := range l {
 			if ran && c.Class == "charge" {
-				r.fail(&r.Again, "%s went out again though it may have run", id)
+				r.fail(&r.ResentCharges, "%s went out again though it may have run", id)
 			}
 			ran = ran || c.What != standin.Refused
 			if c.Effect {
@@ -353,7 +354,7 @@
 			}
 		}
 		if effects > 1 && l[0].Class == "charge" {
-			r.fail(&r.Twice, "%s took effect %d times", id, effects)
+			r.fail(&r.DoubleEffects, "%s took effect %d times", id, effects)
 		}
 	}
 	for _, c := range clients {
@@ -361,19 +362,19 @@
 			r.Taken++
 			l := c.answers[id]
 			if len(l) == 0 {
-				r.fail(&r.Lost, "%s was taken and never answered", id)
+				r.fail(&r.Unanswered, "%s was taken and never answered", id)
 				continue
 			}
 			r.Answers[l[0]]++
 			for _, a := range l[1:] {
 				if a != l[0] {
-					r.fail(&r.Changed, "%s: %s, then %s", id, l[0], a)
+					r.fail(&r.ChangedAnswers, "%s: %s, then %s", id, l[0], a)
 				}
 			}
 			if l[0] == "delivered" && !slices.ContainsFunc(byID[id], func(k standin.Call) bool {
 				return k.What == standin.Served || k.What == standin.Repeat
 			}) {
-				r.fail(&r.Untrue, "%s: delivered, but no partner served it", id)
+				r.fail(&r.DeliveredWithoutEffect, "%s: delivered, but no partner served it", id)
 			}
 		}
 	}
@@ -382,13 +383,15 @@
 // Print writes the report; its last line gives the number of broken guarantees.
 func (r *CrashReport) Print(w io.Writer) {
 	fmt.Fprintf(w, "killed %d times, %d of them during the start; %d messages taken, answers %v, %d calls\n",
-		r.Kills, r.Early,
+		r.Kills, r.KillsDuringStart,
 		r.Taken, r.Answers, r.Calls)
 	for _, l := range []struct {
 		name string
 		n    int
-	}{{"charges with two effects", r.Twice}, {"charges sent again", r.Again}, {"taken and never answered", r.Lost},
-		{"answers that changed", r.Changed}, {"order broken", r.Disorder}, {"delivered without effect", r.Untrue}} {
+	}{{"charges with two effects", r.DoubleEffects}, {"charges sent again", r.ResentCharges},
+		{"taken and never answered", r.Unanswered},
+		{"answers that changed", r.ChangedAnswers}, {"order broken", r.OutOfOrder},
+		{"delivered without effect", r.DeliveredWithoutEffect}} {
 		fmt.Fprintf(w, "  %-28s %d\n", l.name, l.n)
 	}
 	for _, e := range r.Examples {
--- a/internal/badday/deployment.go
+++ b/internal/badday/deployment.go
@@ -26,11 +26,11 @@
 
 // Options configures a run.
 type Options struct {
-	Binary string   // path of the program that runs the relays
-	Env    []string // additions to the relays' environment
-	Plant  string   // fault to plant in all relays; empty for none
-	Out    io.Writer
-	Keep   string // directory for configurations and logs; empty for a temporary one
+	Binary  string   // path of the program that runs the relays
+	Env     []string // additions to the relays' environment
+	Plant   string   // fault to plant in all relays; empty for none
+	Out     io.Writer
+	KeepDir string // directory for configurations and logs; empty for a temporary one
 	// AcknowledgeEvery is the time between the MQTT clients' batches of acknowledgements; 0
 	// for clients that acknowledge each answer at once.
 	AcknowledgeEvery time.Duration
@@ -308,7 +308,7 @@
 
 // Run runs a script and audits the result.
 func Run(ctx context.Context, s Script, opt Options) (*Report, error) {
-	d := &deployment{opt: opt, script: s, dir: opt.Keep, rand: rand.New(rand.NewPCG(s.Seed, 2)),
+	d := &deployment{opt: opt, script: s, dir: opt.KeepDir, rand: rand.New(rand.NewPCG(s.Seed, 2)),
 		rec: standin.NewRecorder(maxRecordedCalls), rateFactor: 1}
 	if d.dir == "" {
 		dir, err := os.MkdirTemp("", "basaltcross-day-")
--- a/internal/badday/plant.go
+++ b/internal/badday/plant.go
@@ -24,8 +24,8 @@
 	"basaltcross.example/basaltcross/internal/relay"
 )
 
-// Breaks lists the faults that can be planted in a relay to check that the audit finds them.
-var Breaks = []string{"double-send", "send-to-drained", "early-after-wait", "out-of-order", "no-answer",
+// PlantableFaults lists the faults that can be planted in a relay to check that the audit finds them.
+var PlantableFaults = []string{"double-send", "send-to-drained", "early-after-wait", "out-of-order", "no-answer",
 	"late-answer", "flood-cold"}
 
 // Plant returns hooks that make a relay break one rule, in part of the cases.
@@ -42,7 +42,7 @@
 	case "answer-before-sync":
 		h.Journal = func(j core.Journal) core.Journal { return &earlySyncJournal{j} }
 	default:
-		return h, fmt.Errorf("badday: unknown fault %q; known faults: %s", name, strings.Join(Breaks, ", "))
+		return h, fmt.Errorf("badday: unknown fault %q; known faults: %s", name, strings.Join(PlantableFaults, ", "))
 	}
 	return h, nil
 }
--- a/internal/badday/script.go
+++ b/internal/badday/script.go
@@ -38,8 +38,8 @@
 	Troubles  []Trouble
 }
 
-// Kinds lists the kinds of injected faults, each with a part and a size that have a clear effect.
-var Kinds = []struct {
+// TroubleKinds lists the kinds of injected faults, each with a part and a size that have a clear effect.
+var TroubleKinds = []struct {
 	Name string
 	Part float64
 	Size float64
@@ -54,8 +54,8 @@
 	{"flap", 0.4, 0},
 }
 
-// Mixed is the default script: faults of many kinds, in well under a minute.
-const Mixed = `
+// MixedScript is the default script: faults of many kinds, in well under a minute.
+const MixedScript = `
 lasts: "22s"
 troubles: [
 	{name: "burst", at: "2s", for: "2s", size: 2},
@@ -69,9 +69,9 @@
 	{name: "give_up", at: "17s", for: "1s", part: 0.4},
 ]`
 
-// One returns a script with a single kind of fault.
-func One(kind string) (string, error) {
-	for _, k := range Kinds {
+// SingleTrouble returns a script with a single kind of fault.
+func SingleTrouble(kind string) (string, error) {
+	for _, k := range TroubleKinds {
 		if k.Name == kind {
 			catalogue := strings.HasPrefix(kind, "catalogue_") || kind == "flap"
 			return fmt.Sprintf(
@@ -110,8 +110,8 @@
 	return s, nil
 }
 
-// ForBreak returns a script under which a planted fault becomes visible.
-func ForBreak(name string) string {
+// ScriptForFault returns a script under which a planted fault becomes visible.
+func ScriptForFault(name string) string {
 	trouble := map[string]string{
 		"send-to-drained":  `{name: "deploy", at: "2s", for: "4s", part: 0.6}`,
 		"early-after-wait": `{name: "throttle", at: "2s", for: "5s", part: 1, size: 0.2}`,
--- a/internal/badday/sender.go
+++ b/internal/badday/sender.go
@@ -135,13 +135,13 @@
 func (s *sender) run(ctx context.Context) {
 	var next *handIn
 	for ctx.Err() == nil {
-		away := time.Now()
+		disconnectedAt := time.Now()
 		cl := s.connect(ctx)
 		if cl == nil {
 			return
 		}
 		s.mu.Lock()
-		s.disconnects = append(s.disconnects, [2]time.Time{away, time.Now()})
+		s.disconnects = append(s.disconnects, [2]time.Time{disconnectedAt, time.Now()})
 		s.conn = cl
 		relay := s.relay
 		s.mu.Unlock()
--- a/internal/fleet/address.go
+++ b/internal/fleet/address.go
@@ -13,35 +13,35 @@
 	"basaltcross.example/basaltcross/internal/addr"
 )
 
-// Learns selects what is remembered about addresses from one connection to the next.
-type Learns string
+// AddressMemory selects what is remembered about addresses from one connection to the next.
+type AddressMemory string
 
-// The policies compared: All uses the program's address selectors and the health of address
-// families; Books uses selectors alone, so that a dead family is detected at each endpoint
-// anew; NoMemory keeps no state, as a dialler that starts afresh for each connection and waits
+// The policies compared: SelectorsAndFamilies uses the program's address selectors and the health
+// of address families; SelectorsOnly leaves out the latter, so that a dead family is detected at
+// each endpoint anew; NoMemory keeps no state, as a dialler that starts afresh for each connection and waits
 // for the connection attempt delay of RFC 8305.
 const (
-	All      Learns = "books and families"
-	Books    Learns = "books alone"
-	NoMemory Learns = "no memory"
+	SelectorsAndFamilies AddressMemory = "books and families"
+	SelectorsOnly        AddressMemory = "books alone"
+	NoMemory             AddressMemory = "no memory"
 )
 
 // AddressSettings configures a simulation of connections alone: relays call endpoints that have
 // an IPv6 and an IPv4 address each.
 type AddressSettings struct {
-	Seed      uint64
-	Learns    Learns
-	Relays    int
-	Endpoints int
-	Rate      float64       // calls per second of all relays together
-	Lasts     time.Duration // duration of the run; IPv6 is dead in its middle third
-	Dead      float64       // fraction of the endpoints whose IPv6 is dead then
-	Keep      time.Duration // idle time after which a connection is closed
+	Seed        uint64
+	Memory      AddressMemory
+	Relays      int
+	Endpoints   int
+	Rate        float64       // calls per second of all relays together
+	Duration    time.Duration // duration of the run; IPv6 is dead in its middle third
+	DeadShare   float64       // fraction of the endpoints whose IPv6 is dead then
+	IdleTimeout time.Duration // idle time after which a connection is closed
 }
 
 // AddressResult is the result of a run of Addresses.
 type AddressResult struct {
-	Learns   Learns
+	Memory   AddressMemory
 	Calls    int
 	Dialed   int           // calls that needed a new connection
 	Struck   int           // new connections to an endpoint whose IPv6 was dead at the time
@@ -54,7 +54,7 @@
 
 // Addresses runs the simulation.
 func Addresses(s AddressSettings) AddressResult {
-	r := AddressResult{Learns: s.Learns}
+	r := AddressResult{Memory: s.Memory}
 	rng := rand.New(rand.NewPCG(s.Seed, 5))
 	type place struct{ relay, endpoint int }
 	books := map[place]*addr.Selector{}
@@ -67,27 +67,27 @@
 	}
 	var added []time.Duration
 	var back, late int
-	for now := time.Duration(0); now < s.Lasts; now += time.Duration(rng.ExpFloat64() / s.Rate * 1e9) {
+	for now := time.Duration(0); now < s.Duration; now += time.Duration(rng.ExpFloat64() / s.Rate * 1e9) {
 		at := place{rng.IntN(s.Relays), int(float64(s.Endpoints) * math.Pow(rng.Float64(), 2))}
 		wait := time.Duration((2 + 3*rng.Float64()) * float64(time.Millisecond)) // round-trip time to this endpoint
 		r.Calls++
 		if until, ok := last[at]; ok && now < until {
-			last[at] = now + s.Keep
+			last[at] = now + s.IdleTimeout
 			continue
 		}
-		last[at] = now + s.Keep
+		last[at] = now + s.IdleTimeout
 		r.Dialed++
 		// Which endpoints are affected is independent of how often they are called.
-		struck := float64(at.endpoint*7919%s.Endpoints) < s.Dead*float64(s.Endpoints)
-		dead := struck && now > s.Lasts/3 && now < 2*s.Lasts/3
+		struck := float64(at.endpoint*7919%s.Endpoints) < s.DeadShare*float64(s.Endpoints)
+		dead := struck && now > s.Duration/3 && now < 2*s.Duration/3
 		book := books[at]
-		if book == nil || s.Learns == NoMemory {
+		if book == nil || s.Memory == NoMemory {
 			f := &families[at.relay]
-			if s.Learns != All {
+			if s.Memory != SelectorsAndFamilies {
 				f = &addr.FamilyHealth{}
 			}
 			book = addr.NewSelector("e", f, lists[at.endpoint])
-			if s.Learns == All {
+			if s.Memory == SelectorsAndFamilies {
 				book = addr.NewSelector(fmt.Sprint(at.endpoint), f, lists[at.endpoint])
 			}
 			books[at] = book
@@ -119,7 +119,7 @@
 			if added = append(added, up-wait); up-wait >= 10*time.Millisecond {
 				r.Delayed++
 			}
-		} else if struck && now > s.Lasts*9/10 {
+		} else if struck && now > s.Duration*9/10 {
 			if late++; plan[won].Family == addr.IPv6 {
 				back++
 			}
@@ -141,9 +141,9 @@
 func PrintAddresses(w io.Writer, results []AddressResult) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t,
-		"learned\tcalls\tconnections\tstruck\tdelayed\tadded, mean\tadded, p99\textra connections\tIPv6 again\t")
+		"address memory\tcalls\tconnections\tstruck\tdelayed\tadded, mean\tadded, p99\textra connections\tIPv6 again\t")
 	for _, r := range results {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f%%\t%v\t%v\t%.1f%%\t%.0f%%\t\n", r.Learns, r.Calls, r.Dialed, r.Struck,
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f%%\t%v\t%v\t%.1f%%\t%.0f%%\t\n", r.Memory, r.Calls, r.Dialed, r.Struck,
 			100*float64(r.Delayed)/float64(max(1, r.Struck)), r.Mean.Round(100*time.Microsecond),
 			r.P99.Round(time.Millisecond), 100*float64(r.Extra)/float64(cmp.Or(r.Dialed, 1)), 100*r.Returned)
 	}
--- a/internal/fleet/calibrate.go
+++ b/internal/fleet/calibrate.go
@@ -42,7 +42,7 @@
 		return out, err
 	}
 	defer os.RemoveAll(dir)
-	out = Result{How: string(s.How), Seed: int64(s.Seed), Relays: int64(s.Relays), Bytes: s.Bytes}
+	out = Result{Policy: string(s.Policy), Seed: int64(s.Seed), Relays: int64(s.Relays), Bytes: s.Bytes}
 	rec := standin.NewRecorder(0)
 	type end struct {
 		e       *standin.Endpoint
@@ -94,7 +94,7 @@
 `, i, i, s.Relays, i%s.Zones, s.Seed+uint64(i)+1, zones.String(), s.Bytes*s.Overdraft,
 			partners.String(), s.Bytes, s.Window,
 			requestBytes+responseBytes, filepath.Join(dir, "list.cue"))
-		if s.How == None {
+		if s.Policy == NoBudget {
 			text = text[:strings.Index(text, "budget:")] + text[strings.Index(text, "directory:"):]
 		}
 		cfg, err := config.Parse("model.cue", []byte(text))
@@ -148,7 +148,7 @@
 		defer c.Close()
 		part := 1.0
 		if n := float64(s.Relays - 1); n > 0 {
-			part += s.Uneven * (1 - 2*float64(i)/n)
+			part += s.Skew * (1 - 2*float64(i)/n)
 		}
 		rate := s.Rate / float64(s.Relays) * part
 		if rate <= 0 {
@@ -157,7 +157,7 @@
 		all.Go(func() {
 			rng := rand.New(rand.NewPCG(s.Seed, uint64(100+i)))
 			at := time.Duration(rng.ExpFloat64() / rate * 1e9)
-			for n := 0; at < s.Lasts && ctx.Err() == nil; n++ {
+			for n := 0; at < s.Duration && ctx.Err() == nil; n++ {
 				time.Sleep(time.Until(begin.Add(at)))
 				class, x := 0, rng.Float64()
 				for class < len(classShares)-1 && x > classShares[class] {
@@ -191,9 +191,9 @@
 		}
 	}
 	if s.Outage > 0 {
-		time.Sleep(time.Until(begin.Add(s.Lasts / 3)))
+		time.Sleep(time.Until(begin.Add(s.Duration / 3)))
 		outage(true)
-		time.Sleep(time.Until(begin.Add(2 * s.Lasts / 3)))
+		time.Sleep(time.Until(begin.Add(2 * s.Duration / 3)))
 		outage(false)
 	}
 	all.Wait()
@@ -206,7 +206,7 @@
 			}
 		}
 		if z.Budget != nil {
-			out.Over += z.Budget.Overdrawn
+			out.Overdrawn += z.Budget.Overdrawn
 		}
 	}
 	mu.Lock()
@@ -229,7 +229,7 @@
 	row("worth delivered of it", sockets.Delivered/sockets.Asked, model.Delivered/model.Asked)
 	row("charges delivered", sockets.Charge/sockets.ChargeAsked, model.Charge/model.ChargeAsked)
 	row("bytes crossed", sockets.Crossed, model.Crossed)
-	row("overdrawn", sockets.Over, model.Over)
+	row("overdrawn", sockets.Overdrawn, model.Overdrawn)
 	row("refused", float64(sockets.Refused), float64(model.Refused))
 	row("failed", float64(sockets.Failed), float64(model.Failed))
 	_ = t.Flush()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -22,53 +22,53 @@
 const Limits = "no connections and their set-up, no clients that come again, no CPU; partners have service times, " +
 	"slots and outages, and no rate limits"
 
-// How selects how cross-zone traffic is limited.
-type How string
+// Policy selects how cross-zone traffic is limited.
+type Policy string
 
 // The policies compared: Budget divides the budget evenly among the relays; Ideal is one shared
-// budget whose state all relays see without delay; None has no budget; Blind is a cap of the
-// same size, divided evenly, on all traffic whatever its zone.
+// budget whose state all relays see without delay; NoBudget has none; ZoneBlindCap is a cap of
+// the same size, divided evenly, on all traffic whatever its zone.
 const (
-	Budget How = "budget"
-	Ideal  How = "ideal"
-	None   How = "no budget"
-	Blind  How = "zone-blind cap"
+	Budget       Policy = "budget"
+	Ideal        Policy = "ideal"
+	NoBudget     Policy = "no budget"
+	ZoneBlindCap Policy = "zone-blind cap"
 )
 
 // Settings configures a run.
 type Settings struct {
 	Seed      uint64
-	How       How
+	Policy    Policy
 	Bytes     float64       // budget of the whole installation for a Window
 	Window    time.Duration // length of the budget's window
 	Relays    int
 	Partners  int
 	Zones     int
 	Rate      float64       // messages per second of all relays together
-	Lasts     time.Duration // period in which messages arrive
+	Duration  time.Duration // period in which messages arrive
 	Overdraft float64       // overdraft of the at-most-once class, as a fraction of Bytes
-	Uneven    float64       // skew of the load; 0: even, 1: the first relay has twice the mean, the last none
+	Skew      float64       // skew of the load; 0: even, 1: the first relay has twice the mean, the last none
 	// Outage is the fraction of the partners whose first endpoint is down in the middle third
 	// of the run, so that relays in its zone must send across zones.
 	Outage float64
 	// Silent makes the first zone's endpoints accept calls and never answer in the middle third
 	// of the run. They return with a quarter of their slots; the others follow 5 s later.
 	Silent bool
-	// Die is the fraction of the relays that crash halfway through the run.
-	Die float64
-	// Late is the delay after which the other relays learn that a relay is gone.
-	Late time.Duration
-	// Size configures a change of the fleet's size and what relays assume of it; nil for none.
-	Size *Size
+	// CrashShare is the fraction of the relays that crash halfway through the run.
+	CrashShare float64
+	// DetectionDelay is the delay after which the other relays learn that a relay is gone.
+	DetectionDelay time.Duration
+	// SizeTest configures a change of the fleet's size and what relays assume of it; nil for none.
+	SizeTest *SizeTest
 }
 
 // Sizes and times of the modelled traffic.
 const (
-	requestBytes      = 600                   // bytes
-	responseBytes     = 400                   // bytes
-	medianServiceTime = 30 * time.Millisecond // median
-	serviceTimeSpread = 0.5                   // standard deviation of the logarithm of the service time
-	slotsPerRelay     = 8                     // concurrent calls of an endpoint, before scaling by relays per partner
+	requestBytes      = 600 // request with its headers
+	responseBytes     = 400 // response with its headers
+	medianServiceTime = 30 * time.Millisecond
+	serviceTimeSpread = 0.5 // standard deviation of the logarithm of the service time
+	slotsPerRelay     = 8   // concurrent calls of an endpoint, before scaling by relays per partner
 )
 
 // classes are the message classes of the modelled traffic.
@@ -85,21 +85,21 @@
 // Result is the result of a run. Asked, Delivered, ChargeAsked and Charge are sums of worth; Charge
 // and ChargeAsked count the charge class only.
 type Result struct {
-	How         string  `parquet:"how,dict"`
-	Seed        int64   `parquet:"seed"`
-	Relays      int64   `parquet:"relays"`
-	Bytes       float64 `parquet:"budget_bytes"`
-	Asked       float64 `parquet:"worth_asked"`
-	Delivered   float64 `parquet:"worth_delivered"`
-	ChargeAsked float64 `parquet:"charge_asked"`
-	Charge      float64 `parquet:"charge_delivered"`
-	Crossed     float64 `parquet:"bytes_crossed"`
-	Worst       float64 `parquet:"worst_window_bytes"` // most cross-zone bytes within any window
-	Over        float64 `parquet:"overdrawn_bytes"`
-	Refused     int64   `parquet:"refused"`
-	Failed      int64   `parquet:"failed"`
-	Shut        int64   `parquet:"refused_calls"` // calls refused by partners' rate limits
-	Pushed      int64   `parquet:"pushed_over"`   // partners overloaded on their return from an outage
+	Policy       string  `parquet:"how,dict"`
+	Seed         int64   `parquet:"seed"`
+	Relays       int64   `parquet:"relays"`
+	Bytes        float64 `parquet:"budget_bytes"`
+	Asked        float64 `parquet:"worth_asked"`
+	Delivered    float64 `parquet:"worth_delivered"`
+	ChargeAsked  float64 `parquet:"charge_asked"`
+	Charge       float64 `parquet:"charge_delivered"`
+	Crossed      float64 `parquet:"bytes_crossed"`
+	WorstWindow  float64 `parquet:"worst_window_bytes"` // most cross-zone bytes within any window
+	Overdrawn    float64 `parquet:"overdrawn_bytes"`
+	Refused      int64   `parquet:"refused"`
+	Failed       int64   `parquet:"failed"`
+	RefusedCalls int64   `parquet:"refused_calls"` // calls refused by partners' rate limits
+	Overloaded   int64   `parquet:"pushed_over"`   // partners overloaded on their return from an outage
 }
 
 // event is an action at a simulated time; seq orders events of the same time.
@@ -126,8 +126,8 @@
 	return x
 }
 
-// World is the state of one run.
-type World struct {
+// simulation is the state of one run.
+type simulation struct {
 	settings  Settings
 	now       time.Duration
 	seq       uint64
@@ -135,7 +135,7 @@
 	rand      *rand.Rand // service times; arrivals have generators of their own and so are the same for each policy
 	relays    []*relay
 	hosts     map[string]*host
-	limits    []*rateLimit // rate limits by partner; used with Settings.Size only
+	limits    []*rateLimit // rate limits by partner; used with Settings.SizeTest only
 	result    Result
 	crossings []crossing
 }
@@ -157,7 +157,7 @@
 
 // relay is one simulated relay; it is also its core's Caller and Observer.
 type relay struct {
-	w        *World
+	w        *simulation
 	index    int
 	zone     int
 	core     *core.Core
@@ -168,15 +168,15 @@
 }
 
 // after schedules an action; a negative delay counts as 0.
-func (w *World) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + max(0, d), w.seq, do})
 }
 
 // Run simulates a run to its end, 10 s after the last arrival at most.
 func Run(s Settings) (Result, error) {
-	w := &World{settings: s, rand: rand.New(rand.NewPCG(s.Seed, 3)), hosts: map[string]*host{}}
-	w.result = Result{How: string(s.How), Seed: int64(s.Seed), Relays: int64(s.Relays), Bytes: s.Bytes}
+	w := &simulation{settings: s, rand: rand.New(rand.NewPCG(s.Seed, 3)), hosts: map[string]*host{}}
+	w.result = Result{Policy: string(s.Policy), Seed: int64(s.Seed), Relays: int64(s.Relays), Bytes: s.Bytes}
 	var list []choice.Host
 	for p := range s.Partners {
 		for i := range 2 { // each partner has two endpoints, in neighbouring zones
@@ -187,23 +187,23 @@
 			list = append(list, choice.Host{Addr: addr, Dest: p, Zone: z, Rate: w.listedRate(p), State: choice.Ready})
 		}
 	}
-	believed := s.Relays
-	if s.Size != nil {
-		believed = s.Size.initialAssumedSize(s.Relays)
+	assumedFleet := s.Relays
+	if s.SizeTest != nil {
+		assumedFleet = s.SizeTest.initialAssumedSize(s.Relays)
 	}
 	var sharedBook *budget.Book
 	for i := range s.Relays {
 		r := &relay{w: w, index: i, zone: i % s.Zones}
 		opt := core.Options{Seed: s.Seed + uint64(i), InboxSize: 1 << 20, Identities: 1 << 20,
 			Retention: time.Minute, Caller: r, Observer: r, Clock: func() time.Duration { return w.now },
-			Settings: choice.Settings{Index: i, Fleet: believed, ListedRates: s.Size != nil && s.Size.Listed,
+			Settings: choice.Settings{Index: i, Fleet: assumedFleet, ListedRates: s.SizeTest != nil && s.SizeTest.Listed,
 				Workers: 64, MaxHeld: 2000, MaxAttempts: 4,
 				Tick: 10 * time.Millisecond, Classes: classes,
-				Kinds: []choice.Kind{{PerCall: 1, PerHostLimits: s.Size == nil}}, Cancels: true,
+				Kinds: []choice.Kind{{PerCall: 1, PerHostLimits: s.SizeTest == nil}}, Cancels: true,
 				RefuseOnlyNeverRan: true, ReportLimitIndex: -1, ZoneFee: fees(s.Zones, r.zone),
 				Rules: choice.Rules{OverloadFactor: 2,
 					Fall: 2 * time.Second, ColdFrom: 0.2, Cold: 10 * time.Second}}}
-		if s.How != None {
+		if s.Policy != NoBudget {
 			set := budget.Settings{Bytes: s.Bytes, Window: s.Window, Burst: 0.25, Held: 0.3,
 				First: requestBytes + responseBytes}
 			for _, c := range classes {
@@ -214,7 +214,7 @@
 				set.Classes = append(set.Classes, k)
 			}
 			book, err := budget.New(set, s.Relays)
-			if s.How == Ideal {
+			if s.Policy == Ideal {
 				if sharedBook == nil {
 					sharedBook, err = budget.New(set, 1)
 				}
@@ -224,7 +224,7 @@
 				return w.result, err
 			}
 			own := r.zone
-			if s.How == Blind {
+			if s.Policy == ZoneBlindCap {
 				own = -1
 			}
 			r.toll = zone.NewToll(book, own)
@@ -235,23 +235,23 @@
 			return w.result, err
 		}
 		w.relays = append(w.relays, r)
-		r.dead = s.Size != nil && i >= s.Size.From
+		r.dead = s.SizeTest != nil && i >= s.SizeTest.From
 		r.core.List(choice.HostUpdate{Full: true, Hosts: list})
 		r.step()
 	}
-	if s.Size != nil {
+	if s.SizeTest != nil {
 		w.scheduleSizeTest()
 	} else {
 		w.schedule()
 	}
-	for len(w.queue) > 0 && w.now < s.Lasts+10*time.Second {
+	for len(w.queue) > 0 && w.now < s.Duration+10*time.Second {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.do()
 	}
 	for _, r := range w.relays {
-		if r.toll != nil && (s.How != Ideal || r.index == 0) {
-			w.result.Over += r.toll.State(w.now).Overdrawn
+		if r.toll != nil && (s.Policy != Ideal || r.index == 0) {
+			w.result.Overdrawn += r.toll.State(w.now).Overdrawn
 		}
 	}
 	w.findWorstWindow()
@@ -270,33 +270,33 @@
 }
 
 // schedule schedules the arrivals and the faults.
-func (w *World) schedule() {
+func (w *simulation) schedule() {
 	s := w.settings
 	for i, r := range w.relays {
 		part := 1.0
 		if n := float64(len(w.relays) - 1); n > 0 {
-			part += s.Uneven * (1 - 2*float64(i)/n)
+			part += s.Skew * (1 - 2*float64(i)/n)
 		}
 		if rate := s.Rate / float64(s.Relays) * part; rate > 0 {
 			w.arrivals(r, func() float64 { return rate })
 		}
 	}
 	if s.Outage > 0 {
-		w.after(s.Lasts/3, func() { w.setOutage(true) })
-		w.after(2*s.Lasts/3, func() { w.setOutage(false) })
+		w.after(s.Duration/3, func() { w.setOutage(true) })
+		w.after(2*s.Duration/3, func() { w.setOutage(false) })
 	}
 	if s.Silent {
-		w.after(s.Lasts/3, func() { w.setSilence(true) })
-		w.after(2*s.Lasts/3, func() { w.setSilence(false) })
+		w.after(s.Duration/3, func() { w.setSilence(true) })
+		w.after(2*s.Duration/3, func() { w.setSilence(false) })
 	}
-	if dying := int(s.Die * float64(s.Relays)); dying > 0 {
-		w.after(s.Lasts/2, func() {
+	if dying := int(s.CrashShare * float64(s.Relays)); dying > 0 {
+		w.after(s.Duration/2, func() {
 			for _, r := range w.relays[:dying] {
 				r.dead = true
 			}
-			w.after(s.Late, func() {
+			w.after(s.DetectionDelay, func() {
 				for _, r := range w.relays[dying:] {
-					if r.toll != nil && s.How != Ideal {
+					if r.toll != nil && s.Policy != Ideal {
 						r.toll.Fleet(w.now, s.Relays-dying)
 					}
 				}
@@ -307,7 +307,7 @@
 
 // setSilence begins or ends the silence of the first zone. On return three quarters of the slots stay
 // blocked for another 5 s.
-func (w *World) setSilence(on bool) {
+func (w *simulation) setSilence(on bool) {
 	for _, h := range w.hosts {
 		if h.zone != 0 {
 			continue
@@ -324,18 +324,18 @@
 }
 
 // setOutage takes the first endpoint of a fraction of the partners down, or brings it back.
-func (w *World) setOutage(on bool) {
+func (w *simulation) setOutage(on bool) {
 	for p := range int(w.settings.Outage * float64(w.settings.Partners)) {
 		w.hosts[fmt.Sprintf("p%d-0", p)].down = on
 	}
 }
 
 // arrivals schedules a relay's messages as a Poisson process, until the relay dies.
-func (w *World) arrivals(r *relay, rate func() float64) {
+func (w *simulation) arrivals(r *relay, rate func() float64) {
 	rng := rand.New(rand.NewPCG(w.settings.Seed, uint64(100+r.index)))
 	var next func()
 	next = func() {
-		if w.now >= w.settings.Lasts || r.dead {
+		if w.now >= w.settings.Duration || r.dead {
 			return
 		}
 		class, x := 0, rng.Float64()
@@ -435,7 +435,7 @@
 		})
 	}
 	if h.rateLimit != nil && !h.down && !h.rateLimit.admit(w) {
-		w.result.Shut++
+		w.result.RefusedCalls++
 		end(choice.Refused, time.Millisecond, 0)
 		return a
 	}
@@ -462,7 +462,7 @@
 }
 
 // countCrossZone counts bytes of a call if it crosses zones.
-func (w *World) countCrossZone(r *relay, h *host, bytes float64) {
+func (w *simulation) countCrossZone(r *relay, h *host, bytes float64) {
 	if h.zone != r.zone {
 		w.result.Crossed += bytes
 		w.crossings = append(w.crossings, crossing{w.now, bytes})
@@ -470,13 +470,13 @@
 }
 
 // findWorstWindow finds the window with the most cross-zone bytes.
-func (w *World) findWorstWindow() {
+func (w *simulation) findWorstWindow() {
 	sum, from := 0.0, 0
 	for _, c := range w.crossings {
 		for sum += c.bytes; c.at-w.crossings[from].at > w.settings.Window; from++ {
 			sum -= w.crossings[from].bytes
 		}
-		w.result.Worst = math.Max(w.result.Worst, sum)
+		w.result.WorstWindow = math.Max(w.result.WorstWindow, sum)
 	}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-func small(how How, bytes float64) Settings {
-	return Settings{Seed: 5, How: how, Bytes: bytes, Window: 5 * time.Second, Relays: 6, Partners: 6, Zones: 3, Rate: 120,
-		Lasts: 12 * time.Second, Outage: 0.5, Uneven: 0.5, Overdraft: 1}
+func small(how Policy, bytes float64) Settings {
+	return Settings{
+		Seed: 5, Policy: how, Bytes: bytes, Window: 5 * time.Second, Relays: 6, Partners: 6, Zones: 3, Rate: 120,
+		Duration: 12 * time.Second, Outage: 0.5, Skew: 0.5, Overdraft: 1}
 }
 
 // Guards against runs that differ for the same seed, a budget that is exceeded in some window of
@@ -22,17 +23,17 @@
 		}
 		return r
 	}
-	free := run(small(None, 1))
-	if again := run(small(None, 1)); again != free {
+	free := run(small(NoBudget, 1))
+	if again := run(small(NoBudget, 1)); again != free {
 		t.Fatalf("the same seed: %+v and %+v", free, again)
 	}
 	const bytes = 60000
-	kept, blind := run(small(Budget, bytes)), run(small(Blind, bytes))
-	if free.Worst < 1.5*bytes {
-		t.Fatalf("the budget of %v would not bind: %.0f crossed in the worst window", float64(bytes), free.Worst)
+	kept, blind := run(small(Budget, bytes)), run(small(ZoneBlindCap, bytes))
+	if free.WorstWindow < 1.5*bytes {
+		t.Fatalf("the budget of %v would not bind: %.0f crossed in the worst window", float64(bytes), free.WorstWindow)
 	}
-	if kept.Worst > bytes+kept.Over+6*(requestBytes+responseBytes) {
-		t.Errorf("%.0f crossed in the worst window, overdrawn %.0f", kept.Worst, kept.Over)
+	if kept.WorstWindow > bytes+kept.Overdrawn+6*(requestBytes+responseBytes) {
+		t.Errorf("%.0f crossed in the worst window, overdrawn %.0f", kept.WorstWindow, kept.Overdrawn)
 	}
 	if kept.Charge < 0.97*free.Charge {
 		t.Errorf("charges: %.0f of %.0f, without a budget %.0f", kept.Charge, kept.ChargeAsked, free.Charge)
@@ -42,7 +43,7 @@
 			kept.Delivered, free.Delivered, blind.Delivered)
 	}
 	t.Logf("worth of %.0f: free %.0f, budget %.0f, blind %.0f; worst window %.0f, %.0f, %.0f", free.Asked, free.Delivered,
-		kept.Delivered, blind.Delivered, free.Worst, kept.Worst, blind.Worst)
+		kept.Delivered, blind.Delivered, free.WorstWindow, kept.WorstWindow, blind.WorstWindow)
 }
 
 // Guards against an exceeded budget and lost charges when a whole zone stops answering and returns
@@ -50,35 +51,37 @@
 func TestZoneGoesSilent(t *testing.T) {
 	const bytes = 60000
 	s := small(Budget, bytes)
-	s.Outage, s.Silent, s.Uneven = 0, true, 0
+	s.Outage, s.Silent, s.Skew = 0, true, 0
 	kept, err := Run(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.How = None
+	s.Policy = NoBudget
 	free, err := Run(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if free.Worst < 1.5*bytes || kept.Worst > bytes+kept.Over+6*(requestBytes+responseBytes) {
-		t.Errorf("worst window %.0f, without a budget %.0f; overdrawn %.0f", kept.Worst, free.Worst, kept.Over)
+	if free.WorstWindow < 1.5*bytes || kept.WorstWindow > bytes+kept.Overdrawn+6*(requestBytes+responseBytes) {
+		t.Errorf("worst window %.0f, without a budget %.0f; overdrawn %.0f",
+			kept.WorstWindow, free.WorstWindow, kept.Overdrawn)
 	}
 	if kept.Charge < 0.95*free.Charge || kept.Delivered < 0.6*free.Delivered {
 		t.Errorf("charges %.0f and worth %.0f, without a budget %.0f and %.0f", kept.Charge, kept.Delivered, free.Charge,
 			free.Delivered)
 	}
 	t.Logf("worth %.0f of %.0f, free %.0f; charges %.0f of %.0f, free %.0f; worst window %.0f, free %.0f", kept.Delivered,
-		kept.Asked, free.Delivered, kept.Charge, kept.ChargeAsked, free.Charge, kept.Worst, free.Worst)
+		kept.Asked, free.Delivered, kept.Charge, kept.ChargeAsked, free.Charge, kept.WorstWindow, free.WorstWindow)
 }
 
 // Guards against delays while IPv6 is dead everywhere: the health of address families must avoid
 // nearly all of those that per-endpoint state alone leaves. Once IPv6 works again it must be used.
 func TestFamilyDies(t *testing.T) {
-	run := func(l Learns) AddressResult {
-		return Addresses(AddressSettings{Seed: 1, Learns: l, Relays: 10, Endpoints: 100, Rate: 100, Lasts: 10 * time.Minute,
-			Dead: 1, Keep: 5 * time.Second})
+	run := func(l AddressMemory) AddressResult {
+		return Addresses(AddressSettings{
+			Seed: 1, Memory: l, Relays: 10, Endpoints: 100, Rate: 100, Duration: 10 * time.Minute,
+			DeadShare: 1, IdleTimeout: 5 * time.Second})
 	}
-	all, books, none := run(All), run(Books), run(NoMemory)
+	all, books, none := run(SelectorsAndFamilies), run(SelectorsOnly), run(NoMemory)
 	if all.Delayed*5 > books.Delayed || books.Delayed*2 > none.Delayed || all.Mean*5 > books.Mean {
 		t.Errorf("%+v\n%+v\n%+v", all, books, none)
 	}
@@ -91,13 +94,14 @@
 // adjusting must run into the partners' rate limits more often than one that adjusts.
 func TestSizeFollowed(t *testing.T) {
 	lines, err := Sizes(Settings{Seed: 1, Partners: 5, Zones: 2, Rate: 1000,
-		Lasts: 24 * time.Second, Late: 5 * time.Second},
-		[]Size{{Name: "followed", From: 10, To: 20, Follow: true, Think: 1, Limit: 1.3, Listed: true},
-			{Name: "fixed", From: 10, To: 20, Think: 1, Limit: 1.3, Listed: true}}, 1)
+		Duration: 24 * time.Second, DetectionDelay: 5 * time.Second},
+		[]SizeTest{{Name: "followed", From: 10, To: 20, Follow: true, EstimateRatio: 1, LimitRatio: 1.3, Listed: true},
+			{Name: "fixed", From: 10, To: 20, EstimateRatio: 1, LimitRatio: 1.3, Listed: true}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if followed, fixed := lines[0], lines[1]; followed.Shut.Value*1.5 > fixed.Shut.Value || followed.Worth.Value < 0.5 {
+	if followed, fixed := lines[0], lines[1]; followed.RefusedCalls.Value*1.5 >
+		fixed.RefusedCalls.Value || followed.Worth.Value < 0.5 {
 		t.Errorf("%+v\n%+v", followed, fixed)
 	}
 }
