--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,8 @@
-// Package client is a sender's side: it hands messages to a relay over MQTT 5.0
-// with eclipse paho and collects the final answers. The demo, the bad day and
-// the tests send with it.
+// Package client implements the clients that submit messages to a relay, over MQTT
+// 5.0 with Eclipse Paho or over Web Push, and that receive the notices of how the
+// messages ended. The demo, the fault-injection run and the tests use it.
+//
+// The package does not retry a failed hand-in and does not reconnect; callers do both.
 package client
 
 import (
@@ -20,18 +22,18 @@
 	"basaltcross.example/basaltcross/internal/mqttfront"
 )
 
-// Message is one hand-in.
+// Message is a message to hand in.
 type Message struct {
-	ID      string // Correlation Data
+	ID      string // unique identifier: MQTT Correlation Data or Idempotency-Key header
 	Class   string
 	Partner string
 	Key     string
 	Body    []byte
 	QoS     byte
-	Expiry  uint32 // seconds; 0 for the class's own
+	Expiry  uint32 // lifetime in seconds; 0 for the deadline of the class (over MQTT) or one day (over Web Push)
 }
 
-// Answer is a final answer as it arrived.
+// Answer is a notice as received: the final outcome of one message.
 type Answer struct {
 	ID     string
 	Answer string // delivered, refused or failed
@@ -39,84 +41,84 @@
 	At     time.Time
 }
 
-// Options of a Client.
+// Options configures a Client.
 type Options struct {
 	ID       string
 	User     string
 	Password string
-	Expiry   uint32 // of the session, seconds
-	Clean    bool
-	TLS      *tls.Config // nil for none
-	// On is called for each answer, on the client's own goroutine.
+	Expiry   uint32      // session expiry interval in seconds
+	Clean    bool        // discards the session that the relay has stored (Clean Start)
+	TLS      *tls.Config // nil for plain TCP
+	// On is called for each notice, on the client's receive goroutine.
 	On func(Answer)
-	// Acknowledged is told the ID of each answer whose acknowledgement was written; nil for none.
+	// Acknowledged is called with the message ID of each notice whose PUBACK was written; may be nil.
 	Acknowledged func(id string)
-	// AcknowledgeEvery is the time between batches of acknowledgements; 0 sends each at once.
+	// AcknowledgeEvery is the interval between batches of acknowledgements; 0 sends each immediately.
 	AcknowledgeEvery time.Duration
-	// Session carries unacknowledged flows from one connection to the next;
-	// nil starts without any.
+	// Session holds the unacknowledged QoS 1 and 2 exchanges from one connection to the next;
+	// nil starts with an empty session.
 	Session *state.State
 }
 
-// Client is one connection.
+// Client is one MQTT connection to a relay.
 type Client struct {
-	paho    *paho.Client
-	conn    net.Conn
-	Present bool // the relay had kept the session
-	once    sync.Once
-	lost    chan struct{}
+	paho     *paho.Client
+	conn     net.Conn
+	Present  bool // Session Present flag of the CONNACK
+	lostOnce sync.Once
+	lost     chan struct{}
 }
 
-// acknowledging is a session that tells of the answers it has acknowledged.
-type acknowledging struct {
+// acknowledging is a session state that reports the notices it has acknowledged.
+type ackSession struct {
 	*state.State
-	tell func(id string)
-	own  bool // it ends with its connection
+	acknowledged func(id string)
+	ephemeral    bool // closed with its connection
 }
 
-func newAcknowledging(o Options) acknowledging {
+func newAckSession(o Options) ackSession {
 	if o.Session != nil {
-		return acknowledging{State: o.Session, tell: o.Acknowledged}
+		return ackSession{State: o.Session, acknowledged: o.Acknowledged}
 	}
-	return acknowledging{State: state.NewInMemory(), tell: o.Acknowledged, own: true}
+	return ackSession{State: state.NewInMemory(), acknowledged: o.Acknowledged, ephemeral: true}
 }
 
-// Ack writes the acknowledgement of an answer.
-func (a acknowledging) Ack(p *packets.Publish) error {
+// Ack writes the acknowledgement of a notice and reports it.
+func (a ackSession) Ack(p *packets.Publish) error {
 	if err := a.State.Ack(p); err != nil {
 		return err
 	}
 	if p.Properties != nil {
-		a.tell(string(p.Properties.CorrelationData))
+		a.acknowledged(string(p.Properties.CorrelationData))
 	}
 	return nil
 }
 
-// ConnectionLost ends what waits for the connection, for good if the session is its own.
-func (a acknowledging) ConnectionLost(p *packets.Disconnect) error {
+// ConnectionLost ends the calls that wait for the connection. An ephemeral session is also closed.
+func (a ackSession) ConnectionLost(p *packets.Disconnect) error {
 	err := a.State.ConnectionLost(p)
-	if a.own {
+	if a.ephemeral {
 		err = errors.Join(err, a.Close())
 	}
 	return err
 }
 
-// Topic is where answers to a client id arrive.
+// Topic returns the topic on which a client receives its notices.
 func Topic(id string) string { return "answers/" + id }
 
-// Dial connects and subscribes to the answers.
+// Dial connects to a relay and subscribes to the client's notices.
 func Dial(ctx context.Context, addr string, o Options) (*Client, error) {
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
 	if o.TLS != nil {
-		secured := tls.Client(conn, o.TLS)
-		if err := secured.HandshakeContext(ctx); err != nil {
+		tlsConn := tls.Client(conn, o.TLS)
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			_ = conn.Close()
 			return nil, fmt.Errorf("client: %w", err)
 		}
-		conn = packets.NewThreadSafeConn(secured) // paho writes a packet in pieces
+		conn = packets.NewThreadSafeConn(tlsConn) // Paho writes a packet in several writes, which must not interleave
 	}
 	c := &Client{conn: conn, lost: make(chan struct{})}
 	cfg := paho.ClientConfig{ClientID: o.ID, Conn: conn, PacketTimeout: 30 * time.Second,
@@ -137,14 +139,14 @@
 			}
 			return true, nil
 		}},
-		OnClientError:      func(error) { c.gone() },
-		OnServerDisconnect: func(*paho.Disconnect) { c.gone() },
+		OnClientError:      func(error) { c.markLost() },
+		OnServerDisconnect: func(*paho.Disconnect) { c.markLost() },
 	}
 	if o.Session != nil {
 		cfg.Session = o.Session
 	}
 	if o.Acknowledged != nil {
-		cfg.Session = newAcknowledging(o)
+		cfg.Session = newAckSession(o)
 	}
 	if o.AcknowledgeEvery > 0 {
 		cfg.EnableManualAcknowledgment, cfg.SendAcksInterval = true, o.AcknowledgeEvery
@@ -171,13 +173,13 @@
 	return c, nil
 }
 
-func (c *Client) gone() { c.once.Do(func() { close(c.lost) }) }
+func (c *Client) markLost() { c.lostOnce.Do(func() { close(c.lost) }) }
 
-// Lost is closed once the connection is.
+// Lost returns a channel that is closed when the connection ends.
 func (c *Client) Lost() <-chan struct{} { return c.lost }
 
-// Send hands a message in and waits until it is taken. An error means that it
-// was not, or that nobody knows.
+// Send hands a message in and waits until the relay has accepted it. After an error
+// the message was either not accepted or its state is unknown.
 func (c *Client) Send(ctx context.Context, m Message) error {
 	p := &paho.Publish{Topic: "send/" + m.Class + "/" + m.Partner, QoS: max(m.QoS, 1), Payload: m.Body,
 		Properties: &paho.PublishProperties{CorrelationData: []byte(m.ID)}}
@@ -193,19 +195,19 @@
 	return nil
 }
 
-// Close says goodbye.
+// Close sends a DISCONNECT and closes the connection.
 func (c *Client) Close() {
 	_ = c.paho.Disconnect(&paho.Disconnect{})
 	_ = c.conn.Close()
-	c.gone()
+	c.markLost()
 }
 
-// Cut closes the connection without a word.
+// Cut closes the connection without a DISCONNECT.
 func (c *Client) Cut() {
 	_ = c.conn.Close()
-	c.gone()
+	c.markLost()
 }
 
-// Done is closed when nothing of the client runs any more. A session that a next client
-// shares is free only then.
+// Done returns a channel that is closed when all goroutines of the client have ended.
+// Only then may another client use the same Session.
 func (c *Client) Done() <-chan struct{} { return c.paho.Done() }
--- a/internal/client/push.go
+++ b/internal/client/push.go
@@ -20,20 +20,20 @@
 	"github.com/golang-jwt/jwt/v5"
 )
 
-// PushSession is what an application server keeps from one connection to the
-// next: its key, its receipt subscription and the messages that it awaits.
+// PushSession is the state that an application server keeps across connections: its
+// VAPID key, its receipt subscription and the messages that have no receipt yet.
 type PushSession struct {
 	key    *ecdsa.PrivateKey
 	public string
 
-	mu    sync.Mutex
-	box   string            // path of the receipt subscription
-	after uint64            // receipts seen
-	ids   map[string]string // own id by message resource
-	early map[string]Answer // receipts that came before the POST's own answer
+	mu            sync.Mutex
+	receiptsPath  string            // path of the receipt subscription; empty before the first message is accepted
+	lastSeq       uint64            // highest sequence number of the receipts received
+	idByResource  map[string]string // message ID by message resource
+	earlyReceipts map[string]Answer // by message resource; receipts that arrived before the response to the POST
 }
 
-// NewPushSession makes a VAPID key.
+// NewPushSession returns a session with a new VAPID key.
 func NewPushSession() (*PushSession, error) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -44,10 +44,10 @@
 		return nil, err
 	}
 	return &PushSession{key: k, public: base64.RawURLEncoding.EncodeToString(d.PublicKey().Bytes()),
-		ids: map[string]string{}, early: map[string]Answer{}}, nil
+		idByResource: map[string]string{}, earlyReceipts: map[string]Answer{}}, nil
 }
 
-// Public is the VAPID public key.
+// Public returns the VAPID public key, in unpadded base64url.
 func (s *PushSession) Public() string { return s.public }
 
 func (s *PushSession) token(origin string) (string, error) {
@@ -56,40 +56,41 @@
 	return fmt.Sprintf("vapid t=%s, k=%s", t, s.public), err
 }
 
-// Push hands messages in over Web Push and polls for the receipts.
+// Push is a client that hands messages in over Web Push and polls for the receipts.
 type Push struct {
-	origin string
-	auth   string
-	http   *http.Client
-	on     func(Answer)
-	s      *PushSession
-	stop   context.CancelFunc
-	ctx    context.Context
-	once   sync.Once
-	lost   chan struct{}
-	poll   sync.Once
+	origin        string
+	authorization string
+	http          *http.Client
+	onAnswer      func(Answer)
+	session       *PushSession
+	stop          context.CancelFunc
+	ctx           context.Context
+	lostOnce      sync.Once
+	lost          chan struct{}
+	pollOnce      sync.Once
 }
 
-// DialPush begins at an origin such as "https://127.0.0.1:8443".
+// DialPush connects to an origin such as "https://127.0.0.1:8443". It returns an error
+// if no server responds there.
 func DialPush(origin string, cfg *tls.Config, s *PushSession, on func(Answer)) (*Push, error) {
 	auth, err := s.token(origin)
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	p := &Push{origin: origin, auth: auth, on: on, s: s, lost: make(chan struct{}),
+	p := &Push{origin: origin, authorization: auth, onAnswer: on, session: s, lost: make(chan struct{}),
 		http: &http.Client{Transport: &http.Transport{TLSClientConfig: cfg, ForceAttemptHTTP2: true}}}
 	p.ctx, p.stop = context.WithCancel(context.Background())
-	r, err := p.do(p.ctx, http.MethodGet, "/push/-/-", nil) // is anybody there?
+	r, err := p.do(p.ctx, http.MethodGet, "/push/-/-", nil) // any response shows that the relay is reachable
 	if err != nil {
-		p.gone()
+		p.markLost()
 		return nil, err
 	}
 	_ = r.Body.Close()
 	s.mu.Lock()
-	known := s.box != ""
+	known := s.receiptsPath != ""
 	s.mu.Unlock()
 	if known {
-		p.poll.Do(func() { go p.receive() })
+		p.pollOnce.Do(func() { go p.pollReceipts() })
 	}
 	return p, nil
 }
@@ -99,7 +100,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("client: %w", err)
 	}
-	q.Header.Set("Authorization", p.auth)
+	q.Header.Set("Authorization", p.authorization)
 	for i := 0; i < len(fields); i += 2 {
 		q.Header.Set(fields[i], fields[i+1])
 	}
@@ -110,89 +111,94 @@
 	return r, nil
 }
 
-func (p *Push) gone() {
-	p.once.Do(func() {
+func (p *Push) markLost() {
+	p.lostOnce.Do(func() {
 		close(p.lost)
 		p.stop()
 		p.http.CloseIdleConnections()
 	})
 }
 
-// Lost is closed once the relay does not answer any more.
+// Lost returns a channel that is closed when a request to the relay has failed or the client was closed.
 func (p *Push) Lost() <-chan struct{} { return p.lost }
 
-// Close and Cut end the connection; receipts wait at the relay.
-func (p *Push) Close() { p.gone() }
-func (p *Push) Cut()   { p.gone() }
+// Close ends the connection. The relay keeps the receipts for the next one.
+func (p *Push) Close() { p.markLost() }
 
-// Send hands a message in. An error means that it was not taken, or that
-// nobody knows.
+// Cut is the same as Close: HTTP has no orderly end of a session.
+func (p *Push) Cut() { p.markLost() }
+
+// Send hands a message in. After an error the message was either not accepted or its
+// state is unknown. If the relay no longer knows the receipt subscription, Send retries
+// once without it, which creates a new one.
 func (p *Push) Send(ctx context.Context, m Message) error {
 	ttl := "86400"
 	if m.Expiry > 0 {
 		ttl = strconv.Itoa(int(m.Expiry))
 	}
 	for range 2 {
-		p.s.mu.Lock()
-		box := p.s.box
-		p.s.mu.Unlock()
+		p.session.mu.Lock()
+		receiptsPath := p.session.receiptsPath
+		p.session.mu.Unlock()
 		fields := []string{"TTL", ttl, "Idempotency-Key", m.ID, "Prefer", "respond-async"}
 		if m.Key != "" {
 			fields = append(fields, "Order-Key", m.Key)
 		}
-		if box != "" {
-			fields = append(fields, "Push-Receipt", p.origin+box)
+		if receiptsPath != "" {
+			fields = append(fields, "Push-Receipt", p.origin+receiptsPath)
 		}
 		r, err := p.do(ctx, http.MethodPost, "/push/"+m.Class+"/"+m.Partner, m.Body, fields...)
 		if err != nil {
-			p.gone()
+			p.markLost()
 			return err
 		}
 		text, _ := io.ReadAll(io.LimitReader(r.Body, 1000))
 		_ = r.Body.Close()
-		if r.StatusCode == http.StatusBadRequest && box != "" && strings.Contains(string(text), "Push-Receipt") {
-			p.s.mu.Lock() // the relay was started anew: so is the subscription
-			p.s.box, p.s.after = "", 0
-			p.s.mu.Unlock()
+		if r.StatusCode == http.StatusBadRequest && receiptsPath != "" && strings.Contains(string(text), "Push-Receipt") {
+			p.session.mu.Lock() // the relay has restarted and lost the subscription
+			p.session.receiptsPath, p.session.lastSeq = "", 0
+			p.session.mu.Unlock()
 			continue
 		}
 		if r.StatusCode != http.StatusAccepted && r.StatusCode != http.StatusCreated {
 			return fmt.Errorf("client: %s: %s", r.Status, text)
 		}
-		p.took(m.ID, r)
+		p.accepted(m.ID, r)
 		return nil
 	}
-	return fmt.Errorf("client: no receipt subscription to be had")
+	return fmt.Errorf("client: relay rejected the receipt subscription twice")
 }
 
-func (p *Push) took(id string, r *http.Response) {
+// accepted records an accepted message, reports a receipt that arrived before the response,
+// and starts polling with the first subscription.
+func (p *Push) accepted(id string, r *http.Response) {
 	message := r.Header.Get("Location")
-	p.s.mu.Lock()
-	if link := r.Header.Get("Link"); p.s.box == "" && strings.HasPrefix(link, "<") {
-		p.s.box, _, _ = strings.Cut(link[1:], ">")
+	p.session.mu.Lock()
+	if link := r.Header.Get("Link"); p.session.receiptsPath == "" && strings.HasPrefix(link, "<") {
+		p.session.receiptsPath, _, _ = strings.Cut(link[1:], ">")
 	}
-	p.s.ids[message] = id
-	a, early := p.s.early[message]
-	delete(p.s.early, message)
-	box := p.s.box
-	p.s.mu.Unlock()
+	p.session.idByResource[message] = id
+	a, early := p.session.earlyReceipts[message]
+	delete(p.session.earlyReceipts, message)
+	receiptsPath := p.session.receiptsPath
+	p.session.mu.Unlock()
 	if early {
 		a.ID = id
-		p.on(a)
+		p.onAnswer(a)
 	}
-	if box != "" {
-		p.poll.Do(func() { go p.receive() })
+	if receiptsPath != "" {
+		p.pollOnce.Do(func() { go p.pollReceipts() })
 	}
 }
 
-// receive polls until the connection ends.
-func (p *Push) receive() {
-	defer p.gone()
+// pollReceipts polls for receipts until the connection ends.
+func (p *Push) pollReceipts() {
+	defer p.markLost()
 	for p.ctx.Err() == nil {
-		p.s.mu.Lock()
-		box := p.s.box
-		path := fmt.Sprintf("%s?after=%d", box, p.s.after)
-		p.s.mu.Unlock()
+		p.session.mu.Lock()
+		receiptsPath := p.session.receiptsPath
+		path := fmt.Sprintf("%s?after=%d", receiptsPath, p.session.lastSeq)
+		p.session.mu.Unlock()
 		ctx, cancel := context.WithTimeout(p.ctx, 15*time.Second)
 		r, err := p.do(ctx, http.MethodGet, path, nil, "Prefer", "wait=5")
 		if err != nil {
@@ -215,18 +221,18 @@
 		}
 		for _, x := range got.Receipts {
 			a := Answer{Answer: x.Answer, After: time.Duration(x.RetryAfterMS) * time.Millisecond, At: time.Now()}
-			p.s.mu.Lock()
-			if p.s.box == box { // else its numbers are another subscription's
-				p.s.after = max(p.s.after, x.Seq)
+			p.session.mu.Lock()
+			if p.session.receiptsPath == receiptsPath { // sequence numbers are valid within one subscription only
+				p.session.lastSeq = max(p.session.lastSeq, x.Seq)
 			}
-			id, known := p.s.ids[x.Message]
+			id, known := p.session.idByResource[x.Message]
 			if !known {
-				p.s.early[x.Message] = a
+				p.session.earlyReceipts[x.Message] = a
 			}
-			p.s.mu.Unlock()
+			p.session.mu.Unlock()
 			if known {
 				a.ID = id
-				p.on(a)
+				p.onAnswer(a)
 			}
 		}
 	}
