--- a/internal/standin/consul.go
+++ b/internal/standin/consul.go
@@ -15,96 +15,97 @@
 	"basaltcross.example/basaltcross/internal/pause"
 )
 
-// Instance is one instance of a service in a stand-in catalogue.
+// Instance is a service instance in the stand-in catalogue.
 type Instance struct {
 	ID, Service string
 	Address     string
 	Port        int
 	Tags        []string
 	Meta        map[string]string
-	Tagged      map[string]string // name to address
-	Check       string            // status of its check; empty for none
-	Maintenance bool
+	Tagged      map[string]string // tagged addresses by name
+	Check       string            // status of the health check; empty for no check
+	Maintenance bool              // adds a critical maintenance check
 	Node        string
 	NodeMeta    map[string]string
 
-	ttl  time.Duration // of its check
-	seen time.Time
+	ttl       time.Duration // TTL of the check; 0 if it does not expire
+	refreshed time.Time
 }
 
-// CatalogTrouble is what is wrong with a stand-in catalogue.
+// CatalogTrouble is the set of faults injected into the stand-in catalogue. The zero value injects none.
 type CatalogTrouble struct {
-	Status   int           // answers this, with no content
-	Down     bool          // cuts connections
-	Hang     bool          // sends headers and nothing more
-	Cut      bool          // sends half of the JSON
-	Slow     time.Duration // between halves of the content
-	Instant  bool          // never blocks
-	Empty    bool          // has nothing
-	Half     bool          // lacks every second instance
-	NoLeader bool
-	Contact  time.Duration // staleness
-	Index    uint64        // told instead of its own
+	Status   int           // HTTP status of every response; 0 for no fault
+	Down     bool          // closes connections without a response
+	Hang     bool          // sends the response headers and no content
+	Cut      bool          // truncates the JSON to half its length
+	Slow     time.Duration // delay between the two halves of the content
+	Instant  bool          // blocking queries return immediately
+	Empty    bool          // lists no instances
+	Half     bool          // omits every second instance
+	NoLeader bool          // sends X-Consul-KnownLeader: false
+	Contact  time.Duration // age in X-Consul-LastContact
+	Index    uint64        // replaces the value of X-Consul-Index; 0 for no fault
 }
 
-// Consul is a stand-in for the parts of Consul's API that relays use, after its
-// public documentation: blocking queries on catalogue and health, and an
-// agent's registration with TTL checks.
+// Consul is a stand-in for the parts of Consul's HTTP API that relays use, written from its
+// public documentation: blocking queries of the catalogue and health endpoints, and service
+// registration with TTL checks at an agent.
 type Consul struct {
 	Addr string
 	srv  *http.Server
 
-	mu        sync.Mutex
-	index     uint64
-	at        map[string]uint64 // index of each service's last change
-	all       uint64            // and of the last change to all
-	instances map[string]*Instance
-	changed   map[string]chan struct{} // by service, closed at its next change
-	trouble   CatalogTrouble
-	Queries   int
-	stop      chan struct{}
+	mu           sync.Mutex
+	index        uint64
+	serviceIndex map[string]uint64 // index of the last change of each service
+	globalIndex  uint64            // index of the last change of all services
+	instances    map[string]*Instance
+	changed      map[string]chan struct{} // by service; closed at its next change
+	fault        CatalogTrouble
+	Queries      int
+	stop         chan struct{}
 }
 
-// StartConsul listens on a free port of 127.0.0.1.
+// StartConsul starts a stand-in on a free port of 127.0.0.1.
 func StartConsul() (*Consul, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
 	}
-	c := &Consul{Addr: l.Addr().String(), index: 10, at: map[string]uint64{}, all: 10,
+	c := &Consul{Addr: l.Addr().String(), index: 10, serviceIndex: map[string]uint64{}, globalIndex: 10,
 		instances: map[string]*Instance{}, changed: map[string]chan struct{}{}, stop: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/health/service/{name}", c.query)
 	mux.HandleFunc("GET /v1/catalog/service/{name}", c.query)
 	mux.HandleFunc("PUT /v1/agent/service/register", c.register)
 	mux.HandleFunc("PUT /v1/agent/service/deregister/{id}", c.deregister)
-	mux.HandleFunc("PUT /v1/agent/check/update/{id}", c.update)
+	mux.HandleFunc("PUT /v1/agent/check/update/{id}", c.updateCheck)
 	c.srv = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 	go func() { _ = c.srv.Serve(l) }()
-	go c.expire()
+	go c.expireChecks()
 	return c, nil
 }
 
-// Close stops it.
+// Close stops the server and closes its connections.
 func (c *Consul) Close() {
 	close(c.stop)
 	_ = c.srv.Close()
 }
 
-// Set makes trouble, or ends it; who waits is answered.
+// Set replaces the injected faults and answers all blocking queries that wait.
 func (c *Consul) Set(t CatalogTrouble) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.trouble = t
-	c.move()
+	c.fault = t
+	c.bumpIndex()
 }
 
-// move raises the index of services, of all if none is named; under mu.
-func (c *Consul) move(services ...string) {
+// bumpIndex increments the index and assigns it to the named services, or to all if none is named.
+// The caller holds mu.
+func (c *Consul) bumpIndex(services ...string) {
 	c.index++
 	if len(services) == 0 {
-		c.all = c.index
-		clear(c.at)
+		c.globalIndex = c.index
+		clear(c.serviceIndex)
 		for name := range c.changed {
 			services = append(services, name)
 		}
@@ -114,27 +115,28 @@
 			close(ch)
 			delete(c.changed, name)
 		}
-		c.at[name] = c.index
+		c.serviceIndex[name] = c.index
 	}
 }
 
-// indexOf a service, and a channel that closes at its next change; under mu.
+// indexOf returns the index of a service and a channel that is closed at its next change.
+// The caller holds mu.
 func (c *Consul) indexOf(service string) (uint64, chan struct{}) {
 	if c.changed[service] == nil {
 		c.changed[service] = make(chan struct{})
 	}
-	return max(c.at[service], c.all), c.changed[service]
+	return max(c.serviceIndex[service], c.globalIndex), c.changed[service]
 }
 
-// Reset lets the index begin anew, as a restored server does.
+// Reset restarts the index from a low value, as a server restored from a snapshot does.
 func (c *Consul) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index = 1
-	c.move() // all of them
+	c.bumpIndex() // all services
 }
 
-// Put adds or replaces instances in one change.
+// Put adds or replaces instances, as one change of the index.
 func (c *Consul) Put(list ...Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,31 +146,31 @@
 		services = append(services, i.Service)
 	}
 	if len(services) > 0 {
-		c.move(services...)
+		c.bumpIndex(services...)
 	}
 }
 
-// Delete takes instances out in one change.
+// Delete removes instances. Each removal is a change of the index.
 func (c *Consul) Delete(ids ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
 		if i := c.instances[id]; i != nil {
 			delete(c.instances, id)
-			c.move(i.Service)
+			c.bumpIndex(i.Service)
 		}
 	}
 }
 
-// Asked counts queries so far.
+// Asked returns the number of queries so far.
 func (c *Consul) Asked() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Queries
 }
 
-// expire turns TTL checks critical that were not refreshed.
-func (c *Consul) expire() {
+// expireChecks sets checks to critical that were not refreshed within their TTL.
+func (c *Consul) expireChecks() {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -178,9 +180,9 @@
 		case now := <-tick.C:
 			c.mu.Lock()
 			for _, i := range c.instances {
-				if i.ttl > 0 && i.Check == "passing" && now.Sub(i.seen) > i.ttl {
+				if i.ttl > 0 && i.Check == "passing" && now.Sub(i.refreshed) > i.ttl {
 					i.Check = "critical"
-					c.move(i.Service)
+					c.bumpIndex(i.Service)
 				}
 			}
 			c.mu.Unlock()
@@ -188,8 +190,8 @@
 	}
 }
 
-// struck does what the trouble says before a query; true if that was all.
-func (c *Consul) struck(w http.ResponseWriter, t CatalogTrouble) bool {
+// injectFault applies the faults that replace a response. It reports whether it handled the request.
+func (c *Consul) injectFault(w http.ResponseWriter, t CatalogTrouble) bool {
 	switch {
 	case t.Down:
 		if h, ok := w.(http.Hijacker); ok {
@@ -205,6 +207,8 @@
 	return true
 }
 
+// query handles a blocking query of the health or the catalogue endpoint. As Consul does, it adds a
+// random share of up to 1/16 to the wait; without a valid wait parameter the wait is 5 minutes.
 func (c *Consul) query(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
@@ -216,7 +220,7 @@
 	c.mu.Lock()
 	c.Queries++
 	name := r.PathValue("name")
-	for end := time.Now().Add(wait); index > 0 && !c.trouble.Instant && time.Now().Before(end); {
+	for end := time.Now().Add(wait); index > 0 && !c.fault.Instant && time.Now().Before(end); {
 		now, changed := c.indexOf(name)
 		if now != index {
 			break
@@ -230,7 +234,7 @@
 		}
 		c.mu.Lock()
 	}
-	t := c.trouble
+	t := c.fault
 	now, _ := c.indexOf(name)
 	health := strings.HasPrefix(r.URL.Path, "/v1/health/")
 	var list []Instance
@@ -240,7 +244,7 @@
 		}
 	}
 	c.mu.Unlock()
-	if c.struck(w, t) {
+	if c.injectFault(w, t) {
 		return
 	}
 	slices.SortFunc(list, func(a, b Instance) int { return strings.Compare(a.ID, b.ID) })
@@ -292,14 +296,15 @@
 	return out
 }
 
-// health is an instance as /v1/health/service has it.
+// health returns the instance in the format of /v1/health/service.
 func (i *Instance) health() any {
 	checks := []any{}
 	if i.Check != "" {
 		checks = append(checks, map[string]any{"CheckID": "service:" + i.ID, "Status": i.Check, "ServiceID": i.ID})
 	}
 	if i.Maintenance {
-		checks = append(checks, map[string]any{"CheckID": "_service_maintenance:" + i.ID, "Status": "critical", "ServiceID": i.ID})
+		checks = append(checks, map[string]any{"CheckID": "_service_maintenance:" + i.ID,
+			"Status": "critical", "ServiceID": i.ID})
 	}
 	return map[string]any{"Node": map[string]any{"Node": i.Node, "Address": i.Address, "Meta": i.NodeMeta},
 		"Service": map[string]any{"ID": i.ID, "Service": i.Service, "Address": i.Address, "Port": i.Port, "Tags": i.Tags,
@@ -307,22 +312,23 @@
 		"Checks": checks}
 }
 
-// catalog is an instance as /v1/catalog/service has it.
+// catalog returns the instance in the format of /v1/catalog/service.
 func (i *Instance) catalog() any {
 	return map[string]any{"Node": i.Node, "Address": i.Address, "NodeMeta": i.NodeMeta, "ServiceID": i.ID,
-		"ServiceName": i.Service, "ServiceAddress": i.Address, "ServicePort": i.Port, "ServiceTags": i.Tags, "ServiceMeta": i.Meta,
-		"ServiceTaggedAddresses": i.tagged()}
+		"ServiceName": i.Service, "ServiceAddress": i.Address, "ServicePort": i.Port, "ServiceTags": i.Tags,
+		"ServiceMeta": i.Meta, "ServiceTaggedAddresses": i.tagged()}
 }
 
+// agent runs do, which returns the status of the response, under mu, unless a fault is injected.
 func (c *Consul) agent(w http.ResponseWriter, do func() int) {
 	c.mu.Lock()
-	t := c.trouble
+	t := c.fault
 	status := http.StatusOK
 	if !t.Down && t.Status == 0 && !t.Hang {
 		status = do()
 	}
 	c.mu.Unlock()
-	if c.struck(w, t) {
+	if c.injectFault(w, t) {
 		return
 	}
 	w.WriteHeader(status)
@@ -342,8 +348,8 @@
 	c.agent(w, func() int {
 		ttl, _ := time.ParseDuration(s.Check.TTL)
 		c.instances[s.ID] = &Instance{ID: s.ID, Service: s.Name, Address: s.Address, Port: s.Port, Meta: s.Meta,
-			Check: s.Check.Status, ttl: ttl, seen: time.Now()}
-		c.move(s.Name)
+			Check: s.Check.Status, ttl: ttl, refreshed: time.Now()}
+		c.bumpIndex(s.Name)
 		return http.StatusOK
 	})
 }
@@ -352,21 +358,21 @@
 	c.agent(w, func() int {
 		if i := c.instances[r.PathValue("id")]; i != nil {
 			delete(c.instances, i.ID)
-			c.move(i.Service)
+			c.bumpIndex(i.Service)
 		}
 		return http.StatusOK
 	})
 }
 
-func (c *Consul) update(w http.ResponseWriter, r *http.Request) {
+func (c *Consul) updateCheck(w http.ResponseWriter, r *http.Request) {
 	c.agent(w, func() int {
 		i := c.instances[strings.TrimPrefix(r.PathValue("id"), "service:")]
 		if i == nil {
 			return http.StatusNotFound
 		}
-		if i.seen = time.Now(); i.Check != "passing" {
+		if i.refreshed = time.Now(); i.Check != "passing" {
 			i.Check = "passing"
-			c.move(i.Service)
+			c.bumpIndex(i.Service)
 		}
 		return http.StatusOK
 	})
--- a/internal/standin/dns.go
+++ b/internal/standin/dns.go
@@ -10,30 +10,30 @@
 	"github.com/miekg/dns"
 )
 
-// Zone is what a stand-in DNS server answers for one name.
+// Zone configures the answer of the stand-in DNS server for one name.
 type Zone struct {
 	Addrs []netip.Addr
-	Alias string // a CNAME, instead of addresses
-	TTL   uint32
+	Alias string // target of a CNAME, which replaces the addresses
+	TTL   uint32 // seconds
 	Rcode int
-	Mute  bool // no answer at all
-	Cut   bool // the answer over UDP is cut off, so that it must be asked for over TCP
+	Mute  bool // sends no response
+	Cut   bool // truncates responses over UDP, so that the client must retry over TCP
 }
 
-// DNS is a server on loopback, over UDP and TCP.
+// DNS is a stand-in DNS server on loopback, over UDP and TCP.
 type DNS struct {
 	Addr string
 	udp  *dns.Server
 	tcp  *dns.Server
 
-	mu    sync.Mutex
-	zones map[string]Zone
-	asked map[string]int // by name and type
+	mu         sync.Mutex
+	zones      map[string]Zone
+	queryCount map[string]int // queries by name
 }
 
-// StartDNS listens on a free port of 127.0.0.1.
+// StartDNS starts a server on a free port of 127.0.0.1.
 func StartDNS() (*DNS, error) {
-	d := &DNS{zones: map[string]Zone{}, asked: map[string]int{}}
+	d := &DNS{zones: map[string]Zone{}, queryCount: map[string]int{}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
@@ -54,34 +54,35 @@
 	return d, nil
 }
 
-// Close stops it.
+// Close stops the server.
 func (d *DNS) Close() {
 	_ = d.udp.Shutdown()
 	_ = d.tcp.Shutdown()
 }
 
-// Set says what a name is from now on.
+// Set replaces the answer for a name.
 func (d *DNS) Set(name string, z Zone) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.zones[dns.CanonicalName(name)] = z
 }
 
-// Asked counts questions for a name.
+// Asked returns the number of queries for a name.
 func (d *DNS) Asked(name string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.asked[dns.CanonicalName(name)]
+	return d.queryCount[dns.CanonicalName(name)]
 }
 
-// ServeDNS answers.
+// ServeDNS answers a query. It follows at most 20 CNAMEs, which may form a loop. Names that were
+// not set get NXDOMAIN.
 func (d *DNS) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
 	r := new(dns.Msg)
 	r.SetReply(q)
 	name := dns.CanonicalName(q.Question[0].Name)
 	d.mu.Lock()
 	z, ok := d.zones[name]
-	d.asked[name]++
+	d.queryCount[name]++
 	d.mu.Unlock()
 	if z.Mute {
 		return
@@ -96,8 +97,8 @@
 	}
 	for owner, n := name, 0; n < 20; n++ {
 		if z.Alias != "" {
-			r.Answer = append(r.Answer, &dns.CNAME{Hdr: dns.RR_Header{Name: owner, Rrtype: dns.TypeCNAME, Class: dns.ClassINET, Ttl: z.TTL},
-				Target: dns.Fqdn(z.Alias)})
+			r.Answer = append(r.Answer, &dns.CNAME{Hdr: dns.RR_Header{Name: owner, Rrtype: dns.TypeCNAME,
+				Class: dns.ClassINET, Ttl: z.TTL}, Target: dns.Fqdn(z.Alias)})
 			owner = dns.CanonicalName(z.Alias)
 			d.mu.Lock()
 			z = d.zones[owner]
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,10 +1,11 @@
-// Package standin plays partners: hosts on loopback that take a message by an
-// HTTP call, with service times, limits, waits, dedupe and cold returns as
-// partners have them, and with troubles on demand. Every call is recorded with
-// its times, its connection and its effect; audits go by these records.
+// Package standin implements stand-ins for the systems that a relay talks to: partner
+// hosts that receive messages by HTTP calls on loopback, a Consul catalogue and a DNS
+// server. The hosts simulate service times, concurrency and rate limits, Retry-After,
+// deduplication and reduced capacity after an outage, and inject faults on demand. Every
+// call is recorded with its times, its connection and its effect; audits check the records.
 //
-// The HTTP server is net/http's, so that the relay's client meets one that this
-// project did not write.
+// The hosts use the server of net/http, so that the relay's HTTP client is tested against
+// an independent implementation.
 package standin
 
 import (
@@ -25,91 +26,91 @@
 	"basaltcross.example/basaltcross/internal/pause"
 )
 
-// Model is how a partner behaves while nothing is wrong.
+// Model configures the behaviour of a partner without injected faults.
 type Model struct {
-	Service     time.Duration // mean time of a call
-	Spread      float64       // share by which it varies, evenly
-	Concurrency int           // calls in service at once; 0 for no limit
-	Queue       int           // calls that wait for service; more are refused
-	Rate        float64       // calls a second of all relays together; 0 for no limit
-	Span        time.Duration // the limit counts in spans of this; 0: a plain rate
-	Tells       bool          // refusals tell the wait, in whole seconds
-	Counts      bool          // refused calls use up the limit
-	Window      time.Duration // a repeat of an idempotency key is dropped for so long
-	ColdFrom    float64       // share of the capacity after an outage
-	Cold        time.Duration // until all of it is back
-	Factor      float64       // falls over above this multiple of its capacity
-	Fall        time.Duration // kept up for so long; 0: never falls
-	Capacity    float64       // calls a second; 0: never falls
-}
-
-// Trouble is what is wrong with an endpoint now. The zero value is nothing.
+	Service     time.Duration // mean service time of a call
+	Spread      float64       // uniform variation of the service time, as a share of the mean
+	Concurrency int           // maximum calls in service at a time; 0 for no limit
+	Queue       int           // maximum calls that wait for service; further ones are refused
+	Rate        float64       // rate limit in calls/s over all relays; 0 for no limit
+	Span        time.Duration // length of the fixed windows of the rate limit; 0 for a token bucket
+	Tells       bool          // whether refusals carry Retry-After, in whole seconds
+	Counts      bool          // whether refused calls count against the rate limit
+	Window      time.Duration // time for which repeats of an idempotency key are dropped; 0 for no deduplication
+	ColdFrom    float64       // share of the capacity that is available right after an outage
+	Cold        time.Duration // ramp-up time from ColdFrom to the full capacity; 0 for none
+	Factor      float64       // multiple of the available capacity above which the partner collapses
+	Fall        time.Duration // time for which the overload must last; 0 for no collapse
+	Capacity    float64       // full capacity in calls/s; 0 for no collapse
+}
+
+// Trouble is the set of faults injected at an endpoint. The zero value injects none.
 type Trouble struct {
-	Hang       bool    // takes calls and never answers
-	Shut       bool    // refuses all
-	Errors     float64 // share of calls answered 500 at once
-	ErrorClass string  // only this class, if set
-	Factor     float64 // service times; 0 for 1
-	TailShare  float64 // share of calls that take TailFactor times as long
+	Hang       bool    // accepts calls and never responds
+	Shut       bool    // refuses all calls
+	Errors     float64 // share of calls that get an immediate 500
+	ErrorClass string  // message class that Errors is limited to; empty for all
+	Factor     float64 // multiplier of the service time; 0 for 1
+	TailShare  float64 // share of calls whose service time is multiplied by TailFactor
 	TailFactor float64
-	PauseEvery time.Duration // stands still this often ...
-	Pause      time.Duration // ... for so long
-	RateShare  float64       // of the limit that is left; 0 for all
-	Lost       float64       // share of calls that run and whose answer is lost
-	Reap       time.Duration // calls on a connection that idled longer are lost
-	Handshake  time.Duration // a new connection's first call waits so long
+	PauseEvery time.Duration // period of the pauses; 0 for none
+	Pause      time.Duration // length of each pause
+	RateShare  float64       // share of the rate limit that remains; 0 for all of it
+	Lost       float64       // share of calls that take effect and get no response
+	Reap       time.Duration // idle time after which the next call on a connection takes effect and is reset; 0 for none
+	Handshake  time.Duration // delay of the first call of a connection
 }
 
-// What became of a call.
+// Outcomes of a call, as Call.What records them.
 const (
-	Served  = "served"
-	Repeat  = "repeat" // served, and dropped as a repeat
-	Refused = "refused"
-	Failed  = "error"
-	Lost    = "lost" // no answer: hung, or the connection was cut
-	Half    = "half" // not all of the request came; nothing ran
+	Served  = "served"  // took effect and got a 200
+	Repeat  = "repeat"  // got a 200 and was dropped as a repeat
+	Refused = "refused" // got a 429
+	Failed  = "error"   // got a 500
+	Lost    = "lost"    // got no response: the call hung or the connection was reset
+	Half    = "half"    // the request was incomplete and took no effect
 )
 
 // Call is the record of one call.
 type Call struct {
-	Start, End time.Time // first byte of the request on the socket; its end here
-	Endpoint   string    // listening address
+	Start, End time.Time // first byte of the request on the socket; end of the handler
+	Endpoint   string    // listen address
 	Partner    string
-	Conn       string // peer address
-	Relay      string // from Via
+	Conn       string // remote address
+	Relay      string // name in the Via header
 	Class      string
 	Key        string // order key
-	Idem       string
+	Idem       string // idempotency key
 	Body       string
-	What       string
-	Effect     bool
-	Wait       time.Duration // told with a refusal
-	Left       time.Time     // when the caller closed, if it did so first
+	What       string        // outcome, such as Served
+	Effect     bool          // whether the message took effect
+	Wait       time.Duration // Retry-After of a refusal
+	Left       time.Time     // when the caller closed the connection; zero if it did not before End
 }
 
-// Partner is the state that the endpoints of a partner share.
+// Partner is the state shared by the endpoints of a partner.
 type Partner struct {
 	Name  string
 	Model Model
 
-	mu     sync.Mutex
-	rand   *rand.Rand
-	seen   map[string]time.Time // by idempotency key
-	tokens float64
-	at     time.Time
-	span   time.Time
-	used   float64
-	down   bool      // in an outage
-	back   time.Time // returned cold then
-	load   []arrival // within Fall
-
-	fallen  bool
-	busy    int
-	waiting int
-	free    chan struct{}
-	falls   []Fall
-	saw     map[string]bool // relays that met a failure in this outage
-	returns int
+	mu          sync.Mutex
+	rand        *rand.Rand
+	keySeen     map[string]time.Time // last effect by idempotency key
+	tokens      float64
+	refilled    time.Time
+	windowStart time.Time
+	windowUsed  float64
+	inOutage    bool      // an outage is in progress
+	outageEnd   time.Time // end of the last outage, the start of the ramp-up
+	arrivals    []arrival // arrivals within the last Model.Fall
+
+	collapsed    bool
+	inService    int
+	queued       int
+	slotFreed    chan struct{}
+	collapses    []Fall
+	sawFailure   map[string]bool // relays that met a failure in the current or last outage
+	outagesEnded int
 }
 
 type arrival struct {
@@ -117,147 +118,150 @@
 	relay string
 }
 
-// Fall is one time that a partner was pushed over.
+// Fall records one collapse of a partner under overload during its ramp-up.
 type Fall struct {
 	At    time.Time
-	Calls map[string]int  // within the window, by relay
-	Saw   map[string]bool // relays that had met a failure there in the outage
+	Calls map[string]int  // calls by relay within the last Model.Fall
+	Saw   map[string]bool // relays that had met a failure of the partner in the outage before
 }
 
-// Recorder keeps the records of all stand-ins of a run; at its bound it keeps
-// the first ones and counts the rest.
+// Recorder stores the calls to all stand-ins of a run. When it is full it keeps the
+// calls it has and counts the others in Dropped.
 type Recorder struct {
 	mu      sync.Mutex
 	calls   []Call
-	most    int
+	limit   int
 	Dropped int
 }
 
-// NewRecorder keeps at most so many calls.
-func NewRecorder(most int) *Recorder { return &Recorder{most: most} }
+// NewRecorder returns a recorder that stores at most the given number of calls.
+func NewRecorder(most int) *Recorder { return &Recorder{limit: most} }
 
 func (r *Recorder) add(c Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.calls) >= r.most {
+	if len(r.calls) >= r.limit {
 		r.Dropped++
 		return
 	}
 	r.calls = append(r.calls, c)
 }
 
-// Calls is a copy of the records.
+// Calls returns a copy of the recorded calls.
 func (r *Recorder) Calls() []Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Call(nil), r.calls...)
 }
 
-// NewPartner makes a partner.
+// NewPartner returns a partner without endpoints. The seed makes its random choices repeatable.
 func NewPartner(name string, m Model, seed uint64) *Partner {
-	return &Partner{Name: name, Model: m, rand: rand.New(rand.NewPCG(seed, 1)), seen: map[string]time.Time{},
-		at: time.Now(), tokens: 1}
+	return &Partner{Name: name, Model: m, rand: rand.New(rand.NewPCG(seed, 1)), keySeen: map[string]time.Time{},
+		refilled: time.Now(), tokens: 1}
 }
 
-// Outage says that the partner is, or is no longer, in an outage. Relays whose
-// calls arrive during it count as having met a failure; where none can arrive,
-// those named do.
+// Outage starts or ends an outage of the partner. Relays whose calls arrive during the
+// outage are counted as having met a failure. saw names further ones, for outages in which
+// no call can arrive.
 func (p *Partner) Outage(down bool, saw ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.down && !down {
-		p.back, p.load = time.Now(), nil
-		p.returns++
+	if p.inOutage && !down {
+		p.outageEnd, p.arrivals = time.Now(), nil
+		p.outagesEnded++
 	}
-	if !p.down && down {
-		p.saw = map[string]bool{}
+	if !p.inOutage && down {
+		p.sawFailure = map[string]bool{}
 	}
 	for _, r := range saw {
-		p.saw[r] = true
+		p.sawFailure[r] = true
 	}
-	p.down = down
+	p.inOutage = down
 }
 
-// Returns counts the ends of outages.
+// Returns reports the number of outages that have ended.
 func (p *Partner) Returns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.returns
+	return p.outagesEnded
 }
 
-// cold is the share of its capacity that a partner has now; under mu.
-func (p *Partner) cold(now time.Time) float64 {
+// capacityShare returns the share of its capacity that the partner has at the given time.
+// The caller holds mu.
+func (p *Partner) capacityShare(now time.Time) float64 {
 	m := &p.Model
-	if p.back.IsZero() || m.Cold <= 0 {
+	if p.outageEnd.IsZero() || m.Cold <= 0 {
 		return 1
 	}
-	return min(1, m.ColdFrom+(1-m.ColdFrom)*now.Sub(p.back).Seconds()/m.Cold.Seconds())
+	return min(1, m.ColdFrom+(1-m.ColdFrom)*now.Sub(p.outageEnd).Seconds()/m.Cold.Seconds())
 }
 
-// Falls are the times that it was pushed over.
+// Falls returns the collapses of the partner so far.
 func (p *Partner) Falls() []Fall {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Fall(nil), p.falls...)
+	return append([]Fall(nil), p.collapses...)
 }
 
-// Endpoint is one listening address of a partner.
+// Endpoint is a host of a partner: an HTTP server at one listen address.
 type Endpoint struct {
-	Addr    string
-	Partner *Partner
-	rec     *Recorder
-	srv     *http.Server
-	mu      sync.Mutex
-	t       Trouble
-	cut     chan struct{} // closed when the trouble changes
-	begun   time.Time
-	wrap    func(net.Conn) net.Conn
+	Addr         string
+	Partner      *Partner
+	rec          *Recorder
+	srv          *http.Server
+	mu           sync.Mutex
+	fault        Trouble
+	faultChanged chan struct{} // neither closed nor received from
+	started      time.Time
+	wrap         func(net.Conn) net.Conn
 }
 
 type connKey struct{}
 
-// metered notes when the first byte of each request came, on the socket.
-type metered struct {
+// timedConn records when the first byte of each request arrived on the socket.
+type timedConn struct {
 	net.Conn
-	mu    sync.Mutex
-	first time.Time // of bytes that no request is known for yet
+	mu        sync.Mutex
+	firstByte time.Time // arrival of the first byte since the last complete request
 }
 
-func (m *metered) Read(b []byte) (int, error) {
+func (m *timedConn) Read(b []byte) (int, error) {
 	n, err := m.Conn.Read(b)
 	if n > 0 {
 		m.mu.Lock()
-		if m.first.IsZero() {
-			m.first = time.Now()
+		if m.firstByte.IsZero() {
+			m.firstByte = time.Now()
 		}
 		m.mu.Unlock()
 	}
 	return n, err
 }
 
-// request tells when the first byte of the request that is read whole came.
-func (m *metered) request() time.Time {
+// takeFirstByte returns when the first byte of the current request arrived, and clears it.
+// It is called when the request has been read.
+func (m *timedConn) takeFirstByte() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	at := m.first
-	m.first = time.Time{}
+	at := m.firstByte
+	m.firstByte = time.Time{}
 	return at
 }
 
-// connState is what an endpoint knows of one connection.
+// connState is the state of one connection to an endpoint.
 type connState struct {
-	*metered
+	*timedConn
 	mu    sync.Mutex
-	last  time.Time
+	last  time.Time // end of the last call, or the accept
 	calls int
 }
 
-// Start listens on an address; "127.0.0.1:0" takes a free port.
+// Start starts an endpoint on an address; "127.0.0.1:0" takes a free port.
 func Start(addr string, p *Partner, rec *Recorder) (*Endpoint, error) {
 	return StartWrapped(addr, p, rec, nil)
 }
 
-// StartWrapped is Start with every connection wrapped, to meter it.
+// StartWrapped is like Start, with wrap applied to every accepted connection, for example to
+// count its bytes. An address "unix:PATH" listens on a Unix socket. wrap may be nil.
 func StartWrapped(addr string, p *Partner, rec *Recorder, wrap func(net.Conn) net.Conn) (*Endpoint, error) {
 	network, at := "tcp", addr
 	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
@@ -267,17 +271,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
 	}
-	e := &Endpoint{wrap: wrap, Addr: l.Addr().String(), Partner: p, rec: rec, cut: make(chan struct{}), begun: time.Now()}
+	e := &Endpoint{wrap: wrap, Addr: l.Addr().String(), Partner: p, rec: rec,
+		faultChanged: make(chan struct{}), started: time.Now()}
 	e.serve(l)
 	return e, nil
 }
 
-type wrapped struct {
+// timedListener wraps its connections in wrap, if that is set, and in timedConn.
+type timedListener struct {
 	net.Listener
 	wrap func(net.Conn) net.Conn
 }
 
-func (w wrapped) Accept() (net.Conn, error) {
+func (w timedListener) Accept() (net.Conn, error) {
 	c, err := w.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -285,22 +291,22 @@
 	if w.wrap != nil {
 		c = w.wrap(c)
 	}
-	return &metered{Conn: c}, nil
+	return &timedConn{Conn: c}, nil
 }
 
 func (e *Endpoint) serve(l net.Listener) {
 	e.srv = &http.Server{Handler: e, ReadHeaderTimeout: 30 * time.Second,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, &connState{metered: c.(*metered), last: time.Now()})
+			return context.WithValue(ctx, connKey{}, &connState{timedConn: c.(*timedConn), last: time.Now()})
 		}}
 	srv := e.srv
-	go func() { _ = srv.Serve(wrapped{l, e.wrap}) }()
+	go func() { _ = srv.Serve(timedListener{l, e.wrap}) }()
 }
 
-// Close stops listening and cuts all connections.
+// Close stops listening and closes all connections.
 func (e *Endpoint) Close() { _ = e.srv.Close() }
 
-// Reopen listens again after Close.
+// Reopen listens on the same address again after Close.
 func (e *Endpoint) Reopen() error {
 	l, err := net.Listen("tcp", e.Addr)
 	if err != nil {
@@ -310,46 +316,47 @@
 	return nil
 }
 
-// Set changes what is wrong. Calls that hang go on hanging until their caller
-// closes.
+// Set replaces the injected faults. Calls that hang already go on until their caller
+// closes the connection.
 func (e *Endpoint) Set(t Trouble) {
 	e.mu.Lock()
-	e.t = t
+	e.fault = t
 	e.mu.Unlock()
 }
 
-func (e *Endpoint) trouble() Trouble {
+func (e *Endpoint) currentFault() Trouble {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.t
+	return e.fault
 }
 
-// longest body that is read and kept.
-const longestBody = 1 << 20
+// maxBodyBytes is the number of bytes of a request body that are read and recorded.
+const maxBodyBytes = 1 << 20
 
+// ServeHTTP handles and records one call.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := Call{Start: time.Now(), Endpoint: e.Addr, Partner: e.Partner.Name, Conn: r.RemoteAddr,
 		Relay: strings.TrimPrefix(r.Header.Get("Via"), "1.1 "), Class: r.Header.Get("Message-Class"),
 		Key: r.Header.Get("Order-Key"), Idem: r.Header.Get("Idempotency-Key"), What: Lost}
-	body, err := io.ReadAll(io.LimitReader(r.Body, longestBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	st, _ := r.Context().Value(connKey{}).(*connState)
-	c.Start, c.Body = st.request(), string(body)
-	if err != nil { // nothing came whole, nothing runs; but it was out until now
+	c.Start, c.Body = st.takeFirstByte(), string(body)
+	if err != nil { // an incomplete request takes no effect, but was in progress until now
 		c.What, c.End = Half, time.Now()
 		c.Left = c.End
 		e.rec.add(c)
 		return
 	}
-	t := e.trouble()
-	e.Partner.arrived(&c)
-	var left atomic.Int64
-	stop := context.AfterFunc(r.Context(), func() { left.Store(time.Now().UnixNano()) })
+	t := e.currentFault()
+	e.Partner.recordArrival(&c)
+	var closedAt atomic.Int64
+	stop := context.AfterFunc(r.Context(), func() { closedAt.Store(time.Now().UnixNano()) })
 	defer func() {
 		stop()
 		c.End = time.Now()
 		if r.Context().Err() != nil {
-			if c.Left = c.End; left.Load() != 0 {
-				c.Left = time.Unix(0, left.Load())
+			if c.Left = c.End; closedAt.Load() != 0 {
+				c.Left = time.Unix(0, closedAt.Load())
 			}
 		}
 		e.rec.add(c)
@@ -362,14 +369,14 @@
 	if first && t.Handshake > 0 {
 		pause.For(r.Context(), t.Handshake)
 	}
-	silent := func() {
+	hang := func() {
 		<-r.Context().Done()
-		panic(http.ErrAbortHandler) // lest the server writes an answer after all
+		panic(http.ErrAbortHandler) // keeps the server from writing a response
 	}
-	cutOff := func() {
+	resetConn := func() {
 		if h, ok := w.(http.Hijacker); ok {
 			if conn, _, err := h.Hijack(); err == nil {
-				if m, ok := conn.(*metered); ok {
+				if m, ok := conn.(*timedConn); ok {
 					conn = m.Conn
 				}
 				if tcp, ok := conn.(*net.TCPConn); ok {
@@ -381,13 +388,13 @@
 	}
 	switch {
 	case t.Hang:
-		silent()
+		hang()
 		return
 	case t.Reap > 0 && !first && idle > t.Reap:
-		c.Effect = e.Partner.effect(&c)
-		cutOff()
+		c.Effect = e.Partner.recordEffect(&c)
+		resetConn()
 		return
-	case t.Errors > 0 && (t.ErrorClass == "" || t.ErrorClass == c.Class) && e.Partner.chance() < t.Errors:
+	case t.Errors > 0 && (t.ErrorClass == "" || t.ErrorClass == c.Class) && e.Partner.randomShare() < t.Errors:
 		c.What = Failed
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -402,17 +409,17 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	took := e.Partner.service(t)
+	delay := e.Partner.serviceTime(t)
 	if t.PauseEvery > 0 {
-		if into := time.Since(e.begun) % t.PauseEvery; into < t.Pause {
-			took += t.Pause - into
+		if into := time.Since(e.started) % t.PauseEvery; into < t.Pause {
+			delay += t.Pause - into
 		}
 	}
-	time.Sleep(took) // runs on also if the caller has gone
-	c.Effect = e.Partner.effect(&c)
+	time.Sleep(delay) // continues even if the caller has closed the connection
+	c.Effect = e.Partner.recordEffect(&c)
 	done()
-	if t.Lost > 0 && e.Partner.chance() < t.Lost {
-		silent()
+	if t.Lost > 0 && e.Partner.randomShare() < t.Lost {
+		hang()
 		return
 	}
 	if c.What = Served; !c.Effect {
@@ -421,8 +428,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Quick listens with a server that answers every call after the service time
-// and records nothing, for measurements.
+// Quick starts a server that responds to every call after the service time and records
+// nothing, for load measurements. It returns the listen address and a function that stops
+// the server.
 func Quick(addr string, service time.Duration) (listening string, stop func(), err error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -439,58 +447,61 @@
 	return l.Addr().String(), func() { _ = srv.Close() }, nil
 }
 
-func (p *Partner) chance() float64 {
+func (p *Partner) randomShare() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rand.Float64()
 }
 
-// arrived counts a call against what a cold partner can take.
-func (p *Partner) arrived(c *Call) {
+// recordArrival records a call and checks whether the partner collapses: during the ramp-up after
+// an outage it does so if the calls within Model.Fall exceed Model.Factor times the available capacity.
+func (p *Partner) recordArrival(c *Call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := &p.Model
-	if p.down {
-		p.saw[c.Relay] = true
+	if p.inOutage {
+		p.sawFailure[c.Relay] = true
 	}
-	if m.Fall <= 0 || m.Capacity <= 0 || p.back.IsZero() || p.down || p.fallen {
+	if m.Fall <= 0 || m.Capacity <= 0 || p.outageEnd.IsZero() || p.inOutage || p.collapsed {
 		return
 	}
 	now := c.Start
-	share := p.cold(now)
-	p.load = append(p.load, arrival{now, c.Relay})
-	for len(p.load) > 0 && now.Sub(p.load[0].at) > m.Fall {
-		p.load = p.load[1:]
-	}
-	if now.Sub(p.back) >= m.Fall && float64(len(p.load)) > m.Factor*share*m.Capacity*m.Fall.Seconds() && share < 1 {
-		f := Fall{At: now, Calls: map[string]int{}, Saw: maps.Clone(p.saw)}
-		for _, a := range p.load {
+	share := p.capacityShare(now)
+	p.arrivals = append(p.arrivals, arrival{now, c.Relay})
+	for len(p.arrivals) > 0 && now.Sub(p.arrivals[0].at) > m.Fall {
+		p.arrivals = p.arrivals[1:]
+	}
+	if now.Sub(p.outageEnd) >= m.Fall && float64(len(p.arrivals)) > m.Factor*share*m.Capacity*m.Fall.Seconds() &&
+		share < 1 {
+		f := Fall{At: now, Calls: map[string]int{}, Saw: maps.Clone(p.sawFailure)}
+		for _, a := range p.arrivals {
 			f.Calls[a.relay]++
 		}
-		p.falls = append(p.falls, f)
-		p.fallen = true
+		p.collapses = append(p.collapses, f)
+		p.collapsed = true
 	}
 }
 
-// effect notes that a message took effect; false for a repeat that is dropped.
-func (p *Partner) effect(c *Call) bool {
+// recordEffect records that a message took effect. It returns false for a repeat, which is dropped.
+func (p *Partner) recordEffect(c *Call) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.Idem == "" || p.Model.Window <= 0 {
 		return true
 	}
 	now := time.Now()
-	if at, ok := p.seen[c.Idem]; ok && now.Sub(at) < p.Model.Window {
+	if at, ok := p.keySeen[c.Idem]; ok && now.Sub(at) < p.Model.Window {
 		return false
 	}
-	if len(p.seen) > 1<<20 {
-		clear(p.seen)
+	if len(p.keySeen) > 1<<20 {
+		clear(p.keySeen)
 	}
-	p.seen[c.Idem] = now
+	p.keySeen[c.Idem] = now
 	return true
 }
 
-func (p *Partner) service(t Trouble) time.Duration {
+// serviceTime draws the service time of a call.
+func (p *Partner) serviceTime(t Trouble) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := float64(p.Model.Service) * (1 + p.Model.Spread*(2*p.rand.Float64()-1))
@@ -503,7 +514,8 @@
 	return time.Duration(d)
 }
 
-// admit applies the limit, then the queue. done frees the place in service.
+// admit applies the rate limit, then the concurrency limit and its queue. A refused call gets the
+// wait for Retry-After; the caller of an admitted one calls done at its end.
 func (p *Partner) admit(ctx context.Context, t Trouble) (ok bool, wait time.Duration, done func()) {
 	p.mu.Lock()
 	now := time.Now()
@@ -515,29 +527,29 @@
 		}
 		return false, wait, nil
 	}
-	if t.Shut || p.fallen {
+	if t.Shut || p.collapsed {
 		return refuse(time.Second)
 	}
-	rate := m.Rate * p.cold(now)
+	rate := m.Rate * p.capacityShare(now)
 	if t.RateShare > 0 {
 		rate *= t.RateShare
 	}
 	switch {
 	case rate <= 0:
 	case m.Span > 0:
-		if now.Sub(p.span) >= m.Span {
-			p.span, p.used = now.Truncate(m.Span), 0
+		if now.Sub(p.windowStart) >= m.Span {
+			p.windowStart, p.windowUsed = now.Truncate(m.Span), 0
 		}
-		if p.used+1 > math.Max(1, rate*m.Span.Seconds()) {
+		if p.windowUsed+1 > math.Max(1, rate*m.Span.Seconds()) {
 			if m.Counts {
-				p.used++
+				p.windowUsed++
 			}
-			return refuse(p.span.Add(m.Span).Sub(now))
+			return refuse(p.windowStart.Add(m.Span).Sub(now))
 		}
-		p.used++
+		p.windowUsed++
 	default:
-		p.tokens = math.Min(math.Max(1, rate/4), p.tokens+rate*now.Sub(p.at).Seconds())
-		p.at = now
+		p.tokens = math.Min(math.Max(1, rate/4), p.tokens+rate*now.Sub(p.refilled).Seconds())
+		p.refilled = now
 		if p.tokens < 1 {
 			missing := 1 - p.tokens
 			if m.Counts {
@@ -548,35 +560,36 @@
 		p.tokens--
 	}
 	if m.Concurrency > 0 {
-		if p.busy >= m.Concurrency {
-			if p.waiting >= m.Queue {
+		if p.inService >= m.Concurrency {
+			if p.queued >= m.Queue {
 				return refuse(0)
 			}
-			if p.free == nil {
-				p.free = make(chan struct{}, m.Concurrency)
+			if p.slotFreed == nil {
+				p.slotFreed = make(chan struct{}, m.Concurrency)
 			}
-			p.waiting++
+			p.queued++
 			p.mu.Unlock()
-			<-p.free
+			<-p.slotFreed
 			p.mu.Lock()
-			p.waiting--
+			p.queued--
 		}
-		p.busy++
+		p.inService++
 	}
 	p.mu.Unlock()
-	return true, 0, p.leave
+	return true, 0, p.release
 }
 
-func (p *Partner) leave() {
+// release ends a call in service and lets the next queued one start.
+func (p *Partner) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.Model.Concurrency <= 0 {
 		return
 	}
-	p.busy--
-	if p.waiting > 0 && p.free != nil {
+	p.inService--
+	if p.queued > 0 && p.slotFreed != nil {
 		select {
-		case p.free <- struct{}{}:
+		case p.slotFreed <- struct{}{}:
 		default:
 		}
 	}
