--- a/internal/load/journal.go
+++ b/internal/load/journal.go
@@ -15,20 +15,20 @@
 	"basaltcross.example/basaltcross/internal/journal"
 )
 
-// JournalResult is a relay under load with one kind of journal.
+// JournalResult holds the figures of a relay with one journal setting and one message class.
 type JournalResult struct {
-	Journal  string  `json:"journal"` // off, unsynced, synced
+	Journal  string  `json:"journal"` // off, unsynced or synced
 	Class    string  `json:"class"`
-	Full     Result  `json:"full"`
-	Open     Result  `json:"open"` // at the rate asked for
-	OfOff    float64 `json:"of_off"`
-	Bytes    float64 `json:"bytes_a_message"` // of records
-	PerGroup float64 `json:"records_a_group"`
+	Full     Result  `json:"full"`            // at saturation
+	Open     Result  `json:"open"`            // open-loop run at Options.Rate
+	OfOff    float64 `json:"of_off"`          // saturation throughput as a share of that without a journal
+	Bytes    float64 `json:"bytes_a_message"` // bytes of journal records per delivered message
+	PerGroup float64 `json:"records_a_group"` // journal records per group commit
 }
 
-// Journal measures a relay without a journal, with one that is not synced, and
-// with one that is, one after the other, for a class whose attempts are recorded
-// and for one whose are not.
+// Journal measures a relay without a journal, with an unsynced and with a synced one, one
+// after the other. Each is measured with a class whose attempts are not recorded ("status")
+// and one whose attempts are ("charge").
 func Journal(ctx context.Context, o Options) ([]JournalResult, error) {
 	dir, err := os.MkdirTemp("", "basaltcross-load-")
 	if err != nil {
@@ -49,7 +49,7 @@
 	for _, kind := range []string{"off", "unsynced", "synced"} {
 		for _, class := range []string{"status", "charge"} {
 			name := kind + "-" + class
-			if err := o.journalConfig(dir, name, kind, host.addrs); err != nil {
+			if err := o.writeJournalConfig(dir, name, kind, host.addrs); err != nil {
 				return nil, err
 			}
 			relay, err := o.start(ctx, dir, name, "relay", "--config", filepath.Join(dir, name+".cue"))
@@ -68,14 +68,14 @@
 					return nil, err
 				}
 				if saturated {
-					r.Full = relay.measured(func() Result { return full(ctx, name, s, o.Window, o.Lasts) })
+					r.Full = relay.measure(func() Result { return saturate(ctx, name, s, o.Window, o.Lasts) })
 				} else {
-					r.Open = relay.measured(func() Result { return open(ctx, name, s, o.Rate, o.Lasts) })
+					r.Open = relay.measure(func() Result { return openLoop(ctx, name, s, o.Rate, o.Lasts) })
 				}
 				s.close()
 			}
 			if kind != "off" {
-				stats, err := journalStats(relay.named["metrics"])
+				stats, err := journalStats(relay.labelled["metrics"])
 				if err != nil {
 					relay.stop()
 					return nil, fmt.Errorf("load: %w", err)
@@ -94,6 +94,7 @@
 	return out, nil
 }
 
+// journalStats fetches the journal's counters from the metrics listener of a relay.
 func journalStats(addr string) (s journal.Stats, err error) {
 	r, err := (&http.Client{Timeout: 10 * time.Second}).Get("http://" + addr + "/journal")
 	if err != nil {
@@ -103,7 +104,9 @@
 	return s, json.NewDecoder(r.Body).Decode(&s)
 }
 
-func (o *Options) journalConfig(dir, name, kind string, ends []string) error {
+// writeJournalConfig writes NAME.cue, the configuration of a relay with the given kind of journal, and
+// NAME.list, its list of endpoints, to dir.
+func (o *Options) writeJournalConfig(dir, name, kind string, ends []string) error {
 	var b, list strings.Builder
 	fmt.Fprintf(&b, `relay: {workers: %d, held: 100000, attempts: 4}
 classes: [
@@ -138,10 +141,12 @@
 // PrintJournal writes results as a table.
 func PrintJournal(w io.Writer, results []JournalResult) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "journal\tclass\tsaturated\tof off\tCPU a message\tp50 at rate\tp99 at rate\tbytes a message\trecords a group\t")
+	fmt.Fprintln(t,
+		"journal\tclass\tsaturated\tof off\tCPU a message\tp50 at rate\tp99 at rate\tbytes a message\trecords a group\t")
 	for _, r := range results {
 		fmt.Fprintf(t, "%s\t%s\t%.0f/s\t%.2f\t%v\t%v\t%v\t%.0f\t%.1f\t\n", r.Journal, r.Class, r.Full.PerSec, r.OfOff,
-			r.Full.CPU.Round(time.Microsecond), r.Open.P50.Round(10*time.Microsecond), r.Open.P99.Round(10*time.Microsecond), r.Bytes, r.PerGroup)
+			r.Full.CPU.Round(time.Microsecond), r.Open.P50.Round(10*time.Microsecond),
+			r.Open.P99.Round(10*time.Microsecond), r.Bytes, r.PerGroup)
 	}
 	_ = t.Flush()
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,8 +1,10 @@
-// Package load measures a relay on loopback: open-loop load with intended send
-// times (so that a stall counts against everything that should have gone out
-// meanwhile), saturation, and the memory of idle connections; and beside it, in
-// the same run, the same calls straight to the stand-in and through the
-// standard library's reverse proxy.
+// Package load measures the performance of a relay on loopback: latency under open-loop
+// load, throughput at saturation, TLS handshakes and the memory of idle connections.
+// Open-loop latency counts from the intended send time, so that a stall counts against
+// every message that should have been sent meanwhile (no coordinated omission).
+//
+// As baselines, the same run measures the same calls directly to the stand-in and through
+// the reverse proxy of the standard library.
 package load
 
 import (
@@ -25,30 +27,30 @@
 	"basaltcross.example/basaltcross/internal/mqtt"
 )
 
-// sender carries messages to a target. send never blocks for long; done is
-// called once for each message that got its answer.
+// sender sends messages to a target. send does not block for long. It calls done once for
+// each message that got its outcome, with true if the message was delivered.
 type sender interface {
 	send(index uint64, done func(ok bool))
 	close()
 }
 
-// Result is one measured run.
+// Result holds the figures of one measured run.
 type Result struct {
 	Name    string        `json:"name"`
-	Asked   float64       `json:"asked_per_s"` // 0: as many as it takes
+	Asked   float64       `json:"asked_per_s"` // messages/s of an open-loop run; 0 for a run at saturation
 	Sent    int           `json:"sent"`
 	OK      int           `json:"answered_ok"`
 	PerSec  float64       `json:"per_s"`
 	P50     time.Duration `json:"p50_ns"`
 	P99     time.Duration `json:"p99_ns"`
 	P999    time.Duration `json:"p999_ns"`
-	CPU     time.Duration `json:"cpu_per_message_ns"` // of the process measured
-	RSS     int64         `json:"rss_bytes"`          // of it, at the end
-	Missing int           `json:"missing"`            // without an answer at the end
+	CPU     time.Duration `json:"cpu_per_message_ns"` // CPU time of the measured process per delivered message
+	RSS     int64         `json:"rss_bytes"`          // resident memory of the measured process at the end
+	Missing int           `json:"missing"`            // messages without an outcome at the end
 }
 
-// open sends at a fixed rate for a time. Latency counts from the intended time.
-func open(ctx context.Context, name string, s sender, rate float64, lasts time.Duration) Result {
+// openLoop sends at a fixed rate for the given duration. Latency counts from the intended send time.
+func openLoop(ctx context.Context, name string, s sender, rate float64, lasts time.Duration) Result {
 	hist := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mu sync.Mutex
 	var ok, missing atomic.Int64
@@ -73,12 +75,12 @@
 			mu.Unlock()
 		})
 	}
-	drain(ctx, &missing)
+	awaitOutstanding(ctx, &missing)
 	return result(name, rate, int(n), &ok, &missing, time.Since(begin), hist, &mu)
 }
 
-// full keeps so many messages under way for a time.
-func full(ctx context.Context, name string, s sender, window int, lasts time.Duration) Result {
+// saturate keeps window messages in flight for the given duration.
+func saturate(ctx context.Context, name string, s sender, window int, lasts time.Duration) Result {
 	hist := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mu sync.Mutex
 	var ok, missing, n atomic.Int64
@@ -109,14 +111,14 @@
 	<-ctx.Done()
 	took := time.Since(begin)
 	done := ok.Load()
-	drain(context.Background(), &missing)
+	awaitOutstanding(context.Background(), &missing)
 	var counted atomic.Int64
 	counted.Store(done)
 	return result(name, 0, int(n.Load()), &counted, &missing, took, hist, &mu)
 }
 
-// drain waits for what is under way, a few seconds at most.
-func drain(ctx context.Context, missing *atomic.Int64) {
+// awaitOutstanding waits until no message is in flight, for 7 s at most.
+func awaitOutstanding(ctx context.Context, missing *atomic.Int64) {
 	for range 700 {
 		if missing.Load() == 0 || ctx.Err() != nil {
 			return
@@ -134,28 +136,28 @@
 		P50: q(50), P99: q(99), P999: q(99.9), Missing: int(missing.Load())}
 }
 
-// mqttSender spreads messages over light MQTT connections: a goroutine that
-// reads and one that writes what has gathered, each.
+// mqttSender distributes messages over minimal MQTT connections. Each has one goroutine that
+// reads and one that writes the packets buffered so far.
 type mqttSender struct {
-	conns []*mqttConn
-	next  atomic.Uint64
-	parts []string // topics
+	conns  []*mqttConn
+	next   atomic.Uint64
+	topics []string // published to in turn
 }
 
 type mqttConn struct {
-	conn    net.Conn
-	mu      sync.Mutex
-	out     []byte
-	wake    chan struct{}
-	waiting map[uint64]func(bool)
-	nextID  uint16
+	conn     net.Conn
+	mu       sync.Mutex
+	outgoing []byte
+	wake     chan struct{}
+	waiting  map[uint64]func(bool)
+	nextID   uint16
 }
 
-// dialMQTT opens the connections; topics are published to in turn.
-func dialMQTT(addr string, trust *tls.Config, count int, name string, topics []string) (*mqttSender, error) {
-	s := &mqttSender{parts: topics}
+// dialMQTT opens count connections that publish to the topics in turn.
+func dialMQTT(addr string, tlsConfig *tls.Config, count int, name string, topics []string) (*mqttSender, error) {
+	s := &mqttSender{topics: topics}
 	for i := range count {
-		c, err := newMQTT(addr, trust, fmt.Sprintf("%s-%d", name, i))
+		c, err := newMQTT(addr, tlsConfig, fmt.Sprintf("%s-%d", name, i))
 		if err != nil {
 			s.close()
 			return nil, err
@@ -167,10 +169,10 @@
 	return s, nil
 }
 
-// dial connects, over TLS if a configuration is given.
-func dial(addr string, trust *tls.Config) (net.Conn, error) {
-	if trust != nil {
-		c, err := tls.Dial("tcp", addr, trust)
+// dial connects over TCP, with TLS if a configuration is given.
+func dial(addr string, tlsConfig *tls.Config) (net.Conn, error) {
+	if tlsConfig != nil {
+		c, err := tls.Dial("tcp", addr, tlsConfig)
 		if err != nil {
 			return nil, fmt.Errorf("load: %w", err)
 		}
@@ -183,9 +185,9 @@
 	return c, nil
 }
 
-// newMQTT connects and subscribes to the answers of its client id.
-func newMQTT(addr string, trust *tls.Config, id string) (*mqttConn, error) {
-	conn, err := dial(addr, trust)
+// newMQTT connects and subscribes to the notices of the client ID.
+func newMQTT(addr string, tlsConfig *tls.Config, id string) (*mqttConn, error) {
+	conn, err := dial(addr, tlsConfig)
 	if err != nil {
 		return nil, err
 	}
@@ -213,7 +215,7 @@
 			}
 			if first>>4 == mqtt.CONNACK {
 				if a, err := mqtt.ParseConnack(mqtt.V5, body); err != nil || a.Code != 0 {
-					return nil, fmt.Errorf("load: CONNACK 0x%02x", a.Code)
+					return nil, fmt.Errorf("load: connection refused with CONNACK reason code 0x%02x", a.Code)
 				}
 			}
 			seen++
@@ -230,8 +232,8 @@
 	if c.nextID++; c.nextID == 0 {
 		c.nextID = 1
 	}
-	c.out = mqtt.AppendPublish(c.out, mqtt.V5, &mqtt.Publish{QoS: 1, ID: c.nextID, Topic: s.parts[index%uint64(len(s.parts))],
-		Payload: body, Props: mqtt.Props{Correlation: binary.BigEndian.AppendUint64(nil, index)}})
+	c.outgoing = mqtt.AppendPublish(c.outgoing, mqtt.V5, &mqtt.Publish{QoS: 1, ID: c.nextID,
+		Topic: s.topics[index%uint64(len(s.topics))], Payload: body, Props: mqtt.Props{Correlation: binary.BigEndian.AppendUint64(nil, index)}})
 	c.mu.Unlock()
 	select {
 	case c.wake <- struct{}{}:
@@ -239,15 +241,15 @@
 	}
 }
 
-// body of each message.
+// body is the content of every message.
 var body = []byte(strings.Repeat("x", 200))
 
 func (c *mqttConn) write() {
 	var spare []byte
 	for range c.wake {
 		c.mu.Lock()
-		b := c.out
-		c.out = spare[:0]
+		b := c.outgoing
+		c.outgoing = spare[:0]
 		c.mu.Unlock()
 		if _, err := c.conn.Write(b); err != nil {
 			return
@@ -277,9 +279,9 @@
 				if err == nil && len(p.Props.Correlation) == 8 {
 					c.answer(binary.BigEndian.Uint64(p.Props.Correlation), p.Props.UserValue("answer") == "delivered")
 				}
-			case mqtt.PUBACK: // taken, or turned away: then no answer follows
+			case mqtt.PUBACK: // a rejected message gets no notice
 				if a, err := mqtt.ParseAck(mqtt.V5, first, body); err == nil && a.Code >= 0x80 {
-					c.turnedAway()
+					c.failAny()
 				}
 			}
 		}
@@ -297,8 +299,9 @@
 	}
 }
 
-// turnedAway gives up one message that waits, whichever: only the count matters.
-func (c *mqttConn) turnedAway() {
+// failAny reports an arbitrary waiting message as failed. Which one does not matter, since only
+// the number of failures is reported.
+func (c *mqttConn) failAny() {
 	c.mu.Lock()
 	var done func(bool)
 	for i, d := range c.waiting {
@@ -318,17 +321,17 @@
 	}
 }
 
-// httpSender sends over light HTTP/1.1 connections, one call at a time on each;
-// calls wait for a free one.
+// httpSender sends over minimal HTTP/1.1 connections with one call at a time on each. Calls
+// queue for a free connection.
 type httpSender struct {
 	jobs  chan httpJob
 	conns []net.Conn
-	// Of Web Push: the receipt subscription, and who waits for which message.
-	mu      sync.Mutex
-	box     string
-	ready   chan struct{}
-	waiting map[string]func(bool)
-	early   map[string]bool
+	// The other fields serve Web Push: the receipt subscription and the messages that wait for receipts.
+	mu            sync.Mutex
+	receiptsPath  string // path of the receipt subscription; empty before the first message is accepted
+	subscribed    chan struct{}
+	waiting       map[string]func(bool)
+	earlyReceipts map[string]bool // receipts that arrived before the response to the POST; true for delivered
 }
 
 type httpJob struct {
@@ -336,29 +339,31 @@
 	done  func(bool)
 }
 
-func dialHTTP(addrs []string, trust *tls.Config, count int, push []string) (*httpSender, error) {
-	s := &httpSender{jobs: make(chan httpJob, 1<<20), ready: make(chan struct{}), waiting: map[string]func(bool){},
-		early: map[string]bool{}}
+// dialHTTP opens count connections, spread over the addresses. With push resources it sends push
+// messages and uses the first connection to poll for receipts.
+func dialHTTP(addrs []string, tlsConfig *tls.Config, count int, push []string) (*httpSender, error) {
+	s := &httpSender{jobs: make(chan httpJob, 1<<20), subscribed: make(chan struct{}), waiting: map[string]func(bool){},
+		earlyReceipts: map[string]bool{}}
 	for i := range count {
 		addr := addrs[i%len(addrs)]
-		conn, err := dial(addr, trust)
+		conn, err := dial(addr, tlsConfig)
 		if err != nil {
 			s.close()
 			return nil, err
 		}
 		s.conns = append(s.conns, conn)
 		if push != nil && i == 0 {
-			go s.receipts(conn, addr)
+			go s.pollReceipts(conn, addr)
 			continue
 		}
-		go s.work(conn, addr, push)
+		go s.runJobs(conn, addr, push)
 	}
 	return s, nil
 }
 
-// work makes calls; with push resources they are push messages, whose answer
-// comes as a receipt.
-func (s *httpSender) work(conn net.Conn, addr string, push []string) {
+// runJobs makes calls until the jobs end. With push resources the calls are push messages,
+// whose outcome arrives as a receipt.
+func (s *httpSender) runJobs(conn net.Conn, addr string, push []string) {
 	r := bufio.NewReader(conn)
 	for j := range s.jobs {
 		path, fields := "/", ""
@@ -366,8 +371,8 @@
 			path = push[j.index%uint64(len(push))]
 			s.mu.Lock()
 			fields = "TTL: 10\r\nPrefer: respond-async\r\n"
-			if s.box != "" {
-				fields += "Push-Receipt: " + s.box + "\r\n"
+			if s.receiptsPath != "" {
+				fields += "Push-Receipt: " + s.receiptsPath + "\r\n"
 			}
 			s.mu.Unlock()
 		}
@@ -389,13 +394,13 @@
 		}
 		message := resp.Header.Get("Location")
 		s.mu.Lock()
-		if s.box == "" { // the first makes the subscription that all use
-			s.box, _, _ = strings.Cut(strings.TrimPrefix(resp.Header.Get("Link"), "<"), ">")
-			close(s.ready)
+		if s.receiptsPath == "" { // the first message creates the subscription that all messages use
+			s.receiptsPath, _, _ = strings.Cut(strings.TrimPrefix(resp.Header.Get("Link"), "<"), ">")
+			close(s.subscribed)
 		}
-		ok, early := s.early[message]
+		ok, early := s.earlyReceipts[message]
 		if early {
-			delete(s.early, message)
+			delete(s.earlyReceipts, message)
 		} else {
 			s.waiting[message] = j.done
 		}
@@ -406,13 +411,14 @@
 	}
 }
 
-// receipts polls.
-func (s *httpSender) receipts(conn net.Conn, addr string) {
-	<-s.ready
+// pollReceipts polls for receipts, once there is a subscription, until the connection fails.
+func (s *httpSender) pollReceipts(conn net.Conn, addr string) {
+	<-s.subscribed
 	r := bufio.NewReaderSize(conn, 64<<10)
 	after := uint64(0)
 	for {
-		if _, err := fmt.Fprintf(conn, "GET %s?after=%d HTTP/1.1\r\nHost: %s\r\nPrefer: wait=5\r\n\r\n", s.box, after, addr); err != nil {
+		if _, err := fmt.Fprintf(conn, "GET %s?after=%d HTTP/1.1\r\nHost: %s\r\nPrefer: wait=5\r\n\r\n",
+			s.receiptsPath, after, addr); err != nil {
 			return
 		}
 		resp, err := http.ReadResponse(r, nil)
@@ -435,7 +441,7 @@
 			s.mu.Lock()
 			done := s.waiting[x.Message]
 			if delete(s.waiting, x.Message); done == nil {
-				s.early[x.Message] = x.Answer == "delivered"
+				s.earlyReceipts[x.Message] = x.Answer == "delivered"
 			}
 			s.mu.Unlock()
 			if done != nil {
@@ -454,8 +460,9 @@
 	}
 }
 
-// handshakes opens and closes TLS connections for a time, each anew.
-func handshakes(ctx context.Context, addr string, trust *tls.Config, workers int, lasts time.Duration) (n int64) {
+// handshakes opens and closes TLS connections with full handshakes for the given duration and
+// returns their number.
+func handshakes(ctx context.Context, addr string, tlsConfig *tls.Config, workers int, lasts time.Duration) (n int64) {
 	ctx, cancel := context.WithTimeout(ctx, lasts)
 	defer cancel()
 	var count atomic.Int64
@@ -463,7 +470,7 @@
 	for range workers {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				c, err := tls.Dial("tcp", addr, trust)
+				c, err := tls.Dial("tcp", addr, tlsConfig)
 				if err != nil {
 					continue
 				}
@@ -476,15 +483,15 @@
 	return count.Load()
 }
 
-// burst begins n handshakes at once and tells how many came to an end within
-// the time, and how long the last of them took.
-func burst(addr string, trust *tls.Config, n int, within time.Duration) (ok int64, took time.Duration) {
+// handshakeBurst starts n TLS handshakes at once. It returns how many completed within the
+// time limit and when the last of them did.
+func handshakeBurst(addr string, tlsConfig *tls.Config, n int, within time.Duration) (ok int64, took time.Duration) {
 	var count, last atomic.Int64
 	var all sync.WaitGroup
 	begin := time.Now()
 	for range n {
 		all.Go(func() {
-			c, err := tls.DialWithDialer(&net.Dialer{Timeout: within}, "tcp", addr, trust)
+			c, err := tls.DialWithDialer(&net.Dialer{Timeout: within}, "tcp", addr, tlsConfig)
 			if err != nil {
 				return
 			}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -17,43 +17,44 @@
 	"basaltcross.example/basaltcross/internal/keys"
 )
 
-// Options of a measurement.
+// Options configures a measurement.
 type Options struct {
-	Binary      string
-	Rate        float64       // messages a second of the open-loop runs
-	Lasts       time.Duration // of each run
-	Window      int           // messages under way at saturation
-	Connections int           // of light clients
-	Idle        int           // idle MQTT connections; 0 leaves that part out
-	Burst       int           // TLS handshakes at once; 0 leaves that part out
+	Binary      string        // path of the program to measure
+	Rate        float64       // messages/s of the open-loop runs
+	Lasts       time.Duration // duration of each run
+	Window      int           // messages in flight at saturation
+	Connections int           // number of client connections
+	Idle        int           // number of idle MQTT connections; 0 skips their measurement
+	Burst       int           // number of concurrent TLS handshakes; 0 skips their measurement
 	Partners    int
-	Service     time.Duration // of the stand-in
-	Log         io.Writer
+	Service     time.Duration // service time of the stand-in
+	Log         io.Writer     // receives the standard error of the child processes
 }
 
-// Report is the outcome.
+// Report holds the figures of a measurement.
 type Report struct {
 	Results       []Result      `json:"results"`
-	AddedP99      time.Duration `json:"added_p99_ns"`       // relay over straight, at Rate
-	OverProxy     float64       `json:"over_proxy"`         // relay's saturation over the reverse proxy's
-	IdleBytes     int64         `json:"bytes_per_idle"`     // resident, for each idle connection
-	IdleTLSBytes  int64         `json:"bytes_per_idle_tls"` // the same over TLS
-	IdleMeasured  int           `json:"idle_connections"`   // that were open
-	Burst         int           `json:"burst"`              // handshakes begun at once
-	BurstOK       int           `json:"burst_ok"`
-	BurstTook     time.Duration `json:"burst_ns"`
+	AddedP99      time.Duration `json:"added_p99_ns"`       // p99 of the relay (MQTT) minus that of direct calls, at Rate
+	OverProxy     float64       `json:"over_proxy"`         // saturation throughput, relay / reverse proxy
+	IdleBytes     int64         `json:"bytes_per_idle"`     // resident memory per idle connection
+	IdleTLSBytes  int64         `json:"bytes_per_idle_tls"` // resident memory per idle TLS connection
+	IdleMeasured  int           `json:"idle_connections"`   // number of idle connections measured
+	Burst         int           `json:"burst"`              // number of concurrent handshakes started
+	BurstOK       int           `json:"burst_ok"`           // number of them that completed
+	BurstTook     time.Duration `json:"burst_ns"`           // time until the last of them completed
 	Handshakes    float64       `json:"handshakes_per_s"`
-	HandshakeCPU  time.Duration `json:"cpu_per_handshake_ns"` // of the relay
-	RelayCapacity float64       `json:"relay_per_s"`
+	HandshakeCPU  time.Duration `json:"cpu_per_handshake_ns"` // CPU time of the relay per handshake
+	RelayCapacity float64       `json:"relay_per_s"`          // delivered messages/s of the relay (MQTT) at saturation
 }
 
 // proc is a child process that is measured.
 type proc struct {
-	cmd   *exec.Cmd
-	addrs []string          // without a label
-	named map[string]string // the last one of each label
+	cmd      *exec.Cmd
+	addrs    []string          // listen addresses without a label
+	labelled map[string]string // last listen address of each label
 }
 
+// start starts a child process and waits up to 5 s for its ready file, which lists its listen addresses.
 func (o *Options) start(ctx context.Context, dir, name string, args ...string) (*proc, error) {
 	ready := filepath.Join(dir, name+".ready")
 	cmd := exec.CommandContext(ctx, o.Binary, append(args, "--ready-file", ready)...)
@@ -64,10 +65,10 @@
 	}
 	for range 200 {
 		if text, err := os.ReadFile(ready); err == nil {
-			p := &proc{cmd: cmd, named: map[string]string{}}
+			p := &proc{cmd: cmd, labelled: map[string]string{}}
 			for line := range strings.Lines(string(text)) {
 				if label, addr, ok := strings.Cut(strings.TrimSpace(line), " "); ok {
-					p.named[label] = addr
+					p.labelled[label] = addr
 				} else {
 					p.addrs = append(p.addrs, label)
 				}
@@ -78,7 +79,7 @@
 	}
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
-	return nil, fmt.Errorf("load: %s was not up after 5 s", name)
+	return nil, fmt.Errorf("load: %s did not write its ready file within 5 s", name)
 }
 
 func (p *proc) stop() {
@@ -86,7 +87,8 @@
 	_ = p.cmd.Wait()
 }
 
-// cpu is the processor time that the process has used (proc(5), stat).
+// cpu returns the CPU time that the process has used, from /proc/PID/stat (see proc(5)), or 0 if
+// it cannot be read.
 func (p *proc) cpu() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -98,7 +100,7 @@
 	return time.Duration(u+s) * time.Second / 100 // USER_HZ is 100 on Linux
 }
 
-// rss is its resident memory in bytes.
+// rss returns the resident memory of the process in bytes.
 func (p *proc) rss() int64 {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	for line := range strings.Lines(string(text)) {
@@ -110,8 +112,8 @@
 	return 0
 }
 
-// measured runs f and books the process's CPU and memory.
-func (p *proc) measured(f func() Result) Result {
+// measure runs f and adds the CPU time and memory of the process to its result.
+func (p *proc) measure(f func() Result) Result {
 	before := p.cpu()
 	r := f()
 	if r.OK > 0 {
@@ -121,9 +123,11 @@
 	return r
 }
 
-func (o *Options) config(dir, name string, accounting bool, ends []string) error {
+// writeConfig writes the configuration of a relay and its list of endpoints to dir.
+func (o *Options) writeConfig(dir, name string, accounting bool, ends []string) error {
 	var b, list strings.Builder
-	// Room for the load: the figures are of this machine, not of a deployment.
+	// The limits are high enough not to bind under the load, so that the figures show the capacity of
+	// the machine rather than of a configuration.
 	fmt.Fprintf(&b, `relay: {workers: %d, accounting: %v, held: 100000, attempts: 4}
 classes: [{name: "status", aim: "2s", deadline: "10s", effect: "safe"}]
 kinds: [{name: "fast", refusalNeverRan: true}]
@@ -149,7 +153,8 @@
 	return os.WriteFile(filepath.Join(dir, name), []byte(b.String()), 0o600)
 }
 
-// Run measures.
+// Run starts a stand-in, a reverse proxy and two relays, one of them without accounting, as child
+// processes and measures them one after the other.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	dir, err := os.MkdirTemp("", "basaltcross-load-")
 	if err != nil {
@@ -174,21 +179,22 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, _, err := authority.Issue(dir, "server", time.Now().Add(-time.Minute), time.Now().Add(time.Hour), "127.0.0.1"); err != nil {
+	if _, _, err := authority.Issue(dir, "server", time.Now().Add(-time.Minute),
+		time.Now().Add(time.Hour), "127.0.0.1"); err != nil {
 		return nil, err
 	}
-	trust := &tls.Config{RootCAs: authority.CertPool()}
-	if err := o.config(dir, "relay.cue", true, host.addrs); err != nil {
+	tlsConfig := &tls.Config{RootCAs: authority.CertPool()}
+	if err := o.writeConfig(dir, "relay.cue", true, host.addrs); err != nil {
 		return nil, err
 	}
-	if err := o.config(dir, "uncounted.cue", false, host.addrs); err != nil {
+	if err := o.writeConfig(dir, "uncounted.cue", false, host.addrs); err != nil {
 		return nil, err
 	}
-	uncounted, err := o.start(ctx, dir, "uncounted", "relay", "--config", filepath.Join(dir, "uncounted.cue"))
+	unaccounted, err := o.start(ctx, dir, "uncounted", "relay", "--config", filepath.Join(dir, "uncounted.cue"))
 	if err != nil {
 		return nil, err
 	}
-	defer uncounted.stop()
+	defer unaccounted.stop()
 	relay, err := o.start(ctx, dir, "relay", "relay", "--config", filepath.Join(dir, "relay.cue"))
 	if err != nil {
 		return nil, err
@@ -199,15 +205,15 @@
 		topics = append(topics, fmt.Sprintf("send/status/p%d", i))
 		resources = append(resources, fmt.Sprintf("/push/status/p%d", i))
 	}
-	overMQTT := func(label string, trust *tls.Config) func(int) (sender, error) {
+	overMQTT := func(label string, tlsConfig *tls.Config) func(int) (sender, error) {
 		addr := relay.addrs[0]
 		if label != "" {
-			addr = relay.named[label]
+			addr = relay.labelled[label]
 		}
-		return func(n int) (sender, error) { return dialMQTT(addr, trust, min(n, o.Connections), "load", topics) }
+		return func(n int) (sender, error) { return dialMQTT(addr, tlsConfig, min(n, o.Connections), "load", topics) }
 	}
-	overPush := func(label string, trust *tls.Config) func(int) (sender, error) {
-		return func(n int) (sender, error) { return dialHTTP([]string{relay.named[label]}, trust, n, resources) }
+	overPush := func(label string, tlsConfig *tls.Config) func(int) (sender, error) {
+		return func(n int) (sender, error) { return dialHTTP([]string{relay.labelled[label]}, tlsConfig, n, resources) }
 	}
 	type target struct {
 		name string
@@ -216,23 +222,25 @@
 	}
 	targets := []target{
 		{"straight to the stand-in", host, func(n int) (sender, error) { return dialHTTP(host.addrs, nil, n, nil) }},
-		{"net/http/httputil reverse proxy", proxy, func(n int) (sender, error) { return dialHTTP(proxy.addrs[:1], nil, n, nil) }},
+		{"net/http/httputil reverse proxy", proxy,
+			func(n int) (sender, error) { return dialHTTP(proxy.addrs[:1], nil, n, nil) }},
 		{"relay, MQTT", relay, overMQTT("", nil)},
-		{"relay, MQTT, accounting off", uncounted, func(n int) (sender, error) {
-			return dialMQTT(uncounted.addrs[0], nil, min(n, o.Connections), "load", topics)
+		{"relay, MQTT, accounting off", unaccounted, func(n int) (sender, error) {
+			return dialMQTT(unaccounted.addrs[0], nil, min(n, o.Connections), "load", topics)
 		}},
-		{"relay, MQTT over TLS", relay, overMQTT("mqtts", trust)},
+		{"relay, MQTT over TLS", relay, overMQTT("mqtts", tlsConfig)},
 		{"relay, Web Push", relay, overPush("webpush", nil)},
-		{"relay, Web Push over TLS", relay, overPush("webpushs", trust)},
+		{"relay, Web Push over TLS", relay, overPush("webpushs", tlsConfig)},
 	}
 	rep := &Report{}
-	for _, t := range targets { // latency at the asked rate
+	for _, t := range targets { // latency at the requested rate
 		s, err := t.dial(max(o.Connections, 64))
 		if err != nil {
 			return nil, err
 		}
-		open(ctx, "warm", s, o.Rate, min(time.Second, o.Lasts))
-		rep.Results = append(rep.Results, t.proc.measured(func() Result { return open(ctx, t.name, s, o.Rate, o.Lasts) }))
+		openLoop(ctx, "warm", s, o.Rate, min(time.Second, o.Lasts))
+		rep.Results = append(rep.Results,
+			t.proc.measure(func() Result { return openLoop(ctx, t.name, s, o.Rate, o.Lasts) }))
 		s.close()
 	}
 	for _, t := range targets { // saturation
@@ -240,8 +248,9 @@
 		if err != nil {
 			return nil, err
 		}
-		full(ctx, "warm", s, o.Window, min(time.Second, o.Lasts))
-		rep.Results = append(rep.Results, t.proc.measured(func() Result { return full(ctx, t.name, s, o.Window, o.Lasts) }))
+		saturate(ctx, "warm", s, o.Window, min(time.Second, o.Lasts))
+		rep.Results = append(rep.Results,
+			t.proc.measure(func() Result { return saturate(ctx, t.name, s, o.Window, o.Lasts) }))
 		s.close()
 	}
 	rep.AddedP99 = rep.Results[2].P99 - rep.Results[0].P99
@@ -251,29 +260,30 @@
 		rep.OverProxy = rep.RelayCapacity / p
 	}
 	before := relay.cpu()
-	if n := handshakes(ctx, relay.named["mqtts"], trust, 32, o.Lasts); n > 0 {
+	if n := handshakes(ctx, relay.labelled["mqtts"], tlsConfig, 32, o.Lasts); n > 0 {
 		rep.Handshakes = float64(n) / o.Lasts.Seconds()
 		rep.HandshakeCPU = (relay.cpu() - before) / time.Duration(n)
 	}
 	if o.Burst > 0 {
-		n, took := burst(relay.named["mqtts"], trust, o.Burst, 60*time.Second)
+		n, took := handshakeBurst(relay.labelled["mqtts"], tlsConfig, o.Burst, 60*time.Second)
 		rep.Burst, rep.BurstOK, rep.BurstTook = o.Burst, int(n), took
 	}
 	if o.Idle > 0 {
-		if rep.IdleMeasured, rep.IdleBytes, err = o.idle(ctx, dir, nil); err != nil {
+		if rep.IdleMeasured, rep.IdleBytes, err = o.measureIdle(ctx, dir, nil); err != nil {
 			return nil, err
 		}
-		if _, rep.IdleTLSBytes, err = o.idle(ctx, dir, trust); err != nil {
+		if _, rep.IdleTLSBytes, err = o.measureIdle(ctx, dir, tlsConfig); err != nil {
 			return nil, err
 		}
 	}
 	return rep, ctx.Err()
 }
 
-// idle opens connections to a relay of its own that does nothing else.
-func (o *Options) idle(ctx context.Context, dir string, trust *tls.Config) (int, int64, error) {
+// measureIdle opens idle connections to a separate relay without load. It returns their number and
+// the resident memory for each in bytes.
+func (o *Options) measureIdle(ctx context.Context, dir string, tlsConfig *tls.Config) (int, int64, error) {
 	name := "idle"
-	if trust != nil {
+	if tlsConfig != nil {
 		name = "idle-tls"
 	}
 	relay, err := o.start(ctx, dir, name, "relay", "--config", filepath.Join(dir, "relay.cue"))
@@ -282,8 +292,8 @@
 	}
 	defer relay.stop()
 	addr := relay.addrs[0]
-	if trust != nil {
-		addr = relay.named["mqtts"]
+	if tlsConfig != nil {
+		addr = relay.labelled["mqtts"]
 	}
 	before := relay.rss()
 	var conns []*mqttConn
@@ -293,26 +303,27 @@
 		}
 	}()
 	for i := range o.Idle {
-		c, err := newMQTT(addr, trust, fmt.Sprintf("idle-%d", i))
+		c, err := newMQTT(addr, tlsConfig, fmt.Sprintf("idle-%d", i))
 		if err != nil {
 			return 0, 0, err
 		}
 		conns = append(conns, c)
 	}
-	time.Sleep(time.Second) // until the last buffers are let go
+	time.Sleep(time.Second) // lets the relay release its connection buffers
 	return len(conns), (relay.rss() - before) / int64(len(conns)), nil
 }
 
 // Print writes the report as a table.
 func (r *Report) Print(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "path\tasked/s\tanswered/s\tp50\tp99\tp99.9\tCPU/message\tmemory\tmissing\t")
+	fmt.Fprintln(t, "path\trequested/s\tdelivered/s\tp50\tp99\tp99.9\tCPU/message\tmemory\tmissing\t")
 	for _, x := range r.Results {
 		asked := "all"
 		if x.Asked > 0 {
 			asked = fmt.Sprintf("%.0f", x.Asked)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.0f\t%v\t%v\t%v\t%v\t%.0f MB\t%d\t\n", x.Name, asked, x.PerSec, x.P50.Round(10*time.Microsecond),
+		fmt.Fprintf(t, "%s\t%s\t%.0f\t%v\t%v\t%v\t%v\t%.0f MB\t%d\t\n", x.Name, asked, x.PerSec,
+			x.P50.Round(10*time.Microsecond),
 			x.P99.Round(10*time.Microsecond), x.P999.Round(10*time.Microsecond), x.CPU.Round(100*time.Nanosecond),
 			float64(x.RSS)/1e6, x.Missing)
 	}
