--- a/internal/testutil/port/port.go
+++ b/internal/testutil/port/port.go
@@ -1,4 +1,4 @@
-// Package port gives tests addresses to which no connection comes up.
+// Package port provides tests with addresses to which no connection can be established.
 package port
 
 import (
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Refusing is an address at the given IP address of this machine that refuses connections.
-// Its port stays bound until the test ends: one that was only free before could become
-// the port of another test's server.
+// Refusing returns an address, at the given local IP address, that refuses connections.
+// Its port stays bound until the test ends, since a port that was merely free could be
+// assigned to the server of another test.
 func Refusing(t testing.TB, ip string) string {
 	t.Helper()
 	_, address := bind(t, netip.MustParseAddr(ip))
@@ -19,13 +19,13 @@
 }
 
 const (
-	// fillers are connections that take all places of a backlog of 0.
+	// fillers is the number of connections that fill a listen backlog of 0.
 	fillers = 2
-	// fillTime is long for a connection on the same machine that comes up.
+	// fillTime is the dial timeout of a filler, far above the time to connect over loopback.
 	fillTime = 200 * time.Millisecond
 )
 
-// Unanswered is an address whose backlog is full: connections to it neither come up nor fail.
+// Unanswered returns an address whose listen backlog is full: connections to it neither succeed nor fail.
 func Unanswered(t testing.TB) string {
 	t.Helper()
 	socket, address := bind(t, netip.AddrFrom4([4]byte{127, 0, 0, 1}))
@@ -40,7 +40,7 @@
 	return address
 }
 
-// bind makes a socket that has a port and does not listen. It is closed when the test ends.
+// bind returns a socket that is bound to a port and does not listen. It is closed when the test ends.
 func bind(t testing.TB, ip netip.Addr) (socket int, address string) {
 	t.Helper()
 	family, anyPort := socketAddress(ip)
@@ -62,11 +62,11 @@
 	case *syscall.SockaddrInet6:
 		return socket, netip.AddrPortFrom(ip, uint16(name.Port)).String()
 	}
-	t.Fatalf("%T is no address of the Internet", name)
+	t.Fatalf("%T is not an IP socket address", name)
 	return 0, ""
 }
 
-// socketAddress is an IP address with any port.
+// socketAddress returns the address family and the socket address of ip with port 0, that is, any port.
 func socketAddress(ip netip.Addr) (family int, anyPort syscall.Sockaddr) {
 	if ip.Is4() {
 		return syscall.AF_INET, &syscall.SockaddrInet4{Addr: ip.As4()}
--- a/internal/testutil/port/port_test.go
+++ b/internal/testutil/port/port_test.go
@@ -7,15 +7,16 @@
 	"testing"
 )
 
-// The port of an address that refuses connections is nobody else's while the test runs.
+// Guards against the port of a refusing address being assigned to another server while the
+// test runs: a test that expects a refused connection would then connect to it.
 func TestRefusingKeepsItsPort(t *testing.T) {
 	for _, ip := range []string{"127.0.0.1", "::1"} {
 		address := Refusing(t, ip)
 		if conn, err := net.Dial("tcp", address); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("a connection to %s: %v, %v", address, conn, err)
+			t.Errorf("dial %s: got connection %v and error %v, want ECONNREFUSED", address, conn, err)
 		}
 		if l, err := net.Listen("tcp", address); !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("a listener on %s: %v, %v", address, l, err)
+			t.Errorf("listen on %s: got listener %v and error %v, want EADDRINUSE", address, l, err)
 		}
 	}
 }
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -1,4 +1,4 @@
-// Package testutil brings up a relay with stand-ins for tests.
+// Package testutil starts a relay with stand-in partners inside the process of a test.
 package testutil
 
 import (
@@ -18,8 +18,10 @@
 	"basaltcross.example/basaltcross/internal/standin"
 )
 
-// Config is a configuration with a safe, a keyed and an ordered at-most-once
-// class and partners p0, p1, ... of a kind that promises refusals.
+// Config returns a configuration with three classes, whose messages are safe to repeat
+// ("status"), deduplicated by key ("order") and ordered at-most-once ("charge"), and with
+// partners p0, p1, ... that never run a message that they refuse. list is the path of the
+// list of endpoints, extra further CUE text.
 func Config(list string, partners int, extra string) string {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `
@@ -39,26 +41,27 @@
 	return b.String()
 }
 
-// Bed is a relay with its stand-ins.
+// Bed is a test environment: a relay, its stand-in partners and their list of endpoints.
 type Bed struct {
 	T        testing.TB
 	Relay    *relay.Relay
 	Rec      *standin.Recorder
-	List     string
+	List     string // path of the list of endpoints
 	Partners []*standin.Partner
 	Ends     []*standin.Endpoint
-	states   map[string]string
-	zones    []string
+	states   map[string]string // state in the list, by address; empty for ready
+	zones    []string          // by index in Ends
 }
 
-// New starts so many partners with two endpoints each, and a relay over them.
+// New starts the given number of partners with two endpoints each, and a relay that sends to them.
+// All are stopped when the test ends.
 func New(t testing.TB, partners int, model standin.Model, extra string, hooks relay.Hooks) *Bed {
 	t.Helper()
 	return NewMetered(t, partners, model, extra, hooks, func(int) (string, func(net.Conn) net.Conn) { return "", nil })
 }
 
-// NewMetered is New with a zone for each endpoint by its number, and its
-// connections wrapped.
+// NewMetered is like New, but gets from of the zone of each endpoint and the function that
+// wraps its connections, for example to count bytes. i is the index of the endpoint in Ends.
 func NewMetered(t testing.TB, partners int, model standin.Model, extra string, hooks relay.Hooks,
 	of func(i int) (zone string, wrap func(net.Conn) net.Conn)) *Bed {
 	t.Helper()
@@ -91,10 +94,10 @@
 	return b
 }
 
-// State sets what the list says of an endpoint.
+// State sets the state of an endpoint in the list; "gone" omits it. WriteList applies it.
 func (b *Bed) State(addr, state string) { b.states[addr] = state }
 
-// WriteList replaces the list file.
+// WriteList replaces the list of endpoints atomically.
 func (b *Bed) WriteList() {
 	var text bytes.Buffer
 	text.WriteString("endpoints: [\n")
@@ -122,14 +125,14 @@
 	}
 }
 
-// Context ends long after any test.
+// Context returns a context that ends with the test, or after 2 minutes, longer than any test runs.
 func Context(t testing.TB) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// BreakList puts a list there that cannot be read.
+// BreakList replaces the list of endpoints by a file with a syntax error.
 func (b *Bed) BreakList() {
 	if err := os.WriteFile(b.List, []byte("endpoints: [{addr: 7"), 0o600); err != nil {
 		b.T.Fatal(err)
