--- a/cmd/basaltcross/load.go
+++ b/cmd/basaltcross/load.go
@@ -50,7 +50,7 @@
 		}}
 	f := c.Flags()
 	f.Float64Var(&o.Rate, "rate", 1200, "messages a second of the open-loop runs")
-	f.DurationVar(&o.Lasts, "for", 8*time.Second, "length of each run")
+	f.DurationVar(&o.Duration, "for", 8*time.Second, "length of each run")
 	f.IntVar(&o.Window, "window", 256, "messages under way at saturation")
 	f.IntVar(&o.Connections, "connections", 16, "connections of light clients")
 	f.IntVar(&o.Idle, "idle", 10000, "idle MQTT connections to measure; 0 leaves them out")
--- a/cmd/basaltcross/relay.go
+++ b/cmd/basaltcross/relay.go
@@ -126,7 +126,7 @@
 					return fmt.Errorf("--listen %s: stand-ins stay on loopback", l)
 				}
 				if quick {
-					addr, stop, err := standin.Quick(l, m.Service)
+					addr, stop, err := standin.StartMinimal(l, m.Service)
 					if err != nil {
 						return err
 					}
@@ -140,7 +140,7 @@
 				}
 				defer e.Close()
 				addrs = append(addrs, e.Addr)
-				e.Set(standin.Trouble{Hang: hang, Shut: shut, Errors: errs})
+				e.Set(standin.Faults{Hang: hang, RefuseAll: shut, Errors: errs})
 				fmt.Fprintf(c.OutOrStdout(), "%s listens on %s\n", name, e.Addr)
 			}
 			if err := writeLines(ready, addrs...); err != nil {
@@ -149,7 +149,7 @@
 			<-c.Context().Done()
 			count := map[string]int{}
 			for _, k := range rec.Calls() {
-				count[k.What]++
+				count[k.Outcome]++
 			}
 			fmt.Fprintf(c.OutOrStdout(), "calls: %v\n", count)
 			return nil
@@ -158,13 +158,13 @@
 	f.StringSliceVar(&listen, "listen", []string{"127.0.0.1:9001"}, "addresses, one for each endpoint")
 	f.StringVar(&name, "name", "bank", "name of the partner")
 	f.DurationVar(&m.Service, "service", 50*time.Millisecond, "mean time of a call")
-	f.Float64Var(&m.Spread, "spread", 0.3, "share by which it varies")
+	f.Float64Var(&m.ServiceJitter, "spread", 0.3, "share by which it varies")
 	f.Float64Var(&m.Rate, "rate", 0, "calls a second at most, 0 for no limit")
-	f.DurationVar(&m.Span, "span", 0, "count the limit in spans; 0 for a plain rate")
-	f.BoolVar(&m.Tells, "tells", true, "refusals tell how long to wait")
+	f.DurationVar(&m.RateWindow, "span", 0, "count the limit in spans; 0 for a plain rate")
+	f.BoolVar(&m.SendsRetryAfter, "tells", true, "refusals tell how long to wait")
 	f.IntVar(&m.Concurrency, "concurrency", 0, "calls in service at once, 0 for no limit")
 	f.IntVar(&m.Queue, "queue", 100, "calls that wait for service")
-	f.DurationVar(&m.Window, "window", time.Minute, "how long idempotency keys are remembered")
+	f.DurationVar(&m.DedupWindow, "window", time.Minute, "how long idempotency keys are remembered")
 	f.StringVar(&ready, "ready-file", "", "write the addresses to this file once up")
 	f.BoolVar(&quick, "quick", false, "answer at once and record nothing, for measurements")
 	f.BoolVar(&hang, "hang", false, "take calls and never answer")
@@ -206,7 +206,7 @@
 	var list strings.Builder
 	list.WriteString("endpoints: [\n")
 	for i, name := range []string{"acme", "globex"} {
-		p := standin.NewPartner(name, standin.Model{Service: 60 * time.Millisecond, Spread: 0.5}, uint64(i+1))
+		p := standin.NewPartner(name, standin.Model{Service: 60 * time.Millisecond, ServiceJitter: 0.5}, uint64(i+1))
 		for range 2 {
 			e, err := standin.Start("127.0.0.1:0", p, rec)
 			if err != nil {
@@ -214,7 +214,7 @@
 			}
 			defer e.Close()
 			if name == "globex" {
-				e.Set(standin.Trouble{Errors: 0.2})
+				e.Set(standin.Faults{Errors: 0.2})
 			}
 			fmt.Fprintf(&list, "\t{addr: %q, partner: %q},\n", e.Addr, name)
 		}
@@ -238,7 +238,7 @@
 	defer r.Stop()
 	answers := make(chan client.Answer, count)
 	cl, err := client.Dial(ctx, r.Addrs()[0], client.Options{ID: "demo", Expiry: 60,
-		On: func(a client.Answer) { answers <- a }})
+		OnAnswer: func(a client.Answer) { answers <- a }})
 	if err != nil {
 		return err
 	}
@@ -259,7 +259,7 @@
 	for range count {
 		select {
 		case a := <-answers:
-			fmt.Fprintf(out, "answer %-4s %-9s after %4d ms\n", a.ID, a.Answer, a.At.Sub(sent[a.ID]).Milliseconds())
+			fmt.Fprintf(out, "answer %-4s %-9s after %4d ms\n", a.ID, a.Outcome, a.At.Sub(sent[a.ID]).Milliseconds())
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(10 * time.Second):
@@ -268,7 +268,7 @@
 	}
 	calls := map[string]int{}
 	for _, k := range rec.Calls() {
-		calls[k.Partner+" "+k.What]++
+		calls[k.Partner+" "+k.Outcome]++
 	}
 	fmt.Fprintf(out, "calls that the partners saw: %v\n", calls)
 	return nil
--- a/internal/badday/audit.go
+++ b/internal/badday/audit.go
@@ -75,14 +75,14 @@
 
 // over is when a call was no longer out, as far as the stand-in can tell.
 func (c *call) over() time.Time {
-	if !c.Left.IsZero() && c.Left.Before(c.End) {
-		return c.Left
+	if !c.CallerClosed.IsZero() && c.CallerClosed.Before(c.End) {
+		return c.CallerClosed
 	}
 	return c.End
 }
 
 func (c *call) unsure() bool {
-	return c.What == standin.Lost || c.What == standin.Failed || !c.Left.IsZero()
+	return c.Outcome == standin.Lost || c.Outcome == standin.Failed || !c.CallerClosed.IsZero()
 }
 
 func (d *day) audit() *Report {
@@ -96,7 +96,7 @@
 		}
 		calls = append(calls, k)
 		byID[k.id] = append(byID[k.id], k)
-		r.Calls[c.What]++
+		r.Calls[c.Outcome]++
 	}
 	byStart := func(a, b *call) int { return a.Start.Compare(b.Start) }
 	slices.SortFunc(calls, byStart)
@@ -155,7 +155,7 @@
 	for _, h := range hands {
 		all[h.id] = true
 		for _, a := range h.answers {
-			if a.Answer == "delivered" {
+			if a.Outcome == "delivered" {
 				got[h.id] = true
 			}
 		}
@@ -170,10 +170,10 @@
 			continue
 		}
 		first := answers[0]
-		r.Answers[first.Answer]++
+		r.Answers[first.Outcome]++
 		for _, a := range answers[1:] {
-			if a.Answer != first.Answer {
-				x.fail("%s: %s, then %s; %s", name, first.Answer, a.Answer, d.course(h))
+			if a.Outcome != first.Outcome {
+				x.fail("%s: %s, then %s; %s", name, first.Outcome, a.Outcome, d.course(h))
 			}
 		}
 		due := dueOf(h, hands)
@@ -188,13 +188,13 @@
 			}
 		}
 		if first.At.After(due.Add(answerSlack)) && !d.away(h, due) {
-			x.fail("%s: %s %v late; %s", name, first.Answer, first.At.Sub(due), d.course(h))
+			x.fail("%s: %s %v late; %s", name, first.Outcome, first.At.Sub(due), d.course(h))
 		}
 		for _, c := range byID[h.id] {
-			if first.Answer == "refused" && c.number == h.number && c.What != standin.Refused {
-				x.fail("%s: refused, but it may have run (%s)", name, c.What)
+			if first.Outcome == "refused" && c.number == h.number && c.Outcome != standin.Refused {
+				x.fail("%s: refused, but it may have run (%s)", name, c.Outcome)
 			}
-			if c.number == h.number && c.Relay == d.relays[h.relay].name() && c.Left.IsZero() &&
+			if c.number == h.number && c.Relay == d.relays[h.relay].name() && c.CallerClosed.IsZero() &&
 				c.Start.After(first.At.Add(seenSlack)) {
 				x.fail("%s: a call went out %v after its answer", name, c.Start.Sub(first.At))
 			}
@@ -253,12 +253,12 @@
 				switch {
 				case c.Class == "charge":
 					x.fail("%s: charge sent again %v after an attempt that may have run (%s)", id,
-						c.Start.Sub(ran.Start), ran.What)
+						c.Start.Sub(ran.Start), ran.Outcome)
 				case c.Class == "order" && c.Start.Sub(ran.Start) > window+seenSlack:
 					x.fail("%s: keyed message sent again %v after an attempt that may have run", id, c.Start.Sub(ran.Start))
 				}
 			}
-			if ran == nil && c.What != standin.Refused {
+			if ran == nil && c.Outcome != standin.Refused {
 				ran = c
 			}
 		}
@@ -308,12 +308,12 @@
 func (d *day) auditReturns() *Rule {
 	x := &Rule{Name: "no returning partner pushed over"}
 	for _, p := range d.partners {
-		x.Occasions += p.Returns()
-		for _, f := range p.Falls() {
+		x.Occasions += p.OutagesEnded()
+		for _, f := range p.Collapses() {
 			all, saw := 0, 0
 			for relay, n := range f.Calls {
 				all += n
-				if f.Saw[relay] {
+				if f.SawFailure[relay] {
 					saw += n
 				}
 			}
@@ -382,7 +382,7 @@
 			!d.restarted(c.Relay, w[0], c.Start) {
 			x.fail("%s sent to %s %v before its wait was over", c.Relay, c.Partner, w[1].Sub(c.Start))
 		}
-		if c.Wait > 0 && c.Left.IsZero() {
+		if c.Wait > 0 && c.CallerClosed.IsZero() {
 			x.Occasions++
 			w := until[key]
 			if end := c.End.Add(c.Wait); end.After(w[1]) {
--- a/internal/badday/audit_test.go
+++ b/internal/badday/audit_test.go
@@ -50,7 +50,7 @@
 	} {
 		open := &handIn{id: "m", number: 2, at: at, left: deadline, taken: true}
 		again := &handIn{id: "m", number: 3, at: at.Add(80 * time.Millisecond), left: deadline, taken: true,
-			answers: []client.Answer{{Answer: "delivered", At: at.Add(400 * time.Millisecond)}}}
+			answers: []client.Answer{{Outcome: "delivered", At: at.Add(400 * time.Millisecond)}}}
 		c.change(open, again)
 		d := &day{relays: []*relayProc{{index: 0}, {index: 1}}}
 		r := &Report{Answers: map[string]int{}}
--- a/internal/badday/crash.go
+++ b/internal/badday/crash.go
@@ -79,7 +79,7 @@
 func (c *crashClient) on(a client.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.got[a.ID] = append(c.got[a.ID], a.Answer)
+	c.got[a.ID] = append(c.got[a.ID], a.Outcome)
 }
 
 func (c *crashClient) waits() bool {
@@ -119,7 +119,7 @@
 		if c.push != nil {
 			cl, err = client.DialPush(origin, trust, c.push, c.on)
 		} else {
-			cl, err = client.Dial(dial, addr, client.Options{ID: c.name, Expiry: 600, On: c.on})
+			cl, err = client.Dial(dial, addr, client.Options{ID: c.name, Expiry: 600, OnAnswer: c.on})
 		}
 		cancel()
 		if err != nil {
@@ -177,14 +177,14 @@
 	rec := standin.NewRecorder(mostCalls)
 	var list strings.Builder
 	for i := range 4 {
-		p := standin.NewPartner(fmt.Sprint("p", i), standin.Model{Service: 4 * time.Millisecond, Spread: 0.9, Window: crashWindow}, opt.Seed)
+		p := standin.NewPartner(fmt.Sprint("p", i), standin.Model{Service: 4 * time.Millisecond, ServiceJitter: 0.9, DedupWindow: crashWindow}, opt.Seed)
 		for range 2 {
 			e, err := standin.Start("127.0.0.1:0", p, rec)
 			if err != nil {
 				return nil, err
 			}
 			defer e.Close()
-			e.Set(standin.Trouble{Lost: 0.01, Errors: 0.03, TailShare: 0.05, TailFactor: 20})
+			e.Set(standin.Faults{LostResponses: 0.01, Errors: 0.03, TailShare: 0.05, TailFactor: 20})
 			fmt.Fprintf(&list, "{addr: %q, partner: %q},\n", e.Addr, p.Name)
 		}
 	}
@@ -342,7 +342,7 @@
 			if ran && c.Class == "charge" {
 				r.fail(&r.Again, "%s went out again though it may have run", id)
 			}
-			ran = ran || c.What != standin.Refused
+			ran = ran || c.Outcome != standin.Refused
 			if c.Effect {
 				effects++
 			}
@@ -365,7 +365,7 @@
 					r.fail(&r.Changed, "%s: %s, then %s", id, l[0], a)
 				}
 			}
-			if l[0] == "delivered" && !slices.ContainsFunc(byID[id], func(k standin.Call) bool { return k.What == standin.Served || k.What == standin.Repeat }) {
+			if l[0] == "delivered" && !slices.ContainsFunc(byID[id], func(k standin.Call) bool { return k.Outcome == standin.Served || k.Outcome == standin.Repeat }) {
 				r.fail(&r.Untrue, "%s: delivered, but no partner served it", id)
 			}
 		}
--- a/internal/badday/day.go
+++ b/internal/badday/day.go
@@ -328,8 +328,8 @@
 	}
 	for i := range s.Partners {
 		limit := max(4, s.Rate*d.share(i)*roomy)
-		p := standin.NewPartner(fmt.Sprintf("p%d", i), standin.Model{Service: service, Spread: 0.5, Rate: limit,
-			Tells: i%2 == 0, Window: window, ColdFrom: coldFrom, Cold: cold, Factor: factor, Fall: fall,
+		p := standin.NewPartner(fmt.Sprintf("p%d", i), standin.Model{Service: service, ServiceJitter: 0.5, Rate: limit,
+			SendsRetryAfter: i%2 == 0, DedupWindow: window, RampUpFrom: coldFrom, RampUp: cold, OverloadFactor: factor, OverloadTime: fall,
 			Capacity: limit}, s.Seed+uint64(i))
 		d.partners = append(d.partners, p)
 		for range 2 {
--- a/internal/badday/sender.go
+++ b/internal/badday/sender.go
@@ -85,8 +85,8 @@
 		return
 	}
 	h.answers = append(h.answers, a)
-	if a.Answer == "refused" && len(h.answers) == 1 && h.try < mostTries {
-		s.again(h, max(a.After, 100*time.Millisecond))
+	if a.Outcome == "refused" && len(h.answers) == 1 && h.try < mostTries {
+		s.again(h, max(a.RetryAfter, 100*time.Millisecond))
 	}
 }
 
@@ -117,8 +117,8 @@
 		if r := s.day.relays[s.relay]; s.push != nil {
 			cl, err = client.DialPush(r.origin, s.day.trust, s.push[s.relay], s.answer)
 		} else {
-			cl, err = client.Dial(dial, r.addr(), client.Options{ID: s.name, Expiry: 120, On: s.answer,
-				Acknowledged: s.acknowledged, AcknowledgeEvery: s.day.opt.AcknowledgeEvery})
+			cl, err = client.Dial(dial, r.addr(), client.Options{ID: s.name, Expiry: 120, OnAnswer: s.answer,
+				OnAcknowledged: s.acknowledged, AckInterval: s.day.opt.AcknowledgeEvery})
 		}
 		cancel()
 		if err == nil {
@@ -243,7 +243,7 @@
 			step += ", connection lost"
 		}
 		for _, a := range h.answers {
-			step += fmt.Sprintf(", %s %v to come again after %v", a.Answer, since(h, a.At), a.After)
+			step += fmt.Sprintf(", %s %v to come again after %v", a.Outcome, since(h, a.At), a.RetryAfter)
 		}
 		steps = append(steps, step)
 	}
--- a/internal/badday/trouble.go
+++ b/internal/badday/trouble.go
@@ -39,32 +39,32 @@
 	case "hot_key":
 		during(func() { d.hot = t.Size }, func() { d.hot = 0 })
 	case "hang":
-		d.strike(ctx, t, true, standin.Trouble{Hang: true})
+		d.strike(ctx, t, true, standin.Faults{Hang: true})
 	case "vanish":
-		d.strikeOne(ctx, t, standin.Trouble{Hang: true})
+		d.strikeOne(ctx, t, standin.Faults{Hang: true})
 	case "crash":
 		d.crash(ctx, t)
 	case "fast_errors":
-		d.strike(ctx, t, true, standin.Trouble{Errors: t.Size})
+		d.strike(ctx, t, true, standin.Faults{Errors: t.Size})
 	case "slow":
-		d.strike(ctx, t, false, standin.Trouble{Factor: t.Size})
+		d.strike(ctx, t, false, standin.Faults{ServiceFactor: t.Size})
 	case "shared_slow":
-		d.strike(ctx, t, false, standin.Trouble{Factor: t.Size})
+		d.strike(ctx, t, false, standin.Faults{ServiceFactor: t.Size})
 	case "heavy_tail":
-		d.strike(ctx, t, false, standin.Trouble{TailShare: 0.02, TailFactor: t.Size})
+		d.strike(ctx, t, false, standin.Faults{TailShare: 0.02, TailFactor: t.Size})
 	case "pauses":
-		d.strike(ctx, t, false, standin.Trouble{PauseEvery: 1500 * time.Millisecond,
+		d.strike(ctx, t, false, standin.Faults{PauseEvery: 1500 * time.Millisecond,
 			Pause: time.Duration(t.Size * float64(time.Second))})
 	case "throttle":
-		d.strike(ctx, t, false, standin.Trouble{RateShare: t.Size})
+		d.strike(ctx, t, false, standin.Faults{RateShare: t.Size})
 	case "answer_lost":
-		d.strike(ctx, t, false, standin.Trouble{Lost: t.Size})
+		d.strike(ctx, t, false, standin.Faults{LostResponses: t.Size})
 	case "class_fail":
-		d.strikeOne(ctx, t, standin.Trouble{Errors: t.Size, ErrorClass: "status"})
+		d.strikeOne(ctx, t, standin.Faults{Errors: t.Size, ErrorClass: "status"})
 	case "idle_reap":
-		d.strike(ctx, t, false, standin.Trouble{Reap: time.Duration(t.Size * float64(time.Second))})
+		d.strike(ctx, t, false, standin.Faults{IdleReset: time.Duration(t.Size * float64(time.Second))})
 	case "handshake_slow":
-		d.strike(ctx, t, false, standin.Trouble{Handshake: time.Duration(t.Size * float64(time.Second))})
+		d.strike(ctx, t, false, standin.Faults{FirstCallDelay: time.Duration(t.Size * float64(time.Second))})
 	case "give_up":
 		for range 3 { // clients go without a word and come back for their answers
 			for _, i := range d.some(len(d.senders), t.Part) {
@@ -85,12 +85,12 @@
 	case "preempt":
 		d.deploy(ctx, t, 0)
 	case "catalogue_down":
-		d.astray(ctx, lasts, standin.CatalogTrouble{Down: true})
+		d.astray(ctx, lasts, standin.CatalogFaults{Down: true})
 	case "catalogue_half":
-		d.astray(ctx, lasts, standin.CatalogTrouble{Half: true})
+		d.astray(ctx, lasts, standin.CatalogFaults{OmitHalf: true})
 	case "catalogue_back": // restored from nothing: its index begins anew, and it fills up again
 		d.consul.Reset()
-		d.astray(ctx, lasts, standin.CatalogTrouble{Empty: true})
+		d.astray(ctx, lasts, standin.CatalogFaults{Empty: true})
 		d.consul.Reset()
 	case "flap":
 		d.flap(ctx, t)
@@ -133,7 +133,7 @@
 }
 
 // strike puts a trouble on all endpoints of a part of the partners.
-func (d *day) strike(ctx context.Context, t Trouble, outage bool, what standin.Trouble) {
+func (d *day) strike(ctx context.Context, t Trouble, outage bool, what standin.Faults) {
 	var struck []*standin.Partner
 	for _, i := range d.some(len(d.partners), t.Part) {
 		struck = append(struck, d.partners[i])
@@ -149,7 +149,7 @@
 	pause.For(ctx, t.For.D())
 	for _, p := range struck {
 		for _, e := range d.endsOf(p) {
-			e.Set(standin.Trouble{})
+			e.Set(standin.Faults{})
 		}
 		if outage {
 			p.Outage(false)
@@ -158,7 +158,7 @@
 }
 
 // strikeOne puts a trouble on one endpoint of a part of the partners.
-func (d *day) strikeOne(ctx context.Context, t Trouble, what standin.Trouble) {
+func (d *day) strikeOne(ctx context.Context, t Trouble, what standin.Faults) {
 	var struck []*end
 	for _, i := range d.some(len(d.partners), t.Part) {
 		struck = append(struck, d.endsOf(d.partners[i])[0])
@@ -168,7 +168,7 @@
 	}
 	pause.For(ctx, t.For.D())
 	for _, e := range struck {
-		e.Set(standin.Trouble{})
+		e.Set(standin.Faults{})
 	}
 }
 
@@ -257,7 +257,7 @@
 	struck := d.some(len(all), t.Part)
 	for _, i := range struck {
 		if e := all[i].second; i%3 == 0 {
-			e.Set(standin.Trouble{Hang: true})
+			e.Set(standin.Faults{Hang: true})
 		} else {
 			e.Close()
 		}
@@ -265,7 +265,7 @@
 	pause.For(ctx, t.For.D())
 	for _, i := range struck {
 		if e := all[i].second; i%3 == 0 {
-			e.Set(standin.Trouble{})
+			e.Set(standin.Faults{})
 		} else if err := e.Reopen(); err != nil {
 			d.opt.Out.Write([]byte(err.Error() + "\n"))
 		}
@@ -273,10 +273,10 @@
 }
 
 // astray makes trouble at the catalogue for a while.
-func (d *day) astray(ctx context.Context, lasts time.Duration, t standin.CatalogTrouble) {
+func (d *day) astray(ctx context.Context, lasts time.Duration, t standin.CatalogFaults) {
 	d.consul.Set(t)
 	pause.For(ctx, lasts)
-	d.consul.Set(standin.CatalogTrouble{})
+	d.consul.Set(standin.CatalogFaults{})
 }
 
 // flap takes endpoints in and out of service ten times a second; they end drained.
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -35,26 +35,26 @@
 
 // Answer is a notice as received: the final outcome of one message.
 type Answer struct {
-	ID     string
-	Answer string // delivered, refused or failed
-	After  time.Duration
-	At     time.Time
+	ID         string
+	Outcome    string // delivered, refused or failed
+	RetryAfter time.Duration
+	At         time.Time
 }
 
 // Options configures a Client.
 type Options struct {
-	ID       string
-	User     string
-	Password string
-	Expiry   uint32      // session expiry interval in seconds
-	Clean    bool        // discards the session that the relay has stored (Clean Start)
-	TLS      *tls.Config // nil for plain TCP
-	// On is called for each notice, on the client's receive goroutine.
-	On func(Answer)
-	// Acknowledged is called with the message ID of each notice whose PUBACK was written; may be nil.
-	Acknowledged func(id string)
-	// AcknowledgeEvery is the interval between batches of acknowledgements; 0 sends each immediately.
-	AcknowledgeEvery time.Duration
+	ID         string
+	User       string
+	Password   string
+	Expiry     uint32      // session expiry interval in seconds
+	CleanStart bool        // discards the session that the relay has stored (Clean Start)
+	TLS        *tls.Config // nil for plain TCP
+	// OnAnswer is called for each notice, on the client's receive goroutine.
+	OnAnswer func(Answer)
+	// OnAcknowledged is called with the message ID of each notice whose PUBACK was written; may be nil.
+	OnAcknowledged func(id string)
+	// AckInterval is the interval between batches of acknowledgements; 0 sends each immediately.
+	AckInterval time.Duration
 	// Session holds the unacknowledged QoS 1 and 2 exchanges from one connection to the next;
 	// nil starts with an empty session.
 	Session *state.State
@@ -62,11 +62,11 @@
 
 // Client is one MQTT connection to a relay.
 type Client struct {
-	paho     *paho.Client
-	conn     net.Conn
-	Present  bool // Session Present flag of the CONNACK
-	lostOnce sync.Once
-	lost     chan struct{}
+	paho           *paho.Client
+	conn           net.Conn
+	SessionPresent bool // Session Present flag of the CONNACK
+	lostOnce       sync.Once
+	lost           chan struct{}
 }
 
 // acknowledging is a session state that reports the notices it has acknowledged.
@@ -78,9 +78,9 @@
 
 func newAckSession(o Options) ackSession {
 	if o.Session != nil {
-		return ackSession{State: o.Session, acknowledged: o.Acknowledged}
+		return ackSession{State: o.Session, acknowledged: o.OnAcknowledged}
 	}
-	return ackSession{State: state.NewInMemory(), acknowledged: o.Acknowledged, ephemeral: true}
+	return ackSession{State: state.NewInMemory(), acknowledged: o.OnAcknowledged, ephemeral: true}
 }
 
 // Ack writes the acknowledgement of a notice and reports it.
@@ -127,14 +127,14 @@
 			if err := json.Unmarshal(p.Packet.Payload, &n); err != nil {
 				return false, err
 			}
-			a := Answer{Answer: n.Answer, After: time.Duration(n.RetryAfterMS) * time.Millisecond, At: time.Now()}
+			a := Answer{Outcome: n.Answer, RetryAfter: time.Duration(n.RetryAfterMS) * time.Millisecond, At: time.Now()}
 			if p.Packet.Properties != nil {
 				a.ID = string(p.Packet.Properties.CorrelationData)
 			}
-			if o.On != nil {
-				o.On(a)
+			if o.OnAnswer != nil {
+				o.OnAnswer(a)
 			}
-			if o.AcknowledgeEvery > 0 {
+			if o.AckInterval > 0 {
 				return true, p.Client.Ack(p.Packet)
 			}
 			return true, nil
@@ -145,14 +145,14 @@
 	if o.Session != nil {
 		cfg.Session = o.Session
 	}
-	if o.Acknowledged != nil {
+	if o.OnAcknowledged != nil {
 		cfg.Session = newAckSession(o)
 	}
-	if o.AcknowledgeEvery > 0 {
-		cfg.EnableManualAcknowledgment, cfg.SendAcksInterval = true, o.AcknowledgeEvery
+	if o.AckInterval > 0 {
+		cfg.EnableManualAcknowledgment, cfg.SendAcksInterval = true, o.AckInterval
 	}
 	c.paho = paho.NewClient(cfg)
-	cp := &paho.Connect{ClientID: o.ID, KeepAlive: 30, CleanStart: o.Clean}
+	cp := &paho.Connect{ClientID: o.ID, KeepAlive: 30, CleanStart: o.CleanStart}
 	if o.Expiry > 0 {
 		cp.Properties = &paho.ConnectProperties{SessionExpiryInterval: &o.Expiry}
 	}
@@ -164,7 +164,7 @@
 		_ = conn.Close()
 		return nil, fmt.Errorf("client: connect: %w", err)
 	}
-	c.Present = ack.SessionPresent
+	c.SessionPresent = ack.SessionPresent
 	if _, err := c.paho.Subscribe(ctx, &paho.Subscribe{
 		Subscriptions: []paho.SubscribeOptions{{Topic: Topic(o.ID), QoS: 1}}}); err != nil {
 		_ = conn.Close()
--- a/internal/client/push.go
+++ b/internal/client/push.go
@@ -220,7 +220,7 @@
 			return
 		}
 		for _, x := range got.Receipts {
-			a := Answer{Answer: x.Answer, After: time.Duration(x.RetryAfterMS) * time.Millisecond, At: time.Now()}
+			a := Answer{Outcome: x.Answer, RetryAfter: time.Duration(x.RetryAfterMS) * time.Millisecond, At: time.Now()}
 			p.session.mu.Lock()
 			if p.session.receiptsPath == receiptsPath { // sequence numbers are valid within one subscription only
 				p.session.lastSeq = max(p.session.lastSeq, x.Seq)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -63,7 +63,7 @@
 	for len(to) > 0 {
 		<-to
 	}
-	asked, n := c.Asked(), 0
+	asked, n := c.QueryCount(), 0
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for b.Loop() {
@@ -76,7 +76,7 @@
 		n++
 	}
 	runtime.ReadMemStats(&after)
-	b.ReportMetric(float64(c.Asked()-asked)/float64(n), "queries/change")
+	b.ReportMetric(float64(c.QueryCount()-asked)/float64(n), "queries/change")
 	b.ReportMetric(float64(after.TotalAlloc-before.TotalAlloc)/float64(n), "B/change")
 	cancel()
 	<-done
--- a/internal/fleet/calibrate.go
+++ b/internal/fleet/calibrate.go
@@ -51,7 +51,7 @@
 	}
 	var ends []end
 	for p := range s.Partners {
-		sp := standin.NewPartner(fmt.Sprintf("p%d", p), standin.Model{Service: service, Spread: spread}, s.Seed+uint64(p))
+		sp := standin.NewPartner(fmt.Sprintf("p%d", p), standin.Model{Service: service, ServiceJitter: spread}, s.Seed+uint64(p))
 		for i := range 2 {
 			e, err := standin.Start("127.0.0.1:0", sp, rec)
 			if err != nil {
@@ -117,7 +117,7 @@
 		}
 		delete(sent, a.ID)
 		k, age := classes[p.class], a.At.Sub(begin)-p.at
-		switch a.Answer {
+		switch a.Outcome {
 		case "refused":
 			out.Refused++
 		case "failed":
@@ -138,7 +138,7 @@
 	body := make([]byte, request+response-fixed)
 	var all sync.WaitGroup
 	for i, r := range relays {
-		c, err := client.Dial(ctx, r.Addrs()[0], client.Options{ID: fmt.Sprintf("c%d", i), Expiry: 60, On: on})
+		c, err := client.Dial(ctx, r.Addrs()[0], client.Options{ID: fmt.Sprintf("c%d", i), Expiry: 60, OnAnswer: on})
 		if err != nil {
 			return out, err
 		}
--- a/internal/load/journal.go
+++ b/internal/load/journal.go
@@ -17,13 +17,13 @@
 
 // JournalResult holds the figures of a relay with one journal setting and one message class.
 type JournalResult struct {
-	Journal  string  `json:"journal"` // off, unsynced or synced
-	Class    string  `json:"class"`
-	Full     Result  `json:"full"`            // at saturation
-	Open     Result  `json:"open"`            // open-loop run at Options.Rate
-	OfOff    float64 `json:"of_off"`          // saturation throughput as a share of that without a journal
-	Bytes    float64 `json:"bytes_a_message"` // bytes of journal records per delivered message
-	PerGroup float64 `json:"records_a_group"` // journal records per group commit
+	Journal       string  `json:"journal"` // off, unsynced or synced
+	Class         string  `json:"class"`
+	Saturated     Result  `json:"full"`            // at saturation
+	OpenLoop      Result  `json:"open"`            // open-loop run at Options.Rate
+	RelativeToOff float64 `json:"of_off"`          // saturation throughput as a share of that without a journal
+	Bytes         float64 `json:"bytes_a_message"` // bytes of journal records per delivered message
+	PerGroup      float64 `json:"records_a_group"` // journal records per group commit
 }
 
 // Journal measures a relay without a journal, with an unsynced and with a synced one, one
@@ -68,9 +68,9 @@
 					return nil, err
 				}
 				if saturated {
-					r.Full = relay.measure(func() Result { return saturate(ctx, name, s, o.Window, o.Lasts) })
+					r.Saturated = relay.measure(func() Result { return saturate(ctx, name, s, o.Window, o.Duration) })
 				} else {
-					r.Open = relay.measure(func() Result { return openLoop(ctx, name, s, o.Rate, o.Lasts) })
+					r.OpenLoop = relay.measure(func() Result { return openLoop(ctx, name, s, o.Rate, o.Duration) })
 				}
 				s.close()
 			}
@@ -80,14 +80,14 @@
 					relay.stop()
 					return nil, fmt.Errorf("load: %w", err)
 				}
-				r.Bytes = float64(stats.Bytes) / float64(max(1, r.Full.OK+r.Open.OK))
+				r.Bytes = float64(stats.Bytes) / float64(max(1, r.Saturated.OK+r.OpenLoop.OK))
 				r.PerGroup = float64(stats.Records) / float64(max(1, stats.Groups))
 			}
 			relay.stop()
 			if kind == "off" {
-				off[class] = r.Full.PerSec
+				off[class] = r.Saturated.PerSec
 			}
-			r.OfOff = r.Full.PerSec / off[class]
+			r.RelativeToOff = r.Saturated.PerSec / off[class]
 			out = append(out, r)
 		}
 	}
@@ -144,9 +144,10 @@
 	fmt.Fprintln(t,
 		"journal\tclass\tsaturated\tof off\tCPU a message\tp50 at rate\tp99 at rate\tbytes a message\trecords a group\t")
 	for _, r := range results {
-		fmt.Fprintf(t, "%s\t%s\t%.0f/s\t%.2f\t%v\t%v\t%v\t%.0f\t%.1f\t\n", r.Journal, r.Class, r.Full.PerSec, r.OfOff,
-			r.Full.CPU.Round(time.Microsecond), r.Open.P50.Round(10*time.Microsecond),
-			r.Open.P99.Round(10*time.Microsecond), r.Bytes, r.PerGroup)
+		fmt.Fprintf(t, "%s\t%s\t%.0f/s\t%.2f\t%v\t%v\t%v\t%.0f\t%.1f\t\n", r.Journal, r.Class, r.Saturated.PerSec,
+			r.RelativeToOff,
+			r.Saturated.CPU.Round(time.Microsecond), r.OpenLoop.P50.Round(10*time.Microsecond),
+			r.OpenLoop.P99.Round(10*time.Microsecond), r.Bytes, r.PerGroup)
 	}
 	_ = t.Flush()
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -36,17 +36,17 @@
 
 // Result holds the figures of one measured run.
 type Result struct {
-	Name    string        `json:"name"`
-	Asked   float64       `json:"asked_per_s"` // messages/s of an open-loop run; 0 for a run at saturation
-	Sent    int           `json:"sent"`
-	OK      int           `json:"answered_ok"`
-	PerSec  float64       `json:"per_s"`
-	P50     time.Duration `json:"p50_ns"`
-	P99     time.Duration `json:"p99_ns"`
-	P999    time.Duration `json:"p999_ns"`
-	CPU     time.Duration `json:"cpu_per_message_ns"` // CPU time of the measured process per delivered message
-	RSS     int64         `json:"rss_bytes"`          // resident memory of the measured process at the end
-	Missing int           `json:"missing"`            // messages without an outcome at the end
+	Name          string        `json:"name"`
+	RequestedRate float64       `json:"asked_per_s"` // messages/s of an open-loop run; 0 for a run at saturation
+	Sent          int           `json:"sent"`
+	OK            int           `json:"answered_ok"`
+	PerSec        float64       `json:"per_s"`
+	P50           time.Duration `json:"p50_ns"`
+	P99           time.Duration `json:"p99_ns"`
+	P999          time.Duration `json:"p999_ns"`
+	CPU           time.Duration `json:"cpu_per_message_ns"` // CPU time of the measured process per delivered message
+	RSS           int64         `json:"rss_bytes"`          // resident memory of the measured process at the end
+	Missing       int           `json:"missing"`            // messages without an outcome at the end
 }
 
 // openLoop sends at a fixed rate for the given duration. Latency counts from the intended send time.
@@ -132,8 +132,9 @@
 	mu.Lock()
 	defer mu.Unlock()
 	q := func(p float64) time.Duration { return time.Duration(hist.ValueAtQuantile(p)) * time.Microsecond }
-	return Result{Name: name, Asked: rate, Sent: sent, OK: int(ok.Load()), PerSec: float64(ok.Load()) / took.Seconds(),
-		P50: q(50), P99: q(99), P999: q(99.9), Missing: int(missing.Load())}
+	return Result{Name: name, RequestedRate: rate, Sent: sent, OK: int(ok.Load()),
+		PerSec: float64(ok.Load()) / took.Seconds(),
+		P50:    q(50), P99: q(99), P999: q(99.9), Missing: int(missing.Load())}
 }
 
 // mqttSender distributes messages over minimal MQTT connections. Each has one goroutine that
@@ -233,7 +234,8 @@
 		c.nextID = 1
 	}
 	c.outgoing = mqtt.AppendPublish(c.outgoing, mqtt.V5, &mqtt.Publish{QoS: 1, ID: c.nextID,
-		Topic: s.topics[index%uint64(len(s.topics))], Payload: body, Props: mqtt.Props{Correlation: binary.BigEndian.AppendUint64(nil, index)}})
+		Topic: s.topics[index%uint64(len(s.topics))], Payload: body,
+		Props: mqtt.Props{Correlation: binary.BigEndian.AppendUint64(nil, index)}})
 	c.mu.Unlock()
 	select {
 	case c.wake <- struct{}{}:
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -21,7 +21,7 @@
 type Options struct {
 	Binary      string        // path of the program to measure
 	Rate        float64       // messages/s of the open-loop runs
-	Lasts       time.Duration // duration of each run
+	Duration    time.Duration // duration of each run
 	Window      int           // messages in flight at saturation
 	Connections int           // number of client connections
 	Idle        int           // number of idle MQTT connections; 0 skips their measurement
@@ -238,9 +238,9 @@
 		if err != nil {
 			return nil, err
 		}
-		openLoop(ctx, "warm", s, o.Rate, min(time.Second, o.Lasts))
+		openLoop(ctx, "warm", s, o.Rate, min(time.Second, o.Duration))
 		rep.Results = append(rep.Results,
-			t.proc.measure(func() Result { return openLoop(ctx, t.name, s, o.Rate, o.Lasts) }))
+			t.proc.measure(func() Result { return openLoop(ctx, t.name, s, o.Rate, o.Duration) }))
 		s.close()
 	}
 	for _, t := range targets { // saturation
@@ -248,9 +248,9 @@
 		if err != nil {
 			return nil, err
 		}
-		saturate(ctx, "warm", s, o.Window, min(time.Second, o.Lasts))
+		saturate(ctx, "warm", s, o.Window, min(time.Second, o.Duration))
 		rep.Results = append(rep.Results,
-			t.proc.measure(func() Result { return saturate(ctx, t.name, s, o.Window, o.Lasts) }))
+			t.proc.measure(func() Result { return saturate(ctx, t.name, s, o.Window, o.Duration) }))
 		s.close()
 	}
 	rep.AddedP99 = rep.Results[2].P99 - rep.Results[0].P99
@@ -260,8 +260,8 @@
 		rep.OverProxy = rep.RelayCapacity / p
 	}
 	before := relay.cpu()
-	if n := handshakes(ctx, relay.labelled["mqtts"], tlsConfig, 32, o.Lasts); n > 0 {
-		rep.Handshakes = float64(n) / o.Lasts.Seconds()
+	if n := handshakes(ctx, relay.labelled["mqtts"], tlsConfig, 32, o.Duration); n > 0 {
+		rep.Handshakes = float64(n) / o.Duration.Seconds()
 		rep.HandshakeCPU = (relay.cpu() - before) / time.Duration(n)
 	}
 	if o.Burst > 0 {
@@ -319,8 +319,8 @@
 	fmt.Fprintln(t, "path\trequested/s\tdelivered/s\tp50\tp99\tp99.9\tCPU/message\tmemory\tmissing\t")
 	for _, x := range r.Results {
 		asked := "all"
-		if x.Asked > 0 {
-			asked = fmt.Sprintf("%.0f", x.Asked)
+		if x.RequestedRate > 0 {
+			asked = fmt.Sprintf("%.0f", x.RequestedRate)
 		}
 		fmt.Fprintf(t, "%s\t%s\t%.0f\t%v\t%v\t%v\t%v\t%.0f MB\t%d\t\n", x.Name, asked, x.PerSec,
 			x.P50.Round(10*time.Microsecond),
--- a/internal/relay/addr_test.go
+++ b/internal/relay/addr_test.go
@@ -33,7 +33,7 @@
 	if err := os.WriteFile(list, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.Parse("test.cue", []byte(testutil.Config(list, 1, `partnerCalls: idlePerHost: 4`)))
+	cfg, err := config.Parse("test.cue", []byte(testutil.ConfigText(list, 1, `partnerCalls: idlePerHost: 4`)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 // good address is.
 func TestAddressesBroken(t *testing.T) {
 	rec := standin.NewRecorder(1 << 20)
-	p := standin.NewPartner("p0", standin.Model{Service: 3 * ms, Window: 10 * time.Second}, 1)
+	p := standin.NewPartner("p0", standin.Model{Service: 3 * ms, DedupWindow: 10 * time.Second}, 1)
 	var ends []*standin.Endpoint
 	sock := filepath.Join(t.TempDir(), "s")
 	for _, at := range []string{"unix:" + sock, "[::1]:0", "127.0.0.1:0", "127.0.0.2:0"} {
@@ -63,7 +63,7 @@
 	}
 	r := severalAddresses(t, port.Refusing(t, "127.0.0.1"), ends[1].Addr, "unix:"+sock, ends[2].Addr, ends[3].Addr, ends[2].Addr)
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.on})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, OnAnswer: in.on})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,16 +72,16 @@
 	for i := range n {
 		switch i {
 		case 200: // accepts and hangs
-			ends[0].Set(standin.Trouble{Hang: true})
+			ends[0].Set(standin.Faults{Hang: true})
 		case 400: // reads the request and resets
-			ends[0].Set(standin.Trouble{})
-			ends[1].Set(standin.Trouble{Reap: time.Nanosecond})
+			ends[0].Set(standin.Faults{})
+			ends[1].Set(standin.Faults{IdleReset: time.Nanosecond})
 			ends[0].Close()
 			_ = os.WriteFile(sock, nil, 0o600) // no socket any more
 		case 700: // gone
 			ends[1].Close()
 		case 1000:
-			ends[1].Set(standin.Trouble{})
+			ends[1].Set(standin.Faults{})
 			if err := ends[1].Reopen(); err != nil {
 				t.Fatal(err)
 			}
@@ -99,7 +99,7 @@
 	}
 	count := map[string]int{}
 	for id, a := range in.wait(t, n) {
-		if count[a[0].Answer]++; len(a) != 1 {
+		if count[a[0].Outcome]++; len(a) != 1 {
 			t.Errorf("%s: %v", id, a)
 		}
 	}
@@ -118,8 +118,8 @@
 				t.Errorf("charge %s went out %d times", id, len(l))
 			}
 			end := l[i-1].End
-			if !l[i-1].Left.IsZero() && l[i-1].Left.Before(end) {
-				end = l[i-1].Left
+			if !l[i-1].CallerClosed.IsZero() && l[i-1].CallerClosed.Before(end) {
+				end = l[i-1].CallerClosed
 			}
 			if l[i].Start.Add(50 * ms).Before(end) {
 				t.Errorf("%s: two attempts at once, %v", id, end.Sub(l[i].Start))
@@ -143,7 +143,7 @@
 	defer e.Close()
 	r := severalAddresses(t, port.Refusing(t, "::1"), "unix:/nonexistent/socket", e.Addr)
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.on})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, OnAnswer: in.on})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,8 +154,8 @@
 		}
 	}
 	for id, a := range in.wait(t, 20) {
-		if a[0].Answer != "delivered" {
-			t.Errorf("%s: %s", id, a[0].Answer)
+		if a[0].Outcome != "delivered" {
+			t.Errorf("%s: %s", id, a[0].Outcome)
 		}
 	}
 }
@@ -228,7 +228,7 @@
 	}
 	defer dns.Close()
 	rec := standin.NewRecorder(1 << 20)
-	p := standin.NewPartner("p0", standin.Model{Service: ms, Window: 10 * time.Second}, 1)
+	p := standin.NewPartner("p0", standin.Model{Service: ms, DedupWindow: 10 * time.Second}, 1)
 	one, err := standin.Start("127.0.0.1:0", p, rec)
 	if err != nil {
 		t.Fatal(err)
@@ -246,7 +246,7 @@
 	}
 	defer other.Close()
 	at := func(ips ...string) {
-		z := standin.Zone{TTL: 1}
+		z := standin.DNSAnswer{TTL: 1}
 		for _, ip := range ips {
 			z.Addrs = append(z.Addrs, netip.MustParseAddr(ip))
 		}
@@ -258,7 +258,7 @@
 	if err := os.WriteFile(list, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.Parse("test.cue", []byte(testutil.Config(list, 2, fmt.Sprintf("resolver: {servers: [%q], timeout: \"200ms\"}", dns.Addr))))
+	cfg, err := config.Parse("test.cue", []byte(testutil.ConfigText(list, 2, fmt.Sprintf("resolver: {servers: [%q], timeout: \"200ms\"}", dns.Addr))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -269,7 +269,7 @@
 	}
 	defer r.Stop()
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.on})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, OnAnswer: in.on})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -309,7 +309,7 @@
 	at("127.0.0.1", "127.0.0.3")
 	known("one of both", func(a relay.Addresses) bool { return first(a) == one.Addr })
 	send(100)
-	dns.Set("bank.example", standin.Zone{Mute: true})
+	dns.Set("bank.example", standin.DNSAnswer{NoResponse: true})
 	known("mute", func(a relay.Addresses) bool { return len(a.Names) == 1 && a.Names[0].Failures > 0 })
 	send(100)
 	seen := map[string]int{}
@@ -325,8 +325,8 @@
 	for id, a := range in.wait(t, n) {
 		i, _ := strconv.Atoi(id)
 		once := i%2 == 1 // a charge
-		if a[0].Answer != "delivered" || seen[id] < 1 || once && seen[id] != 1 || !attempts.repeatsExplained(id, seen[id]) {
-			t.Errorf("%s: %s after %d calls, %d attempts, %d given up", id, a[0].Answer, seen[id], attempts.sent[id], attempts.ended[id])
+		if a[0].Outcome != "delivered" || seen[id] < 1 || once && seen[id] != 1 || !attempts.repeatsExplained(id, seen[id]) {
+			t.Errorf("%s: %s after %d calls, %d attempts, %d given up", id, a[0].Outcome, seen[id], attempts.sent[id], attempts.ended[id])
 		}
 	}
 }
--- a/internal/relay/consul_test.go
+++ b/internal/relay/consul_test.go
@@ -42,7 +42,7 @@
 	t.Cleanup(c.Close)
 	b := &consulBed{Consul: c, t: t, rec: standin.NewRecorder(1 << 20), n: partners, dir: t.TempDir(), more: more}
 	for i := range partners {
-		p := standin.NewPartner(fmt.Sprint("p", i), standin.Model{Service: 2 * ms, Window: 10 * time.Second}, uint64(i))
+		p := standin.NewPartner(fmt.Sprint("p", i), standin.Model{Service: 2 * ms, DedupWindow: 10 * time.Second}, uint64(i))
 		for range each {
 			e, err := standin.Start("127.0.0.1:0", p, b.rec)
 			if err != nil {
@@ -74,7 +74,7 @@
 	for i := range b.n {
 		services = append(services, fmt.Sprintf("{service: \"p%d\", partner: \"p%d\"}", i, i))
 	}
-	text := testutil.Config("", b.n, fmt.Sprintf(`relay: {name: %q, workers: 64, held: 20000}
+	text := testutil.ConfigText("", b.n, fmt.Sprintf(`relay: {name: %q, workers: 64, held: 20000}
 directory: {saved: %q, believe: "30s", gone: "300ms", consul: [{address: %q, wait: "2s", services: [%s]}]}
 %s`, name, filepath.Join(b.dir, name+".list"), b.Addr, strings.Join(services, ", "), b.more))
 	cfg, err := config.Parse("test.cue", []byte(text))
@@ -102,7 +102,7 @@
 // how many, once they are answered, and the answers.
 func (b *consulBed) load(r *relay.Relay, who string, pause time.Duration, stop <-chan struct{}) (n int, answers map[string]int) {
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(b.t), r.Addrs()[0], client.Options{ID: who, Expiry: 600, On: in.on})
+	c, err := client.Dial(testutil.Context(b.t), r.Addrs()[0], client.Options{ID: who, Expiry: 600, OnAnswer: in.on})
 	if err != nil {
 		b.t.Error(err)
 		return
@@ -113,7 +113,7 @@
 		case <-stop:
 			answers = map[string]int{}
 			for _, a := range in.wait(b.t, n) {
-				answers[a[0].Answer]++
+				answers[a[0].Outcome]++
 			}
 			return n, answers
 		case <-time.After(pause):
@@ -143,20 +143,20 @@
 		t.Fatal(err)
 	}
 	defer extra.Close()
-	for name, trouble := range map[string]standin.CatalogTrouble{"down": {Down: true}, "500": {Status: 500},
-		"429": {Status: 429}, "403": {Status: 403}, "hang": {Hang: true}, "cut": {Cut: true}, "slow": {Slow: 100 * ms},
-		"empty": {Empty: true}, "half": {Half: true}, "instant": {Instant: true}, "no leader": {NoLeader: true, Empty: true},
-		"stale": {Contact: time.Hour, Empty: true}, "index back": {Index: 1, Half: true}, "index none": {Index: 0, Instant: true, Half: true}} {
-		asked := b.Asked()
+	for name, trouble := range map[string]standin.CatalogFaults{"down": {Down: true}, "500": {Status: 500},
+		"429": {Status: 429}, "403": {Status: 403}, "hang": {Hang: true}, "cut": {Truncate: true}, "slow": {Slow: 100 * ms},
+		"empty": {Empty: true}, "half": {OmitHalf: true}, "instant": {NonBlocking: true}, "no leader": {NoLeader: true, Empty: true},
+		"stale": {LastContact: time.Hour, Empty: true}, "index back": {Index: 1, OmitHalf: true}, "index none": {Index: 0, NonBlocking: true, OmitHalf: true}} {
+		asked := b.QueryCount()
 		b.Set(trouble)
 		time.Sleep(250 * ms)
 		if d := r.Directory(); d.Endpoints < 12 {
 			t.Errorf("%s: %d endpoints", name, d.Endpoints)
 		}
-		if n := b.Asked() - asked; n > 3*40 {
+		if n := b.QueryCount() - asked; n > 3*40 {
 			t.Errorf("%s: %d queries in a quarter of a second", name, n)
 		}
-		b.Set(standin.CatalogTrouble{})
+		b.Set(standin.CatalogFaults{})
 		// Well again: what changes now comes through.
 		b.put("", extra)
 		eventually(t, name+": an endpoint more", func() bool { return r.Directory().Endpoints == 13 })
@@ -255,7 +255,7 @@
 	r := b.start("r", relay.Hooks{})
 	eventually(t, "the list", func() bool { return r.Directory().Endpoints == 6 })
 	r.Stop()
-	b.Set(standin.CatalogTrouble{Down: true})
+	b.Set(standin.CatalogFaults{Down: true})
 	r = b.start("r", relay.Hooks{})
 	eventually(t, "the old list", func() bool { return r.Directory().Endpoints == 6 })
 	stop := make(chan struct{})
@@ -263,7 +263,7 @@
 	if n, answers := b.load(r, "c", ms, stop); n == 0 || answers["delivered"] != n {
 		t.Errorf("%d messages, answers %v", n, answers)
 	}
-	b.Set(standin.CatalogTrouble{})
+	b.Set(standin.CatalogFaults{})
 	b.Delete(b.ends[0].Addr)
 	eventually(t, "news again", func() bool { return r.Directory().Endpoints == 5 })
 	r.Stop()
@@ -272,7 +272,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Set(standin.CatalogTrouble{Down: true})
+	b.Set(standin.CatalogFaults{Down: true})
 	for name, broken := range map[string]string{"cut": string(text[:len(text)-9]), "flipped": strings.Replace(string(text), "p1", "p0", 1),
 		"foreign": "{\"format\": \"x\"}\n", "other installation": ""} {
 		if broken == "" {
--- a/internal/relay/journal_test.go
+++ b/internal/relay/journal_test.go
@@ -33,7 +33,7 @@
 	if err := os.WriteFile(list, []byte(text+"]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.Parse("test.cue", []byte(testutil.Config(list, 1, fmt.Sprintf("journal: dir: %q\n%s", dir, more))))
+	cfg, err := config.Parse("test.cue", []byte(testutil.ConfigText(list, 1, fmt.Sprintf("journal: dir: %q\n%s", dir, more))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	started := time.Now()
 	r := journaled(t, dir, "", e.Addr)
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.on})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, OnAnswer: in.on})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,8 +101,8 @@
 	}
 	for id, a := range in.wait(t, len(want)) {
 		// A refused one that comes again is tried anew: either is right.
-		if a[0].Answer != want[id] && !(id == "late" && a[0].Answer == "delivered") {
-			t.Errorf("%s: %s, want %s", id, a[0].Answer, want[id])
+		if a[0].Outcome != want[id] && !(id == "late" && a[0].Outcome == "delivered") {
+			t.Errorf("%s: %s, want %s", id, a[0].Outcome, want[id])
 		}
 	}
 	for _, k := range rec.Calls() {
--- a/internal/relay/push_test.go
+++ b/internal/relay/push_test.go
@@ -41,7 +41,7 @@
 
 // pushBed is a relay with both fronts over TLS.
 type pushBed struct {
-	*testutil.Bed
+	*testutil.Env
 	dir             string
 	ca              *keys.Authority
 	origin          string
@@ -71,7 +71,7 @@
 webpush: {tlsListen: ["127.0.0.1:%[2]d"], tls: {cert: "%[1]s/server.pem", key: "%[1]s/server.key"},
 	audience: [%[3]q], keys: [{key: %[4]q}, {key: %[5]q, resources: ["status/p0"]}]}
 %[6]s`, b.dir, port, b.origin, b.public, otherPublic, extra)
-	b.Bed = testutil.New(t, partners, model, cfg, relay.Hooks{})
+	b.Env = testutil.New(t, partners, model, cfg, relay.Hooks{})
 	b.http = &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{ForceAttemptHTTP2: true,
 		TLSClientConfig: &tls.Config{RootCAs: b.ca.CertPool()}}}
 	t.Cleanup(b.http.CloseIdleConnections)
@@ -236,10 +236,10 @@
 // What arrives can be decrypted; charges take effect at most once.
 func TestBothFrontsThroughTLS(t *testing.T) {
 	const pushers, each = 6, 350
-	b := newPushBed(t, 4, standin.Model{Service: 3 * ms, Spread: 0.5, Window: 10 * time.Second},
+	b := newPushBed(t, 4, standin.Model{Service: 3 * ms, ServiceJitter: 0.5, DedupWindow: 10 * time.Second},
 		`relay: {workers: 48, held: 6000}`)
-	b.Ends[0].Set(standin.Trouble{Lost: 0.1})
-	b.Ends[3].Set(standin.Trouble{Errors: 0.2})
+	b.Endpoints[0].Set(standin.Faults{LostResponses: 0.1})
+	b.Endpoints[3].Set(standin.Faults{Errors: 0.2})
 	u := newUserAgent(t)
 	e := base64.RawURLEncoding
 	var mu sync.Mutex
@@ -292,7 +292,7 @@
 	mqtt := in.wait(t, 3*each)
 	answers := map[string]string{}
 	for id, a := range mqtt {
-		if answers[id] = a[0].Answer; len(a) != 1 {
+		if answers[id] = a[0].Outcome; len(a) != 1 {
 			t.Errorf("%s: %v", id, a)
 		}
 	}
@@ -300,7 +300,7 @@
 		answers[id] = b.outcome(t, l)
 	}
 	effects := map[string]int{}
-	for _, c := range b.Rec.Calls() {
+	for _, c := range b.Recorder.Calls() {
 		id := c.Body
 		if len(id) > 21+65 { // encrypted
 			plain, err := u.decrypt([]byte(c.Body))
@@ -333,7 +333,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := client.Dial(testutil.Context(t), b.Relay.TLSAddrs()[0], client.Options{ID: id, Expiry: 60, On: on,
+	c, err := client.Dial(testutil.Context(t), b.Relay.TLSAddrs()[0], client.Options{ID: id, Expiry: 60, OnAnswer: on,
 		TLS: &tls.Config{RootCAs: b.ca.CertPool(), ServerName: "127.0.0.1", Certificates: []tls.Certificate{cert}}})
 	if err != nil {
 		t.Fatal(err)
@@ -407,8 +407,8 @@
 func TestPushLife(t *testing.T) {
 	b := newPushBed(t, 2, standin.Model{Service: 5 * ms}, "")
 	hang := func(on bool) {
-		for _, e := range b.Ends[2:] {
-			e.Set(standin.Trouble{Hang: on})
+		for _, e := range b.Endpoints[2:] {
+			e.Set(standin.Faults{Hang: on})
 		}
 	}
 	t.Run("receipts", func(t *testing.T) {
@@ -456,8 +456,8 @@
 		if a := b.outcome(t, r.Header.Get("Location")); a != "delivered" {
 			t.Errorf("TTL 0, partner is there: %s", a)
 		}
-		for _, e := range b.Ends[:2] {
-			b.State(e.Addr, "draining")
+		for _, e := range b.Endpoints[:2] {
+			b.SetState(e.Addr, "draining")
 		}
 		b.WriteList()
 		time.Sleep(300 * ms)
@@ -466,8 +466,8 @@
 		if a := b.outcome(t, r.Header.Get("Location")); a != "refused" || time.Since(at) > 2*time.Second {
 			t.Errorf("TTL 0, partner is not there: %s after %v", a, time.Since(at))
 		}
-		for _, e := range b.Ends[:2] {
-			b.State(e.Addr, "ready")
+		for _, e := range b.Endpoints[:2] {
+			b.SetState(e.Addr, "ready")
 		}
 		b.WriteList()
 	})
@@ -481,7 +481,7 @@
 			return r.Header.Get("Location")
 		}
 		flying := post("flying") // in flight, hanging
-		waitCalls(t, b.Bed, "flying", 0)
+		waitCalls(t, b.Env, "flying", 0)
 		waiting := post("waiting") // behind it in the order of its key
 		newest := post("newest")
 		if a := b.outcome(t, waiting); a != "refused" {
@@ -500,7 +500,7 @@
 			t.Errorf("DELETE of an ended one: %d", r.StatusCode)
 		}
 		hang(false)
-		for _, c := range b.Rec.Calls() {
+		for _, c := range b.Recorder.Calls() {
 			if c.Body == "waiting" || c.Body == "newest" {
 				t.Errorf("%s went out", c.Body)
 			}
@@ -508,7 +508,7 @@
 	})
 	t.Run("no front's identity is another's", func(t *testing.T) {
 		in := newInbox()
-		c := dial(t, b.Bed, client.Options{ID: b.public, Expiry: 60, On: in.on})
+		c := dial(t, b.Env, client.Options{ID: b.public, Expiry: 60, OnAnswer: in.on})
 		defer c.Close()
 		if err := c.Send(testutil.Context(t), client.Message{ID: "same", Class: "charge", Partner: "p0", Body: []byte("same")}); err != nil {
 			t.Fatal(err)
@@ -517,7 +517,7 @@
 		r, _ := b.do(t, "POST", "/push/charge/p0", "same", "Idempotency-Key", "same")
 		b.outcome(t, r.Header.Get("Location"))
 		n := 0
-		for _, c := range b.Rec.Calls() {
+		for _, c := range b.Recorder.Calls() {
 			if c.Body == "same" {
 				n++
 			}
@@ -534,28 +534,28 @@
 	script := []step{{"status", "1", "6"}, {"order", "2", "6"}, {"charge", "3", "6"}, {"charge", "3", "6"}, {"charge", "4", "6"},
 		{"status", "5", "6"}, {"charge", "6", "1"}, {"order", "7", "6"}, {"charge", "7", "6"}}
 	run := func(send func(b *pushBed, s step) string) (log []string) {
-		b := newPushBed(t, 1, standin.Model{Service: 2 * ms, Window: 10 * time.Second}, `relay: {seed: 7, attempts: 3}`)
-		b.State(b.Ends[1].Addr, "draining") // one endpoint: no chance in the choice
+		b := newPushBed(t, 1, standin.Model{Service: 2 * ms, DedupWindow: 10 * time.Second}, `relay: {seed: 7, attempts: 3}`)
+		b.SetState(b.Endpoints[1].Addr, "draining") // one endpoint: no chance in the choice
 		b.WriteList()
 		time.Sleep(300 * ms)
 		for i, s := range script {
-			b.Ends[0].Set([]standin.Trouble{{}, {}, {}, {}, {Errors: 1}, {}, {Hang: true}, {}, {}}[i])
+			b.Endpoints[0].Set([]standin.Faults{{}, {}, {}, {}, {Errors: 1}, {}, {Hang: true}, {}, {}}[i])
 			log = append(log, s.class+" "+s.id+" "+send(b, s))
 		}
-		for _, c := range b.Rec.Calls() {
-			log = append(log, c.Class+" "+c.Body+" "+c.What)
+		for _, c := range b.Recorder.Calls() {
+			log = append(log, c.Class+" "+c.Body+" "+c.Outcome)
 		}
 		return log
 	}
 	mqtt := run(func(b *pushBed, s step) string {
 		in := newInbox()
-		c := dial(t, b.Bed, client.Options{ID: "c", Expiry: 60, On: in.on})
+		c := dial(t, b.Env, client.Options{ID: "c", Expiry: 60, OnAnswer: in.on})
 		defer c.Close()
 		m := client.Message{ID: s.id + s.class, Class: s.class, Partner: "p0", Body: []byte(s.id), Expiry: uint32(s.expiry[0] - '0')}
 		if err := c.Send(testutil.Context(t), m); err != nil {
 			t.Fatal(err)
 		}
-		return in.waitFor(t, 1, m.ID)[m.ID][0].Answer
+		return in.waitFor(t, 1, m.ID)[m.ID][0].Outcome
 	})
 	push := run(func(b *pushBed, s step) string {
 		r, _ := b.do(t, "POST", "/push/"+s.class+"/p0", s.id, "TTL", s.expiry, "Idempotency-Key", s.id+s.class)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func dial(t *testing.T, b *testutil.Bed, o client.Options) *client.Client {
+func dial(t *testing.T, b *testutil.Env, o client.Options) *client.Client {
 	t.Helper()
 	c, err := client.Dial(testutil.Context(t), b.Relay.Addrs()[0], o)
 	if err != nil {
@@ -89,27 +89,35 @@
 // and in the order of their key, each message answered once and in time.
 func TestThousandsThroughFaults(t *testing.T) {
 	const senders, each = 8, 650
-	model := standin.Model{Service: 4 * ms, Spread: 0.8, Window: 10 * time.Second}
+	model := standin.Model{Service: 4 * ms, ServiceJitter: 0.8, DedupWindow: 10 * time.Second}
 	b := testutil.New(t, 6, model, `relay: {workers: 48, held: 6000, attempts: 6}`, relay.Hooks{})
 	ctx := testutil.Context(t)
-	set := func(tr standin.Trouble, ends ...int) {
+	set := func(tr standin.Faults, ends ...int) {
 		for _, i := range ends {
-			b.Ends[i].Set(tr)
+			b.Endpoints[i].Set(tr)
 		}
 	}
 	faults := []func(){
-		func() { set(standin.Trouble{Lost: 0.3}, 0, 1, 2, 3) },
-		func() { set(standin.Trouble{Errors: 0.5}, 4, 5); set(standin.Trouble{Hang: true}, 6) },
-		func() { set(standin.Trouble{}, 0, 1, 2, 3, 4, 5, 6); b.Ends[8].Close(); b.Ends[9].Close() },
-		func() { set(standin.Trouble{Reap: ms}, 10, 11); b.State(b.Ends[2].Addr, "draining"); b.WriteList() },
-		func() { _ = b.Ends[8].Reopen(); _ = b.Ends[9].Reopen(); set(standin.Trouble{Shut: true}, 4) },
-		func() { set(standin.Trouble{}, 4, 10, 11) },
+		func() { set(standin.Faults{LostResponses: 0.3}, 0, 1, 2, 3) },
+		func() { set(standin.Faults{Errors: 0.5}, 4, 5); set(standin.Faults{Hang: true}, 6) },
+		func() { set(standin.Faults{}, 0, 1, 2, 3, 4, 5, 6); b.Endpoints[8].Close(); b.Endpoints[9].Close() },
+		func() {
+			set(standin.Faults{IdleReset: ms}, 10, 11)
+			b.SetState(b.Endpoints[2].Addr, "draining")
+			b.WriteList()
+		},
+		func() {
+			_ = b.Endpoints[8].Reopen()
+			_ = b.Endpoints[9].Reopen()
+			set(standin.Faults{RefuseAll: true}, 4)
+		},
+		func() { set(standin.Faults{}, 4, 10, 11) },
 	}
 	in := newInbox()
 	handed := make([]map[string]time.Time, senders)
 	var all sync.WaitGroup
 	for s := range senders {
-		c := dial(t, b, client.Options{ID: fmt.Sprintf("c%d", s), Expiry: 600, On: in.on})
+		c := dial(t, b, client.Options{ID: fmt.Sprintf("c%d", s), Expiry: 600, OnAnswer: in.on})
 		defer c.Close()
 		handed[s] = map[string]time.Time{}
 		all.Go(func() {
@@ -138,14 +146,14 @@
 			if len(a) != 1 {
 				t.Fatalf("%s: answers %v", id, a)
 			}
-			count[a[0].Answer]++
+			count[a[0].Outcome]++
 			if took := a[0].At.Sub(at); took > 6*time.Second+time.Second {
-				t.Errorf("%s: %s after %v", id, a[0].Answer, took)
+				t.Errorf("%s: %s after %v", id, a[0].Outcome, took)
 			}
 		}
 	}
 	effects, newest := map[string]int{}, map[string]int{}
-	calls := b.Rec.Calls()
+	calls := b.Recorder.Calls()
 	slices.SortFunc(calls, func(a, b standin.Call) int { return a.Start.Compare(b.Start) })
 	for _, c := range calls {
 		var id, key string
@@ -157,18 +165,18 @@
 			}
 			newest[key] = i
 		}
-		a := got[id][0].Answer
+		a := got[id][0].Outcome
 		if c.Effect {
 			if effects[id]++; c.Class != "status" && effects[id] > 1 {
 				t.Errorf("%s (%s) took effect %d times", id, c.Class, effects[id])
 			}
 		}
-		if a == "refused" && c.What != standin.Refused {
-			t.Errorf("%s was refused, but ran (%s)", id, c.What)
+		if a == "refused" && c.Outcome != standin.Refused {
+			t.Errorf("%s was refused, but ran (%s)", id, c.Outcome)
 		}
 	}
 	for id, a := range got {
-		if a[0].Answer == "delivered" && effects[id] == 0 {
+		if a[0].Outcome == "delivered" && effects[id] == 0 {
 			t.Errorf("%s is delivered without an effect", id)
 		}
 	}
@@ -181,22 +189,22 @@
 // A partner takes the call and never answers: one attempt, failed in time.
 func TestPartnerNeverAnswers(t *testing.T) {
 	b := testutil.New(t, 1, standin.Model{}, "", relay.Hooks{})
-	for _, e := range b.Ends {
-		e.Set(standin.Trouble{Hang: true})
+	for _, e := range b.Endpoints {
+		e.Set(standin.Faults{Hang: true})
 	}
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.on})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, OnAnswer: in.on})
 	defer c.Close()
 	at := time.Now()
 	if err := c.Send(testutil.Context(t), client.Message{ID: "m", Class: "charge", Partner: "p0"}); err != nil {
 		t.Fatal(err)
 	}
 	a := in.wait(t, 1)["m"][0]
-	if a.Answer != "failed" || a.At.Sub(at) > 6500*ms {
-		t.Fatalf("%s after %v", a.Answer, a.At.Sub(at))
+	if a.Outcome != "failed" || a.At.Sub(at) > 6500*ms {
+		t.Fatalf("%s after %v", a.Outcome, a.At.Sub(at))
 	}
 	b.Relay.Stop()
-	if calls := b.Rec.Calls(); len(calls) != 1 {
+	if calls := b.Recorder.Calls(); len(calls) != 1 {
 		t.Fatalf("%d attempts", len(calls))
 	}
 }
@@ -233,26 +241,26 @@
 	})
 	t.Run("after PUBACK", func(t *testing.T) {
 		for range 3 {
-			c := dial(t, b, client.Options{ID: "again", Expiry: 60, On: in.on})
+			c := dial(t, b, client.Options{ID: "again", Expiry: 60, OnAnswer: in.on})
 			if err := c.Send(ctx, client.Message{ID: "g1", Class: "charge", Partner: "p0", Body: []byte("again")}); err != nil {
 				t.Fatal(err)
 			}
 			c.Cut()
 		}
-		c := dial(t, b, client.Options{ID: "again", Expiry: 60, On: in.on})
+		c := dial(t, b, client.Options{ID: "again", Expiry: 60, OnAnswer: in.on})
 		defer c.Close()
 		for _, a := range in.wait(t, 1)["g1"] {
-			if a.Answer != "delivered" {
+			if a.Outcome != "delivered" {
 				t.Errorf("answer %v", a)
 			}
 		}
 	})
 	t.Run("two connections", func(t *testing.T) {
-		one := dial(t, b, client.Options{ID: "twin", Expiry: 60, On: in.on})
+		one := dial(t, b, client.Options{ID: "twin", Expiry: 60, OnAnswer: in.on})
 		if err := one.Send(ctx, client.Message{ID: "t1", Class: "charge", Partner: "p0", Body: []byte("twin")}); err != nil {
 			t.Fatal(err)
 		}
-		two := dial(t, b, client.Options{ID: "twin", Expiry: 60, On: in.on})
+		two := dial(t, b, client.Options{ID: "twin", Expiry: 60, OnAnswer: in.on})
 		defer two.Close()
 		<-one.Lost()
 		if err := two.Send(ctx, client.Message{ID: "t1", Class: "charge", Partner: "p0", Body: []byte("twin")}); err != nil {
@@ -263,7 +271,7 @@
 		}
 	})
 	effects := map[string]int{}
-	for _, c := range b.Rec.Calls() {
+	for _, c := range b.Recorder.Calls() {
 		effects[c.Body]++
 	}
 	for _, who := range []string{"raw", "again", "twin"} {
@@ -287,8 +295,8 @@
 	c.Cut()
 	for present := true; present; {
 		time.Sleep(1200 * ms)
-		c = dial(t, b, client.Options{ID: "c", Expiry: 1, On: in.on})
-		if present = c.Present; present {
+		c = dial(t, b, client.Options{ID: "c", Expiry: 1, OnAnswer: in.on})
+		if present = c.SessionPresent; present {
 			c.Cut()
 		}
 	}
@@ -296,10 +304,10 @@
 	if err := c.Send(ctx, m); err != nil {
 		t.Fatal(err)
 	}
-	if a := in.wait(t, 1)["m"]; a[0].Answer != "delivered" {
+	if a := in.wait(t, 1)["m"]; a[0].Outcome != "delivered" {
 		t.Fatalf("answers %v", a)
 	}
-	if n := len(b.Rec.Calls()); n != 1 {
+	if n := len(b.Recorder.Calls()); n != 1 {
 		t.Fatalf("%d calls", n)
 	}
 }
@@ -318,19 +326,19 @@
 			time.Sleep(5 * ms)
 		}
 	})
-	drained := b.Ends[0].Addr
+	drained := b.Endpoints[0].Addr
 	waitCalls(t, b, "", 20)
-	b.State(drained, "draining")
+	b.SetState(drained, "draining")
 	b.WriteList()
 	told := time.Now()
 	time.Sleep(1500 * ms)
-	b.BreakList()
-	n := len(b.Rec.Calls())
+	b.CorruptList()
+	n := len(b.Recorder.Calls())
 	waitCalls(t, b, "", n+20) // the last good list stands
 	cancel()
 	sent.Wait()
 	b.Relay.Stop()
-	for _, call := range b.Rec.Calls() {
+	for _, call := range b.Recorder.Calls() {
 		if call.Endpoint == drained && call.Start.Sub(told) > time.Second {
 			t.Errorf("a call %v after the drain", call.Start.Sub(told))
 		}
@@ -341,10 +349,10 @@
 // the rest.
 func TestStop(t *testing.T) {
 	b := testutil.New(t, 2, standin.Model{Service: 300 * ms}, `relay: {shutdown: "1s"}`, relay.Hooks{})
-	b.Ends[2].Set(standin.Trouble{Hang: true})
-	b.Ends[3].Set(standin.Trouble{Hang: true})
+	b.Endpoints[2].Set(standin.Faults{Hang: true})
+	b.Endpoints[3].Set(standin.Faults{Hang: true})
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.on})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, OnAnswer: in.on})
 	defer c.Close()
 	for i, m := range []client.Message{{ID: "finishes", Class: "charge", Partner: "p0"},
 		{ID: "hangs", Class: "charge", Partner: "p1"},
@@ -356,11 +364,11 @@
 	b.Relay.Stop()
 	got := in.wait(t, 4)
 	for id, want := range map[string]string{"finishes": "delivered", "hangs": "failed", "waits": "delivered"} {
-		if a := got[id]; len(a) != 1 || a[0].Answer != want {
+		if a := got[id]; len(a) != 1 || a[0].Outcome != want {
 			t.Errorf("%s: %v, want %s", id, a, want)
 		}
 	}
-	if a := got["behind"]; a[0].Answer == "delivered" {
+	if a := got["behind"]; a[0].Outcome == "delivered" {
 		t.Errorf("behind: %v", a)
 	}
 }
@@ -370,7 +378,7 @@
 func TestDescriptorsRunOut(t *testing.T) {
 	b := testutil.New(t, 1, standin.Model{Service: 5 * ms}, "", relay.Hooks{})
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.on})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, OnAnswer: in.on})
 	defer c.Close()
 	var old syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
@@ -388,7 +396,7 @@
 		}
 	}
 	time.Sleep(300 * ms)
-	calls := len(b.Rec.Calls())
+	calls := len(b.Recorder.Calls())
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
@@ -396,7 +404,7 @@
 		t.Errorf("%d calls without descriptors", calls)
 	}
 	for id, a := range in.wait(t, 20) {
-		if len(a) != 1 || a[0].Answer == "failed" {
+		if len(a) != 1 || a[0].Outcome == "failed" {
 			t.Errorf("%s: %v", id, a)
 		}
 	}
@@ -405,7 +413,7 @@
 		if err := c.Send(ctx, client.Message{ID: id, Class: "status", Partner: "p0"}); err != nil {
 			t.Fatal(err)
 		}
-		if a := in.wait(t, 21+i)[id]; a[0].Answer == "delivered" {
+		if a := in.wait(t, 21+i)[id]; a[0].Outcome == "delivered" {
 			return
 		}
 	}
@@ -418,7 +426,7 @@
 	in := newInbox()
 	st := state.NewInMemory()
 	for i := range 5 {
-		c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.on, Session: st})
+		c := dial(t, b, client.Options{ID: "c", Expiry: 60, OnAnswer: in.on, Session: st})
 		if err := c.Send(testutil.Context(t), client.Message{ID: fmt.Sprint(i), Class: "charge", Partner: "p0", QoS: 2,
 			Body: fmt.Append(nil, i)}); err != nil {
 			t.Fatal(err)
@@ -426,10 +434,10 @@
 		c.Cut()
 		<-c.Done()
 	}
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.on, Session: st})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, OnAnswer: in.on, Session: st})
 	defer c.Close()
 	in.wait(t, 5)
-	if n := len(b.Rec.Calls()); n != 5 {
+	if n := len(b.Recorder.Calls()); n != 5 {
 		t.Errorf("%d calls", n)
 	}
 }
@@ -482,11 +490,11 @@
 }
 
 // waitCalls waits until over n calls were seen, with a body if one is given.
-func waitCalls(t *testing.T, b *testutil.Bed, body string, n int) {
+func waitCalls(t *testing.T, b *testutil.Env, body string, n int) {
 	t.Helper()
 	for range 3000 {
 		have := 0
-		for _, c := range b.Rec.Calls() {
+		for _, c := range b.Recorder.Calls() {
 			if body == "" || c.Body == body {
 				have++
 			}
@@ -528,7 +536,7 @@
 			t.Errorf("QoS %d: %+v", qos, n)
 		}
 	}
-	if n := len(b.Rec.Calls()); n != 2 {
+	if n := len(b.Recorder.Calls()); n != 2 {
 		t.Errorf("%d calls", n)
 	}
 	if c.Subscribe("answers/#", 1, nil).WaitTimeout(20 * time.Second); !c.IsConnected() {
--- a/internal/relay/zone_test.go
+++ b/internal/relay/zone_test.go
@@ -38,10 +38,10 @@
 `
 
 // zoneBed has partners p0 and p1 with endpoints near and far, metered.
-func zoneBed(t *testing.T, extra string) (*testutil.Bed, [2]*meter) {
+func zoneBed(t *testing.T, extra string) (*testutil.Env, [2]*meter) {
 	t.Helper()
 	meters := [2]*meter{{}, {}}
-	b := testutil.NewMetered(t, 2, standin.Model{Service: 2 * ms, Window: 10 * time.Second}, zoned+extra, relay.Hooks{},
+	b := testutil.NewWithZones(t, 2, standin.Model{Service: 2 * ms, DedupWindow: 10 * time.Second}, zoned+extra, relay.Hooks{},
 		func(i int) (string, func(net.Conn) net.Conn) {
 			m := meters[i%2]
 			return []string{"near", "far"}[i%2], func(c net.Conn) net.Conn { return meteredConn{c, m} }
@@ -55,21 +55,21 @@
 func TestZoneBytesMatch(t *testing.T) {
 	b, meters := zoneBed(t, "")
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 600, On: in.on})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 600, OnAnswer: in.on})
 	defer c.Close()
 	ctx := testutil.Context(t)
 	const n = 600
 	for i := range n {
 		switch i {
 		case 100:
-			b.Ends[1].Set(standin.Trouble{Hang: true})
-			b.Ends[2].Set(standin.Trouble{Errors: 0.5})
+			b.Endpoints[1].Set(standin.Faults{Hang: true})
+			b.Endpoints[2].Set(standin.Faults{Errors: 0.5})
 		case 250:
-			b.Ends[1].Set(standin.Trouble{Reap: ms})
-			b.Ends[0].Set(standin.Trouble{Reap: ms})
+			b.Endpoints[1].Set(standin.Faults{IdleReset: ms})
+			b.Endpoints[0].Set(standin.Faults{IdleReset: ms})
 		case 400:
-			for _, e := range b.Ends {
-				e.Set(standin.Trouble{})
+			for _, e := range b.Endpoints {
+				e.Set(standin.Faults{})
 			}
 		}
 		if err := c.Send(ctx, client.Message{ID: fmt.Sprint(i), Class: []string{"status", "order", "charge"}[i%3],
@@ -112,12 +112,12 @@
 	b, meters := zoneBed(t, `budget: {bytes: 40000, window: "10s", burst: 0.5, held: 0.3, first: 600}
 classes: [{overdraft: 0}, {overdraft: 0}, {overdraft: 100000}]
 `)
-	b.State(b.Ends[0].Addr, "gone") // near
-	b.State(b.Ends[2].Addr, "gone")
+	b.SetState(b.Endpoints[0].Addr, "gone") // near
+	b.SetState(b.Endpoints[2].Addr, "gone")
 	b.WriteList()
 	time.Sleep(300 * ms)
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 600, On: in.on})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 600, OnAnswer: in.on})
 	defer c.Close()
 	ctx := testutil.Context(t)
 	begin := time.Now()
@@ -136,9 +136,9 @@
 	count := map[string]int{}
 	for id, a := range in.wait(t, n) {
 		class := id[:6]
-		count[class+" "+a[0].Answer]++
-		if class == "charge" && (a[0].Answer != "delivered" || a[0].At.Sub(begin) > 8*time.Second) {
-			t.Errorf("%s: %s", id, a[0].Answer)
+		count[class+" "+a[0].Outcome]++
+		if class == "charge" && (a[0].Outcome != "delivered" || a[0].At.Sub(begin) > 8*time.Second) {
+			t.Errorf("%s: %s", id, a[0].Outcome)
 		}
 	}
 	if count["status refused"] == 0 || count["status delivered"] == 0 {
--- a/internal/resolve/resolve_test.go
+++ b/internal/resolve/resolve_test.go
@@ -34,12 +34,12 @@
 // truncated answers, no addresses, a CNAME loop, and a failing server before one that answers.
 func TestServers(t *testing.T) {
 	d := server(t)
-	d.Set("a.example", standin.Zone{Alias: "b.example", TTL: 7})
-	d.Set("b.example", standin.Zone{Addrs: ips("127.0.0.1", "::1", "127.0.0.2"), TTL: 60, Cut: true})
-	d.Set("cut.example", standin.Zone{Addrs: ips("127.0.0.3"), TTL: 60, Cut: true})
-	d.Set("loop.example", standin.Zone{Alias: "loop.example", TTL: 9})
-	d.Set("bad.example", standin.Zone{Rcode: dns.RcodeServerFailure})
-	d.Set("mute.example", standin.Zone{Mute: true})
+	d.Set("a.example", standin.DNSAnswer{Alias: "b.example", TTL: 7})
+	d.Set("b.example", standin.DNSAnswer{Addrs: ips("127.0.0.1", "::1", "127.0.0.2"), TTL: 60, Truncate: true})
+	d.Set("cut.example", standin.DNSAnswer{Addrs: ips("127.0.0.3"), TTL: 60, Truncate: true})
+	d.Set("loop.example", standin.DNSAnswer{Alias: "loop.example", TTL: 9})
+	d.Set("bad.example", standin.DNSAnswer{Rcode: dns.RcodeServerFailure})
+	d.Set("mute.example", standin.DNSAnswer{NoResponse: true})
 	s := Servers{Addrs: []string{"127.0.0.1:1", d.Addr}, Timeout: 300 * time.Millisecond}
 	for _, c := range []struct {
 		name string
@@ -71,7 +71,7 @@
 // loop.
 func TestFollower(t *testing.T) {
 	d := server(t)
-	d.Set("bank.example", standin.Zone{Addrs: ips("127.0.0.1"), TTL: 1})
+	d.Set("bank.example", standin.DNSAnswer{Addrs: ips("127.0.0.1"), TTL: 1})
 	news := make(sink, 100)
 	f := New(Servers{Addrs: []string{d.Addr}, Timeout: 100 * time.Millisecond}, addr.DefaultNameCacheSettings,
 		200*time.Millisecond, news,
@@ -96,19 +96,19 @@
 	if next() != "" || next() != "127.0.0.1:80" {
 		t.Fatal("the first address was not reported")
 	}
-	d.Set("bank.example", standin.Zone{Addrs: ips("127.0.0.2"), TTL: 1})
+	d.Set("bank.example", standin.DNSAnswer{Addrs: ips("127.0.0.2"), TTL: 1})
 	if next() != "127.0.0.2:80" {
 		t.Fatal("the changed address was not reported")
 	}
-	d.Set("bank.example", standin.Zone{Mute: true})
-	asked := d.Asked("bank.example")
-	for d.Asked("bank.example") < asked+3 {
+	d.Set("bank.example", standin.DNSAnswer{NoResponse: true})
+	asked := d.QueryCount("bank.example")
+	for d.QueryCount("bank.example") < asked+3 {
 		time.Sleep(10 * time.Millisecond)
 	}
 	if known, _ := f.Status(); len(known) != 1 || len(known[0].Addrs) != 1 || len(news) > 0 {
 		t.Errorf("without answers: %+v, %d updates", known, len(news))
 	}
-	d.Set("bank.example", standin.Zone{Addrs: ips("127.0.0.3"), TTL: 1})
+	d.Set("bank.example", standin.DNSAnswer{Addrs: ips("127.0.0.3"), TTL: 1})
 	if next() != "127.0.0.3:80" {
 		t.Error("the new address was not reported once the server answered again")
 	}
--- a/internal/standin/consul.go
+++ b/internal/standin/consul.go
@@ -32,19 +32,19 @@
 	refreshed time.Time
 }
 
-// CatalogTrouble is the set of faults injected into the stand-in catalogue. The zero value injects none.
-type CatalogTrouble struct {
-	Status   int           // HTTP status of every response; 0 for no fault
-	Down     bool          // closes connections without a response
-	Hang     bool          // sends the response headers and no content
-	Cut      bool          // truncates the JSON to half its length
-	Slow     time.Duration // delay between the two halves of the content
-	Instant  bool          // blocking queries return immediately
-	Empty    bool          // lists no instances
-	Half     bool          // omits every second instance
-	NoLeader bool          // sends X-Consul-KnownLeader: false
-	Contact  time.Duration // age in X-Consul-LastContact
-	Index    uint64        // replaces the value of X-Consul-Index; 0 for no fault
+// CatalogFaults is the set of faults injected into the stand-in catalogue. The zero value injects none.
+type CatalogFaults struct {
+	Status      int           // HTTP status of every response; 0 for no fault
+	Down        bool          // closes connections without a response
+	Hang        bool          // sends the response headers and no content
+	Truncate    bool          // truncates the JSON to half its length
+	Slow        time.Duration // delay between the two halves of the content
+	NonBlocking bool          // blocking queries return immediately
+	Empty       bool          // lists no instances
+	OmitHalf    bool          // omits every second instance
+	NoLeader    bool          // sends X-Consul-KnownLeader: false
+	LastContact time.Duration // age in X-Consul-LastContact
+	Index       uint64        // replaces the value of X-Consul-Index; 0 for no fault
 }
 
 // Consul is a stand-in for the parts of Consul's HTTP API that relays use, written from its
@@ -60,7 +60,7 @@
 	globalIndex  uint64            // index of the last change of all services
 	instances    map[string]*Instance
 	changed      map[string]chan struct{} // by service; closed at its next change
-	fault        CatalogTrouble
+	faults       CatalogFaults
 	Queries      int
 	stop         chan struct{}
 }
@@ -92,10 +92,10 @@
 }
 
 // Set replaces the injected faults and answers all blocking queries that wait.
-func (c *Consul) Set(t CatalogTrouble) {
+func (c *Consul) Set(t CatalogFaults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fault = t
+	c.faults = t
 	c.bumpIndex()
 }
 
@@ -162,8 +162,8 @@
 	}
 }
 
-// Asked returns the number of queries so far.
-func (c *Consul) Asked() int {
+// QueryCount returns the number of queries so far.
+func (c *Consul) QueryCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Queries
@@ -191,7 +191,7 @@
 }
 
 // injectFault applies the faults that replace a response. It reports whether it handled the request.
-func (c *Consul) injectFault(w http.ResponseWriter, t CatalogTrouble) bool {
+func (c *Consul) injectFault(w http.ResponseWriter, t CatalogFaults) bool {
 	switch {
 	case t.Down:
 		if h, ok := w.(http.Hijacker); ok {
@@ -220,7 +220,7 @@
 	c.mu.Lock()
 	c.Queries++
 	name := r.PathValue("name")
-	for end := time.Now().Add(wait); index > 0 && !c.fault.Instant && time.Now().Before(end); {
+	for end := time.Now().Add(wait); index > 0 && !c.faults.NonBlocking && time.Now().Before(end); {
 		now, changed := c.indexOf(name)
 		if now != index {
 			break
@@ -234,7 +234,7 @@
 		}
 		c.mu.Lock()
 	}
-	t := c.fault
+	t := c.faults
 	now, _ := c.indexOf(name)
 	health := strings.HasPrefix(r.URL.Path, "/v1/health/")
 	var list []Instance
@@ -253,7 +253,7 @@
 	}
 	out := []any{}
 	for n, i := range list {
-		if t.Half && n%2 == 1 {
+		if t.OmitHalf && n%2 == 1 {
 			continue
 		}
 		if health {
@@ -270,13 +270,13 @@
 	h.Set("Content-Type", "application/json")
 	h.Set("X-Consul-Index", strconv.FormatUint(now, 10))
 	h.Set("X-Consul-KnownLeader", strconv.FormatBool(!t.NoLeader))
-	h.Set("X-Consul-LastContact", strconv.FormatInt(t.Contact.Milliseconds(), 10))
+	h.Set("X-Consul-LastContact", strconv.FormatInt(t.LastContact.Milliseconds(), 10))
 	half := len(body) / 2
 	switch {
 	case t.Hang:
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
-	case t.Cut:
+	case t.Truncate:
 		_, _ = w.Write(body[:half])
 	case t.Slow > 0:
 		_, _ = w.Write(body[:half])
@@ -322,7 +322,7 @@
 // agent runs do, which returns the status of the response, under mu, unless a fault is injected.
 func (c *Consul) agent(w http.ResponseWriter, do func() int) {
 	c.mu.Lock()
-	t := c.fault
+	t := c.faults
 	status := http.StatusOK
 	if !t.Down && t.Status == 0 && !t.Hang {
 		status = do()
--- a/internal/standin/dns.go
+++ b/internal/standin/dns.go
@@ -10,14 +10,14 @@
 	"github.com/miekg/dns"
 )
 
-// Zone configures the answer of the stand-in DNS server for one name.
-type Zone struct {
-	Addrs []netip.Addr
-	Alias string // target of a CNAME, which replaces the addresses
-	TTL   uint32 // seconds
-	Rcode int
-	Mute  bool // sends no response
-	Cut   bool // truncates responses over UDP, so that the client must retry over TCP
+// DNSAnswer configures the answer of the stand-in DNS server for one name.
+type DNSAnswer struct {
+	Addrs      []netip.Addr
+	Alias      string // target of a CNAME, which replaces the addresses
+	TTL        uint32 // seconds
+	Rcode      int
+	NoResponse bool // sends no response
+	Truncate   bool // truncates responses over UDP, so that the client must retry over TCP
 }
 
 // DNS is a stand-in DNS server on loopback, over UDP and TCP.
@@ -26,14 +26,14 @@
 	udp  *dns.Server
 	tcp  *dns.Server
 
-	mu         sync.Mutex
-	zones      map[string]Zone
-	queryCount map[string]int // queries by name
+	mu      sync.Mutex
+	zones   map[string]DNSAnswer
+	queries map[string]int // queries by name
 }
 
 // StartDNS starts a server on a free port of 127.0.0.1.
 func StartDNS() (*DNS, error) {
-	d := &DNS{zones: map[string]Zone{}, queryCount: map[string]int{}}
+	d := &DNS{zones: map[string]DNSAnswer{}, queries: map[string]int{}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("standin: %w", err)
@@ -61,17 +61,17 @@
 }
 
 // Set replaces the answer for a name.
-func (d *DNS) Set(name string, z Zone) {
+func (d *DNS) Set(name string, z DNSAnswer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.zones[dns.CanonicalName(name)] = z
 }
 
-// Asked returns the number of queries for a name.
-func (d *DNS) Asked(name string) int {
+// QueryCount returns the number of queries for a name.
+func (d *DNS) QueryCount(name string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.queryCount[dns.CanonicalName(name)]
+	return d.queries[dns.CanonicalName(name)]
 }
 
 // ServeDNS answers a query. It follows at most 20 CNAMEs, which may form a loop. Names that were
@@ -82,15 +82,15 @@
 	name := dns.CanonicalName(q.Question[0].Name)
 	d.mu.Lock()
 	z, ok := d.zones[name]
-	d.queryCount[name]++
+	d.queries[name]++
 	d.mu.Unlock()
-	if z.Mute {
+	if z.NoResponse {
 		return
 	}
 	if r.Rcode = z.Rcode; !ok {
 		r.Rcode = dns.RcodeNameError
 	}
-	if z.Cut && strings.HasPrefix(w.LocalAddr().Network(), "udp") {
+	if z.Truncate && strings.HasPrefix(w.LocalAddr().Network(), "udp") {
 		r.Truncated = true
 		_ = w.WriteMsg(r)
 		return
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -28,64 +28,64 @@
 
 // Model configures the behaviour of a partner without injected faults.
 type Model struct {
-	Service     time.Duration // mean service time of a call
-	Spread      float64       // uniform variation of the service time, as a share of the mean
-	Concurrency int           // maximum calls in service at a time; 0 for no limit
-	Queue       int           // maximum calls that wait for service; further ones are refused
-	Rate        float64       // rate limit in calls/s over all relays; 0 for no limit
-	Span        time.Duration // length of the fixed windows of the rate limit; 0 for a token bucket
-	Tells       bool          // whether refusals carry Retry-After, in whole seconds
-	Counts      bool          // whether refused calls count against the rate limit
-	Window      time.Duration // time for which repeats of an idempotency key are dropped; 0 for no deduplication
-	ColdFrom    float64       // share of the capacity that is available right after an outage
-	Cold        time.Duration // ramp-up time from ColdFrom to the full capacity; 0 for none
-	Factor      float64       // multiple of the available capacity above which the partner collapses
-	Fall        time.Duration // time for which the overload must last; 0 for no collapse
-	Capacity    float64       // full capacity in calls/s; 0 for no collapse
-}
-
-// Trouble is the set of faults injected at an endpoint. The zero value injects none.
-type Trouble struct {
-	Hang       bool    // accepts calls and never responds
-	Shut       bool    // refuses all calls
-	Errors     float64 // share of calls that get an immediate 500
-	ErrorClass string  // message class that Errors is limited to; empty for all
-	Factor     float64 // multiplier of the service time; 0 for 1
-	TailShare  float64 // share of calls whose service time is multiplied by TailFactor
-	TailFactor float64
-	PauseEvery time.Duration // period of the pauses; 0 for none
-	Pause      time.Duration // length of each pause
-	RateShare  float64       // share of the rate limit that remains; 0 for all of it
-	Lost       float64       // share of calls that take effect and get no response
-	Reap       time.Duration // idle time after which the next call on a connection takes effect and is reset; 0 for none
-	Handshake  time.Duration // delay of the first call of a connection
-}
-
-// Outcomes of a call, as Call.What records them.
+	Service         time.Duration // mean service time of a call
+	ServiceJitter   float64       // uniform variation of the service time, as a share of the mean
+	Concurrency     int           // maximum calls in service at a time; 0 for no limit
+	Queue           int           // maximum calls that wait for service; further ones are refused
+	Rate            float64       // rate limit in calls/s over all relays; 0 for no limit
+	RateWindow      time.Duration // length of the fixed windows of the rate limit; 0 for a token bucket
+	SendsRetryAfter bool          // whether refusals carry Retry-After, in whole seconds
+	CountsRefusals  bool          // whether refused calls count against the rate limit
+	DedupWindow     time.Duration // time for which repeats of an idempotency key are dropped; 0 for no deduplication
+	RampUpFrom      float64       // share of the capacity that is available right after an outage
+	RampUp          time.Duration // ramp-up time from RampUpFrom to the full capacity; 0 for none
+	OverloadFactor  float64       // multiple of the available capacity above which the partner collapses
+	OverloadTime    time.Duration // time for which the overload must last; 0 for no collapse
+	Capacity        float64       // full capacity in calls/s; 0 for no collapse
+}
+
+// Faults is the set of faults injected at an endpoint. The zero value injects none.
+type Faults struct {
+	Hang           bool    // accepts calls and never responds
+	RefuseAll      bool    // refuses all calls
+	Errors         float64 // share of calls that get an immediate 500
+	ErrorClass     string  // message class that Errors is limited to; empty for all
+	ServiceFactor  float64 // multiplier of the service time; 0 for 1
+	TailShare      float64 // share of calls whose service time is multiplied by TailFactor
+	TailFactor     float64
+	PauseEvery     time.Duration // period of the pauses; 0 for none
+	Pause          time.Duration // length of each pause
+	RateShare      float64       // share of the rate limit that remains; 0 for all of it
+	LostResponses  float64       // share of calls that take effect and get no response
+	IdleReset      time.Duration // a call on a connection idle for longer takes effect and is reset; 0 for none
+	FirstCallDelay time.Duration // delay of the first call of a connection
+}
+
+// Outcomes of a call, as Call.Outcome records them.
 const (
-	Served  = "served"  // took effect and got a 200
-	Repeat  = "repeat"  // got a 200 and was dropped as a repeat
-	Refused = "refused" // got a 429
-	Failed  = "error"   // got a 500
-	Lost    = "lost"    // got no response: the call hung or the connection was reset
-	Half    = "half"    // the request was incomplete and took no effect
+	Served     = "served"  // took effect and got a 200
+	Repeat     = "repeat"  // got a 200 and was dropped as a repeat
+	Refused    = "refused" // got a 429
+	Failed     = "error"   // got a 500
+	Lost       = "lost"    // got no response: the call hung or the connection was reset
+	Incomplete = "half"    // the request was incomplete and took no effect
 )
 
 // Call is the record of one call.
 type Call struct {
-	Start, End time.Time // first byte of the request on the socket; end of the handler
-	Endpoint   string    // listen address
-	Partner    string
-	Conn       string // remote address
-	Relay      string // name in the Via header
-	Class      string
-	Key        string // order key
-	Idem       string // idempotency key
-	Body       string
-	What       string        // outcome, such as Served
-	Effect     bool          // whether the message took effect
-	Wait       time.Duration // Retry-After of a refusal
-	Left       time.Time     // when the caller closed the connection; zero if it did not before End
+	Start, End     time.Time // first byte of the request on the socket; end of the handler
+	Endpoint       string    // listen address
+	Partner        string
+	Conn           string // remote address
+	Relay          string // name in the Via header
+	Class          string
+	Key            string // order key
+	IdempotencyKey string // idempotency key
+	Body           string
+	Outcome        string        // outcome, such as Served
+	Effect         bool          // whether the message took effect
+	Wait           time.Duration // Retry-After of a refusal
+	CallerClosed   time.Time     // when the caller closed the connection; zero if it did not before End
 }
 
 // Partner is the state shared by the endpoints of a partner.
@@ -102,13 +102,13 @@
 	windowUsed  float64
 	inOutage    bool      // an outage is in progress
 	outageEnd   time.Time // end of the last outage, the start of the ramp-up
-	arrivals    []arrival // arrivals within the last Model.Fall
+	arrivals    []arrival // arrivals within the last Model.OverloadTime
 
 	collapsed    bool
 	inService    int
 	queued       int
 	slotFreed    chan struct{}
-	collapses    []Fall
+	collapses    []Collapse
 	sawFailure   map[string]bool // relays that met a failure in the current or last outage
 	outagesEnded int
 }
@@ -118,11 +118,11 @@
 	relay string
 }
 
-// Fall records one collapse of a partner under overload during its ramp-up.
-type Fall struct {
-	At    time.Time
-	Calls map[string]int  // calls by relay within the last Model.Fall
-	Saw   map[string]bool // relays that had met a failure of the partner in the outage before
+// Collapse records one collapse of a partner under overload during its ramp-up.
+type Collapse struct {
+	At         time.Time
+	Calls      map[string]int  // calls by relay within the last Model.OverloadTime
+	SawFailure map[string]bool // relays that had met a failure of the partner in the outage before
 }
 
 // Recorder stores the calls to all stand-ins of a run. When it is full it keeps the
@@ -179,8 +179,8 @@
 	p.inOutage = down
 }
 
-// Returns reports the number of outages that have ended.
-func (p *Partner) Returns() int {
+// OutagesEnded returns the number of outages that have ended.
+func (p *Partner) OutagesEnded() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.outagesEnded
@@ -190,30 +190,30 @@
 // The caller holds mu.
 func (p *Partner) capacityShare(now time.Time) float64 {
 	m := &p.Model
-	if p.outageEnd.IsZero() || m.Cold <= 0 {
+	if p.outageEnd.IsZero() || m.RampUp <= 0 {
 		return 1
 	}
-	return min(1, m.ColdFrom+(1-m.ColdFrom)*now.Sub(p.outageEnd).Seconds()/m.Cold.Seconds())
+	return min(1, m.RampUpFrom+(1-m.RampUpFrom)*now.Sub(p.outageEnd).Seconds()/m.RampUp.Seconds())
 }
 
-// Falls returns the collapses of the partner so far.
-func (p *Partner) Falls() []Fall {
+// Collapses returns the collapses of the partner so far.
+func (p *Partner) Collapses() []Collapse {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Fall(nil), p.collapses...)
+	return append([]Collapse(nil), p.collapses...)
 }
 
 // Endpoint is a host of a partner: an HTTP server at one listen address.
 type Endpoint struct {
-	Addr         string
-	Partner      *Partner
-	rec          *Recorder
-	srv          *http.Server
-	mu           sync.Mutex
-	fault        Trouble
-	faultChanged chan struct{} // neither closed nor received from
-	started      time.Time
-	wrap         func(net.Conn) net.Conn
+	Addr          string
+	Partner       *Partner
+	rec           *Recorder
+	srv           *http.Server
+	mu            sync.Mutex
+	faults        Faults
+	faultsChanged chan struct{} // neither closed nor received from
+	started       time.Time
+	wrap          func(net.Conn) net.Conn
 }
 
 type connKey struct{}
@@ -272,7 +272,7 @@
 		return nil, fmt.Errorf("standin: %w", err)
 	}
 	e := &Endpoint{wrap: wrap, Addr: l.Addr().String(), Partner: p, rec: rec,
-		faultChanged: make(chan struct{}), started: time.Now()}
+		faultsChanged: make(chan struct{}), started: time.Now()}
 	e.serve(l)
 	return e, nil
 }
@@ -318,16 +318,16 @@
 
 // Set replaces the injected faults. Calls that hang already go on until their caller
 // closes the connection.
-func (e *Endpoint) Set(t Trouble) {
+func (e *Endpoint) Set(t Faults) {
 	e.mu.Lock()
-	e.fault = t
+	e.faults = t
 	e.mu.Unlock()
 }
 
-func (e *Endpoint) currentFault() Trouble {
+func (e *Endpoint) currentFaults() Faults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.fault
+	return e.faults
 }
 
 // maxBodyBytes is the number of bytes of a request body that are read and recorded.
@@ -337,17 +337,17 @@
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := Call{Start: time.Now(), Endpoint: e.Addr, Partner: e.Partner.Name, Conn: r.RemoteAddr,
 		Relay: strings.TrimPrefix(r.Header.Get("Via"), "1.1 "), Class: r.Header.Get("Message-Class"),
-		Key: r.Header.Get("Order-Key"), Idem: r.Header.Get("Idempotency-Key"), What: Lost}
+		Key: r.Header.Get("Order-Key"), IdempotencyKey: r.Header.Get("Idempotency-Key"), Outcome: Lost}
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	st, _ := r.Context().Value(connKey{}).(*connState)
 	c.Start, c.Body = st.takeFirstByte(), string(body)
 	if err != nil { // an incomplete request takes no effect, but was in progress until now
-		c.What, c.End = Half, time.Now()
-		c.Left = c.End
+		c.Outcome, c.End = Incomplete, time.Now()
+		c.CallerClosed = c.End
 		e.rec.add(c)
 		return
 	}
-	t := e.currentFault()
+	t := e.currentFaults()
 	e.Partner.recordArrival(&c)
 	var closedAt atomic.Int64
 	stop := context.AfterFunc(r.Context(), func() { closedAt.Store(time.Now().UnixNano()) })
@@ -355,8 +355,8 @@
 		stop()
 		c.End = time.Now()
 		if r.Context().Err() != nil {
-			if c.Left = c.End; closedAt.Load() != 0 {
-				c.Left = time.Unix(0, closedAt.Load())
+			if c.CallerClosed = c.End; closedAt.Load() != 0 {
+				c.CallerClosed = time.Unix(0, closedAt.Load())
 			}
 		}
 		e.rec.add(c)
@@ -366,8 +366,8 @@
 	st.calls++
 	st.mu.Unlock()
 	defer func() { st.mu.Lock(); st.last = time.Now(); st.mu.Unlock() }()
-	if first && t.Handshake > 0 {
-		pause.For(r.Context(), t.Handshake)
+	if first && t.FirstCallDelay > 0 {
+		pause.For(r.Context(), t.FirstCallDelay)
 	}
 	hang := func() {
 		<-r.Context().Done()
@@ -390,18 +390,18 @@
 	case t.Hang:
 		hang()
 		return
-	case t.Reap > 0 && !first && idle > t.Reap:
+	case t.IdleReset > 0 && !first && idle > t.IdleReset:
 		c.Effect = e.Partner.recordEffect(&c)
 		resetConn()
 		return
 	case t.Errors > 0 && (t.ErrorClass == "" || t.ErrorClass == c.Class) && e.Partner.randomShare() < t.Errors:
-		c.What = Failed
+		c.Outcome = Failed
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	ok, wait, done := e.Partner.admit(r.Context(), t)
 	if !ok {
-		c.What, c.Wait = Refused, wait
+		c.Outcome, c.Wait = Refused, wait
 		if wait > 0 {
 			w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 			c.Wait = time.Duration(math.Ceil(wait.Seconds())) * time.Second
@@ -418,20 +418,20 @@
 	time.Sleep(delay) // continues even if the caller has closed the connection
 	c.Effect = e.Partner.recordEffect(&c)
 	done()
-	if t.Lost > 0 && e.Partner.randomShare() < t.Lost {
+	if t.LostResponses > 0 && e.Partner.randomShare() < t.LostResponses {
 		hang()
 		return
 	}
-	if c.What = Served; !c.Effect {
-		c.What = Repeat
+	if c.Outcome = Served; !c.Effect {
+		c.Outcome = Repeat
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// Quick starts a server that responds to every call after the service time and records
+// StartMinimal starts a server that responds to every call after the service time and records
 // nothing, for load measurements. It returns the listen address and a function that stops
 // the server.
-func Quick(addr string, service time.Duration) (listening string, stop func(), err error) {
+func StartMinimal(addr string, service time.Duration) (listening string, stop func(), err error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", nil, fmt.Errorf("standin: %w", err)
@@ -454,7 +454,8 @@
 }
 
 // recordArrival records a call and checks whether the partner collapses: during the ramp-up after
-// an outage it does so if the calls within Model.Fall exceed Model.Factor times the available capacity.
+// an outage it does so if the calls within
+// Model.OverloadTime exceed Model.OverloadFactor times the available capacity.
 func (p *Partner) recordArrival(c *Call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -462,18 +463,18 @@
 	if p.inOutage {
 		p.sawFailure[c.Relay] = true
 	}
-	if m.Fall <= 0 || m.Capacity <= 0 || p.outageEnd.IsZero() || p.inOutage || p.collapsed {
+	if m.OverloadTime <= 0 || m.Capacity <= 0 || p.outageEnd.IsZero() || p.inOutage || p.collapsed {
 		return
 	}
 	now := c.Start
 	share := p.capacityShare(now)
 	p.arrivals = append(p.arrivals, arrival{now, c.Relay})
-	for len(p.arrivals) > 0 && now.Sub(p.arrivals[0].at) > m.Fall {
+	for len(p.arrivals) > 0 && now.Sub(p.arrivals[0].at) > m.OverloadTime {
 		p.arrivals = p.arrivals[1:]
 	}
-	if now.Sub(p.outageEnd) >= m.Fall && float64(len(p.arrivals)) > m.Factor*share*m.Capacity*m.Fall.Seconds() &&
-		share < 1 {
-		f := Fall{At: now, Calls: map[string]int{}, Saw: maps.Clone(p.sawFailure)}
+	if now.Sub(p.outageEnd) >= m.OverloadTime &&
+		float64(len(p.arrivals)) > m.OverloadFactor*share*m.Capacity*m.OverloadTime.Seconds() && share < 1 {
+		f := Collapse{At: now, Calls: map[string]int{}, SawFailure: maps.Clone(p.sawFailure)}
 		for _, a := range p.arrivals {
 			f.Calls[a.relay]++
 		}
@@ -486,27 +487,27 @@
 func (p *Partner) recordEffect(c *Call) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.Idem == "" || p.Model.Window <= 0 {
+	if c.IdempotencyKey == "" || p.Model.DedupWindow <= 0 {
 		return true
 	}
 	now := time.Now()
-	if at, ok := p.keySeen[c.Idem]; ok && now.Sub(at) < p.Model.Window {
+	if at, ok := p.keySeen[c.IdempotencyKey]; ok && now.Sub(at) < p.Model.DedupWindow {
 		return false
 	}
 	if len(p.keySeen) > 1<<20 {
 		clear(p.keySeen)
 	}
-	p.keySeen[c.Idem] = now
+	p.keySeen[c.IdempotencyKey] = now
 	return true
 }
 
 // serviceTime draws the service time of a call.
-func (p *Partner) serviceTime(t Trouble) time.Duration {
+func (p *Partner) serviceTime(t Faults) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d := float64(p.Model.Service) * (1 + p.Model.Spread*(2*p.rand.Float64()-1))
-	if t.Factor > 0 {
-		d *= t.Factor
+	d := float64(p.Model.Service) * (1 + p.Model.ServiceJitter*(2*p.rand.Float64()-1))
+	if t.ServiceFactor > 0 {
+		d *= t.ServiceFactor
 	}
 	if t.TailShare > 0 && p.rand.Float64() < t.TailShare {
 		d *= t.TailFactor
@@ -516,18 +517,18 @@
 
 // admit applies the rate limit, then the concurrency limit and its queue. A refused call gets the
 // wait for Retry-After; the caller of an admitted one calls done at its end.
-func (p *Partner) admit(ctx context.Context, t Trouble) (ok bool, wait time.Duration, done func()) {
+func (p *Partner) admit(ctx context.Context, t Faults) (ok bool, wait time.Duration, done func()) {
 	p.mu.Lock()
 	now := time.Now()
 	m := &p.Model
 	refuse := func(wait time.Duration) (bool, time.Duration, func()) {
 		p.mu.Unlock()
-		if !m.Tells {
+		if !m.SendsRetryAfter {
 			wait = 0
 		}
 		return false, wait, nil
 	}
-	if t.Shut || p.collapsed {
+	if t.RefuseAll || p.collapsed {
 		return refuse(time.Second)
 	}
 	rate := m.Rate * p.capacityShare(now)
@@ -536,15 +537,15 @@
 	}
 	switch {
 	case rate <= 0:
-	case m.Span > 0:
-		if now.Sub(p.windowStart) >= m.Span {
-			p.windowStart, p.windowUsed = now.Truncate(m.Span), 0
+	case m.RateWindow > 0:
+		if now.Sub(p.windowStart) >= m.RateWindow {
+			p.windowStart, p.windowUsed = now.Truncate(m.RateWindow), 0
 		}
-		if p.windowUsed+1 > math.Max(1, rate*m.Span.Seconds()) {
-			if m.Counts {
+		if p.windowUsed+1 > math.Max(1, rate*m.RateWindow.Seconds()) {
+			if m.CountsRefusals {
 				p.windowUsed++
 			}
-			return refuse(p.windowStart.Add(m.Span).Sub(now))
+			return refuse(p.windowStart.Add(m.RateWindow).Sub(now))
 		}
 		p.windowUsed++
 	default:
@@ -552,7 +553,7 @@
 		p.refilled = now
 		if p.tokens < 1 {
 			missing := 1 - p.tokens
-			if m.Counts {
+			if m.CountsRefusals {
 				p.tokens -= 0.5
 			}
 			return refuse(time.Duration(missing / rate * 1e9))
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -18,11 +18,11 @@
 	"basaltcross.example/basaltcross/internal/standin"
 )
 
-// Config returns a configuration with three classes, whose messages are safe to repeat
+// ConfigText returns a configuration with three classes, whose messages are safe to repeat
 // ("status"), deduplicated by key ("order") and ordered at-most-once ("charge"), and with
 // partners p0, p1, ... that never run a message that they refuse. list is the path of the
 // list of endpoints, extra further CUE text.
-func Config(list string, partners int, extra string) string {
+func ConfigText(list string, partners int, extra string) string {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `
 classes: [
@@ -41,48 +41,48 @@
 	return b.String()
 }
 
-// Bed is a test environment: a relay, its stand-in partners and their list of endpoints.
-type Bed struct {
-	T        testing.TB
-	Relay    *relay.Relay
-	Rec      *standin.Recorder
-	List     string // path of the list of endpoints
-	Partners []*standin.Partner
-	Ends     []*standin.Endpoint
-	states   map[string]string // state in the list, by address; empty for ready
-	zones    []string          // by index in Ends
+// Env is a test environment: a relay, its stand-in partners and their list of endpoints.
+type Env struct {
+	T         testing.TB
+	Relay     *relay.Relay
+	Recorder  *standin.Recorder
+	ListPath  string // path of the list of endpoints
+	Partners  []*standin.Partner
+	Endpoints []*standin.Endpoint
+	states    map[string]string // state in the list, by address; empty for ready
+	zones     []string          // by index in Endpoints
 }
 
 // New starts the given number of partners with two endpoints each, and a relay that sends to them.
 // All are stopped when the test ends.
-func New(t testing.TB, partners int, model standin.Model, extra string, hooks relay.Hooks) *Bed {
+func New(t testing.TB, partners int, model standin.Model, extra string, hooks relay.Hooks) *Env {
 	t.Helper()
-	return NewMetered(t, partners, model, extra, hooks, func(int) (string, func(net.Conn) net.Conn) { return "", nil })
+	return NewWithZones(t, partners, model, extra, hooks, func(int) (string, func(net.Conn) net.Conn) { return "", nil })
 }
 
-// NewMetered is like New, but gets from of the zone of each endpoint and the function that
-// wraps its connections, for example to count bytes. i is the index of the endpoint in Ends.
-func NewMetered(t testing.TB, partners int, model standin.Model, extra string, hooks relay.Hooks,
-	of func(i int) (zone string, wrap func(net.Conn) net.Conn)) *Bed {
+// NewWithZones is like New, but gets from of the zone of each endpoint and the function that
+// wraps its connections, for example to count bytes. i is the index of the endpoint in Endpoints.
+func NewWithZones(t testing.TB, partners int, model standin.Model, extra string, hooks relay.Hooks,
+	of func(i int) (zone string, wrap func(net.Conn) net.Conn)) *Env {
 	t.Helper()
-	b := &Bed{T: t, Rec: standin.NewRecorder(1 << 20), List: filepath.Join(t.TempDir(), "list.cue"),
+	b := &Env{T: t, Recorder: standin.NewRecorder(1 << 20), ListPath: filepath.Join(t.TempDir(), "list.cue"),
 		states: map[string]string{}}
 	for i := range partners {
 		p := standin.NewPartner(fmt.Sprintf("p%d", i), model, uint64(i+1))
 		b.Partners = append(b.Partners, p)
 		for range 2 {
-			zone, wrap := of(len(b.Ends))
+			zone, wrap := of(len(b.Endpoints))
 			b.zones = append(b.zones, zone)
-			e, err := standin.StartWrapped("127.0.0.1:0", p, b.Rec, wrap)
+			e, err := standin.StartWrapped("127.0.0.1:0", p, b.Recorder, wrap)
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(e.Close)
-			b.Ends = append(b.Ends, e)
+			b.Endpoints = append(b.Endpoints, e)
 		}
 	}
 	b.WriteList()
-	cfg, err := config.Parse("test.cue", []byte(Config(b.List, partners, extra)))
+	cfg, err := config.Parse("test.cue", []byte(ConfigText(b.ListPath, partners, extra)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,14 +94,14 @@
 	return b
 }
 
-// State sets the state of an endpoint in the list; "gone" omits it. WriteList applies it.
-func (b *Bed) State(addr, state string) { b.states[addr] = state }
+// SetState sets the state of an endpoint in the list; "gone" omits it. WriteList applies it.
+func (b *Env) SetState(addr, state string) { b.states[addr] = state }
 
 // WriteList replaces the list of endpoints atomically.
-func (b *Bed) WriteList() {
+func (b *Env) WriteList() {
 	var text bytes.Buffer
 	text.WriteString("endpoints: [\n")
-	for i, e := range b.Ends {
+	for i, e := range b.Endpoints {
 		if b.states[e.Addr] == "gone" {
 			continue
 		}
@@ -116,11 +116,11 @@
 		fmt.Fprintf(&text, "{addr: %q, partner: %q, state: %q%s},\n", e.Addr, e.Partner.Name, state, zone)
 	}
 	text.WriteString("]\n")
-	tmp := b.List + ".new"
+	tmp := b.ListPath + ".new"
 	if err := os.WriteFile(tmp, text.Bytes(), 0o600); err != nil {
 		b.T.Fatal(err)
 	}
-	if err := os.Rename(tmp, b.List); err != nil {
+	if err := os.Rename(tmp, b.ListPath); err != nil {
 		b.T.Fatal(err)
 	}
 }
@@ -132,9 +132,9 @@
 	return ctx
 }
 
-// BreakList replaces the list of endpoints by a file with a syntax error.
-func (b *Bed) BreakList() {
-	if err := os.WriteFile(b.List, []byte("endpoints: [{addr: 7"), 0o600); err != nil {
+// CorruptList replaces the list of endpoints by a file with a syntax error.
+func (b *Env) CorruptList() {
+	if err := os.WriteFile(b.ListPath, []byte("endpoints: [{addr: 7"), 0o600); err != nil {
 		b.T.Fatal(err)
 	}
 }
