--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -50,7 +50,7 @@
 }
 
 // openLoop sends at a fixed rate for the given duration. Latency counts from the intended send time.
-func openLoop(ctx context.Context, name string, s sender, rate float64, lasts time.Duration) Result {
+func openLoop(ctx context.Context, name string, s sender, rate float64, duration time.Duration) Result {
 	hist := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mu sync.Mutex
 	var ok, missing atomic.Int64
@@ -58,7 +58,7 @@
 	n := uint64(0)
 	for ; ctx.Err() == nil; n++ {
 		at := begin.Add(time.Duration(float64(n) / rate * float64(time.Second)))
-		if at.Sub(begin) > lasts {
+		if at.Sub(begin) > duration {
 			break
 		}
 		if d := time.Until(at); d > 0 {
@@ -80,12 +80,12 @@
 }
 
 // saturate keeps window messages in flight for the given duration.
-func saturate(ctx context.Context, name string, s sender, window int, lasts time.Duration) Result {
+func saturate(ctx context.Context, name string, s sender, window int, duration time.Duration) Result {
 	hist := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mu sync.Mutex
 	var ok, missing, n atomic.Int64
 	begin := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, lasts)
+	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	var next func()
 	next = func() {
@@ -145,12 +145,13 @@
 	topics []string // published to in turn
 }
 
+// mqttConn is one MQTT 5.0 connection of an mqttSender.
 type mqttConn struct {
 	conn     net.Conn
 	mu       sync.Mutex
-	outgoing []byte
-	wake     chan struct{}
-	waiting  map[uint64]func(bool)
+	outgoing []byte                // encoded packets that are not written yet
+	wake     chan struct{}         // signals the writer that there are packets
+	waiting  map[uint64]func(bool) // callbacks by message index
 	nextID   uint16
 }
 
@@ -330,12 +331,13 @@
 	conns []net.Conn
 	// The other fields serve Web Push: the receipt subscription and the messages that wait for receipts.
 	mu            sync.Mutex
-	receiptsPath  string // path of the receipt subscription; empty before the first message is accepted
-	subscribed    chan struct{}
-	waiting       map[string]func(bool)
-	earlyReceipts map[string]bool // receipts that arrived before the response to the POST; true for delivered
+	receiptsPath  string                // path of the receipt subscription; empty before the first message is accepted
+	subscribed    chan struct{}         // closed when receiptsPath is set
+	waiting       map[string]func(bool) // callbacks by message resource
+	earlyReceipts map[string]bool       // receipts that arrived before the response to the POST; true for delivered
 }
 
+// httpJob is one call to make.
 type httpJob struct {
 	index uint64
 	done  func(bool)
@@ -464,8 +466,8 @@
 
 // handshakes opens and closes TLS connections with full handshakes for the given duration and
 // returns their number.
-func handshakes(ctx context.Context, addr string, tlsConfig *tls.Config, workers int, lasts time.Duration) (n int64) {
-	ctx, cancel := context.WithTimeout(ctx, lasts)
+func handshakes(ctx context.Context, addr string, tlsConfig *tls.Config, workers int, duration time.Duration) (n int64) {
+	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	var count atomic.Int64
 	var all sync.WaitGroup
--- a/internal/standin/consul.go
+++ b/internal/standin/consul.go
@@ -29,7 +29,7 @@
 	NodeMeta    map[string]string
 
 	ttl       time.Duration // TTL of the check; 0 if it does not expire
-	refreshed time.Time
+	refreshed time.Time     // last update of the check
 }
 
 // CatalogFaults is the set of faults injected into the stand-in catalogue. The zero value injects none.
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -96,23 +96,24 @@
 	mu          sync.Mutex
 	rand        *rand.Rand
 	keySeen     map[string]time.Time // last effect by idempotency key
-	tokens      float64
-	refilled    time.Time
-	windowStart time.Time
-	windowUsed  float64
-	inOutage    bool      // an outage is in progress
-	outageEnd   time.Time // end of the last outage, the start of the ramp-up
-	arrivals    []arrival // arrivals within the last Model.OverloadTime
+	tokens      float64              // tokens in the bucket of the rate limit
+	refilled    time.Time            // last refill of the bucket
+	windowStart time.Time            // start of the current window of the rate limit
+	windowUsed  float64              // calls counted in that window
+	inOutage    bool                 // an outage is in progress
+	outageEnd   time.Time            // end of the last outage, the start of the ramp-up
+	arrivals    []arrival            // arrivals within the last Model.OverloadTime
 
 	collapsed    bool
-	inService    int
-	queued       int
-	slotFreed    chan struct{}
+	inService    int           // calls in service
+	queued       int           // calls that wait for service
+	slotFreed    chan struct{} // receives when a call in service has ended
 	collapses    []Collapse
-	sawFailure   map[string]bool // relays that met a failure in the current or last outage
+	sawFailure   map[string]bool // names of relays that met a failure in the current or last outage
 	outagesEnded int
 }
 
+// arrival is the arrival of a call, for the detection of overload.
 type arrival struct {
 	at    time.Time
 	relay string
@@ -135,7 +136,7 @@
 }
 
 // NewRecorder returns a recorder that stores at most the given number of calls.
-func NewRecorder(most int) *Recorder { return &Recorder{limit: most} }
+func NewRecorder(limit int) *Recorder { return &Recorder{limit: limit} }
 
 func (r *Recorder) add(c Call) {
 	r.mu.Lock()
@@ -211,11 +212,12 @@
 	srv           *http.Server
 	mu            sync.Mutex
 	faults        Faults
-	faultsChanged chan struct{} // neither closed nor received from
-	started       time.Time
-	wrap          func(net.Conn) net.Conn
+	faultsChanged chan struct{}           // neither closed nor received from
+	started       time.Time               // phase of the pauses counts from here
+	wrap          func(net.Conn) net.Conn // applied to accepted connections; may be nil
 }
 
+// connKey is the context key of a connection's connState.
 type connKey struct{}
 
 // timedConn records when the first byte of each request arrived on the socket.
@@ -252,7 +254,7 @@
 	*timedConn
 	mu    sync.Mutex
 	last  time.Time // end of the last call, or the accept
-	calls int
+	calls int       // calls that have been read
 }
 
 // Start starts an endpoint on an address; "127.0.0.1:0" takes a free port.
@@ -454,8 +456,8 @@
 }
 
 // recordArrival records a call and checks whether the partner collapses: during the ramp-up after
-// an outage it does so if the calls within
-// Model.OverloadTime exceed Model.OverloadFactor times the available capacity.
+// an outage it does so if the calls within Model.OverloadTime exceed Model.OverloadFactor times
+// the available capacity. A collapsed partner refuses all calls from then on.
 func (p *Partner) recordArrival(c *Call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -494,7 +496,7 @@
 	if at, ok := p.keySeen[c.IdempotencyKey]; ok && now.Sub(at) < p.Model.DedupWindow {
 		return false
 	}
-	if len(p.keySeen) > 1<<20 {
+	if len(p.keySeen) > 1<<20 { // bounds the memory
 		clear(p.keySeen)
 	}
 	p.keySeen[c.IdempotencyKey] = now
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -60,10 +60,10 @@
 	return NewWithZones(t, partners, model, extra, hooks, func(int) (string, func(net.Conn) net.Conn) { return "", nil })
 }
 
-// NewWithZones is like New, but gets from of the zone of each endpoint and the function that
+// NewWithZones is like New, but gets from configure the zone of each endpoint and the function that
 // wraps its connections, for example to count bytes. i is the index of the endpoint in Endpoints.
 func NewWithZones(t testing.TB, partners int, model standin.Model, extra string, hooks relay.Hooks,
-	of func(i int) (zone string, wrap func(net.Conn) net.Conn)) *Env {
+	configure func(i int) (zone string, wrap func(net.Conn) net.Conn)) *Env {
 	t.Helper()
 	b := &Env{T: t, Recorder: standin.NewRecorder(1 << 20), ListPath: filepath.Join(t.TempDir(), "list.cue"),
 		states: map[string]string{}}
@@ -71,7 +71,7 @@
 		p := standin.NewPartner(fmt.Sprintf("p%d", i), model, uint64(i+1))
 		b.Partners = append(b.Partners, p)
 		for range 2 {
-			zone, wrap := of(len(b.Endpoints))
+			zone, wrap := configure(len(b.Endpoints))
 			b.zones = append(b.zones, zone)
 			e, err := standin.StartWrapped("127.0.0.1:0", p, b.Recorder, wrap)
 			if err != nil {
