--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -145,7 +145,7 @@
 
 // ask sends a request, the first and only one on the connection.
 func (l *link) ask(request []byte) error {
-	if l.life.MayCarry(0, lifecycle.PeerRule{FirstOnly: true}) != lifecycle.CarryNow {
+	if l.life.MayCarry(0, lifecycle.PeerRule{SingleUse: true}) != lifecycle.CarryNow {
 		return errNobodys
 	}
 	l.life.Begin(0)
@@ -157,11 +157,11 @@
 
 // believe decides how far an answer, or a part of one, is believed of the request: as the first on
 // its connection it is the request's own once that was written.
-func (l *link) believe(followed bool) lifecycle.Belief {
+func (l *link) believe(followed bool) lifecycle.Attribution {
 	if l.nb.Unsent() > 0 {
-		return lifecycle.Nobodys
+		return lifecycle.Unmatched
 	}
-	return l.life.Believe(lifecycle.PeerAnswer{Written: true, Followed: followed})
+	return l.life.Attribute(lifecycle.PeerAnswer{Written: true, TrailingBytes: followed})
 }
 
 // read waits for bytes: at most so long, until the agent moves, or ctx ends.
@@ -215,7 +215,7 @@
 	case a.status == 204 || a.status == 304:
 		return http1.NoContent, nil
 	}
-	return http1.ToClose, nil
+	return http1.UntilClose, nil
 }
 
 func (a *answer) Content(b []byte) error {
--- a/internal/agent/notices.go
+++ b/internal/agent/notices.go
@@ -174,7 +174,7 @@
 		if err != nil {
 			return errors.Join(errEnded, err)
 		}
-		if a.Done() && l.believe(len(rest) > 0) != lifecycle.Own {
+		if a.Done() && l.believe(len(rest) > 0) != lifecycle.Certain {
 			return errNobodys
 		}
 	}
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -153,7 +153,7 @@
 			return heard, err
 		}
 		last = time.Now()
-		if l.believe(false) != lifecycle.Own {
+		if l.believe(false) != lifecycle.Certain {
 			return heard, errNobodys
 		}
 		if _, err := a.Feed(b, a); err != nil {
--- a/internal/badday/plant.go
+++ b/internal/badday/plant.go
@@ -35,7 +35,7 @@
 	case "send-to-drained":
 		h.Sink = func(s directory.Sink) directory.Sink { return &deafSink{Sink: s} }
 	case "out-of-order", "no-answer", "late-answer":
-		h.Door = func(d front.Door) front.Door { return &badDoor{Door: d, name: name, cfg: cfg} }
+		h.Door = func(d front.Submitter) front.Submitter { return &badDoor{Submitter: d, name: name, cfg: cfg} }
 	case "answer-before-sync":
 		h.Journal = func(j core.Journal) core.Journal { return &hastyJournal{j} }
 	default:
@@ -104,7 +104,7 @@
 
 // badDoor loses the order, or answers.
 type badDoor struct {
-	front.Door
+	front.Submitter
 	name string
 	cfg  *config.Config
 	n    atomic.Int64
@@ -116,7 +116,7 @@
 	} else if b.n.Add(1)%20 == 0 {
 		m.Reply = &badReply{Reply: m.Reply, late: b.name == "late-answer", after: b.cfg.Classes[m.Class].Deadline.D()}
 	}
-	return b.Door.Submit(m)
+	return b.Submitter.Submit(m)
 }
 
 type badReply struct {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -58,7 +58,7 @@
 
 // clear records that an attempt had no effect, once its outcome is confirmed.
 func (c *Core) clear(a *attempt) {
-	if a.msg.state.ConfirmedBy() <= c.now || a.msg.state.Repeat != lifecycle.Never {
+	if a.msg.state.ConfirmedBy() <= c.now || a.msg.state.Repeat != lifecycle.NotRepeatable {
 		c.recordAttempt(a, true)
 		return
 	}
@@ -109,7 +109,7 @@
 		c.answer(m, ledger.Answer{Verdict: ledger.Abandoned})
 	}
 	noEffect := e.Outcome == choice.Refused || e.Outcome == choice.NoConnection || e.Outcome == choice.NotSent
-	m.state.Back(noEffect)
+	m.state.CallEnded(noEffect)
 	c.opt.Trace.Step(m.Identity, "result", e.Outcome.String())
 	if noEffect && c.recordsAttempts(m) && !m.answered {
 		c.clear(a)
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -102,7 +102,7 @@
 		call.IdempotencyKey = m.idempotencyKey()
 	}
 	for _, b := range a.members() {
-		call.NoDuplicates = call.NoDuplicates || b.msg.state.Repeat == lifecycle.Never || c.ordered(b.msg)
+		call.NoDuplicates = call.NoDuplicates || b.msg.state.Repeat == lifecycle.NotRepeatable || c.ordered(b.msg)
 		if len(a.followers) > 0 {
 			call.Items = append(call.Items, Item{Identity: b.msg.Identity, Key: b.msg.Key, Head: b.msg.Head,
 				Body: b.msg.Body})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -670,8 +670,9 @@
 		}
 		m.entry, c.byEntry[e] = e, m
 	}
-	m.state = lifecycle.Message{ID: m.Identity, Repeat: repeatPolicies[k.Effect], Window: k.Window, Due: m.deadline,
-		Kept: m.journaled}
+	m.state = lifecycle.Message{ID: m.Identity, Repeat: repeatPolicies[k.Effect], Window: k.Window,
+		Deadline: m.deadline,
+		Durable:  m.journaled}
 	if in.RespondWithin > 0 {
 		m.state.RespondBy = at + in.RespondWithin
 	}
@@ -722,7 +723,7 @@
 		}
 		m.answerSent = true
 		delete(c.pendingAnswers, m)
-		if m.state.MayTell(c.opt.Guard, c.now, c.recorded(m)) {
+		if m.state.MayAnswer(c.opt.Guard, c.now, c.recorded(m)) {
 			c.opt.Trace.Step(m.Identity, "told", a.Verdict.String())
 			m.Reply.Answer(a)
 		}
@@ -737,8 +738,9 @@
 }
 
 // repeatPolicies maps the module's effects to those of lifecycle.
-var repeatPolicies = [...]lifecycle.Repeat{choice.Safe: lifecycle.Freely, choice.Keyed: lifecycle.InWindow,
-	choice.Unsafe: lifecycle.Never}
+var repeatPolicies = [...]lifecycle.Repeatability{choice.Safe: lifecycle.Repeatable,
+	choice.Keyed:  lifecycle.RepeatableInWindow,
+	choice.Unsafe: lifecycle.NotRepeatable}
 
 // removeFinished removes a message that is answered and has no attempt in progress.
 func (c *Core) removeFinished(m *message) {
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -175,7 +175,7 @@
 		return false
 	}
 	m.journaled = false
-	m.state.TakeBack()
+	m.state.RecordWithdrawn()
 	c.opt.Trace.Step(m.Identity, "taken_back", m.id)
 	return true
 }
@@ -201,16 +201,16 @@
 // respond notifies the Decider of a hand-in, as far as its records allow at the time by.
 func (c *Core) respond(m *message, by time.Duration) {
 	switch m.state.MayRespond(by, c.recorded(m), func() bool { return c.takeBack(m) }) {
-	case lifecycle.TakenOn:
+	case lifecycle.RespondAccepted:
 		delete(c.undecided, m)
 		c.opt.Trace.Step(m.Identity, "overdue", "taken on")
 		m.Reply.(Decider).Undecided(true)
-	case lifecycle.TakenBack:
+	case lifecycle.RespondNotAccepted:
 		delete(c.undecided, m)
 		c.opt.Trace.Step(m.Identity, "overdue", "taken back")
 		m.Reply.(Decider).Undecided(false)
 		c.dropTakenBack(m)
-	case lifecycle.Wait, lifecycle.Decision: // notified once the records are on disk
+	case lifecycle.RespondLater, lifecycle.RespondDecision: // notified once the records are on disk
 	}
 }
 
--- a/internal/core/restore.go
+++ b/internal/core/restore.go
@@ -109,7 +109,7 @@
 			journaled: true, attempts: r.Attempts,
 			id: strconv.FormatUint(r.Seq, 36)}
 		m.state = lifecycle.Message{ID: m.Identity, Repeat: repeatPolicies[k.Effect], Window: k.Window,
-			Due: m.deadline, Kept: true}
+			Deadline: m.deadline, Durable: true}
 		m.state.Restore(r.MayHaveRun, c.now-min(r.Since, math.MaxInt64/4))
 		m.entry = c.identityLedger.Reopen(m.Identity, m.id, k.Effect == choice.Safe)
 		c.byEntry[m.entry] = m
--- a/internal/core/retraction.go
+++ b/internal/core/retraction.go
@@ -79,7 +79,7 @@
 	m := a.msg
 	until := c.now + e.ConfirmAfter
 	c.opt.Trace.Step(m.Identity, "unconfirmed", e.ConfirmAfter.String())
-	if nextWaits := m.state.Unconfirmed(until, served); nextWaits && c.ordered(m) {
+	if nextWaits := m.state.AwaitConfirmation(until, served); nextWaits && c.ordered(m) {
 		key := orderKey{m.Partner, m.Key}
 		if c.retractions.heldKeys == nil {
 			c.retractions.heldKeys = map[orderKey]confirmationTime{}
@@ -111,7 +111,7 @@
 		d.delivered = map[string]delivered{}
 	}
 	d.deliveredOrder = append(d.deliveredOrder, m.id)
-	d.delivered[m.id] = delivered{retractableUntil: min(m.deadline, c.now+lifecycle.LongestDoubt), attemptNo: n,
+	d.delivered[m.id] = delivered{retractableUntil: min(m.deadline, c.now+lifecycle.RetractionWindow), attemptNo: n,
 		journaled: m.journaled, end: journal.End{Seq: m.seq, Identity: m.Identity,
 			Class: c.opt.Settings.Classes[m.Class].Name, Verdict: uint8(ledger.Failed),
 			Front: m.Front, Way: m.ReturnPath}}
@@ -210,8 +210,8 @@
 // markMayHaveRun marks a message as possibly run although its call, sent at a time, was refused. If a
 // repeat would do harm, a further call that waits for the confirmation of the refusal is ended.
 func (c *Core) markMayHaveRun(m *message, sent time.Duration) {
-	m.state.Doubt(sent)
-	if a := m.current; a != nil && m.state.Repeat == lifecycle.Never {
+	m.state.SetMayHaveRun(sent)
+	if a := m.current; a != nil && m.state.Repeat == lifecycle.NotRepeatable {
 		lead := a
 		if a.leader != nil {
 			lead = a.leader
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -53,8 +53,8 @@
 	// minRetryPause and doubles up to maxRetryPause.
 	minRetryPause = time.Millisecond
 	maxRetryPause = 16 * time.Millisecond
-	// maxDiscarded bounds the bytes read from a peer after Finish: enough for what was under way by
-	// then, but not for a body without end.
+	// maxDiscarded bounds the bytes read from a peer after CloseLingering: enough for what was
+	// under way by then, but not for a body without end.
 	maxDiscarded = 1 << 20
 )
 
@@ -152,9 +152,9 @@
 	return nil
 }
 
-// HeldUp returns an upper bound on the time for which the current data waited to be read because
+// ReadDelay returns an upper bound on the time for which the current data waited to be read because
 // reads failed. The handler may call it within Data.
-func (c *Conn) HeldUp() time.Duration { return c.readDelay }
+func (c *Conn) ReadDelay() time.Duration { return c.readDelay }
 
 // read is read(2), repeated when a signal interrupts it.
 func read(fd int, b []byte) (n int, err error) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// deliver passes read data to the handler, or discards it after Finish.
+// deliver passes read data to the handler, or discards it after CloseLingering.
 func (c *Conn) deliver(b []byte) {
 	c.mu.Lock()
 	wanted := c.open && !c.discarding
@@ -243,8 +243,8 @@
 		return 0, ErrLate
 	}
 	n, err = syscall.Write(fd, b)
-	if n = max(n, 0); n > 0 && c.engine.opt.Sent != nil {
-		c.engine.opt.Sent(c.handler, n)
+	if n = max(n, 0); n > 0 && c.engine.opt.OnSent != nil {
+		c.engine.opt.OnSent(c.handler, n)
 	}
 	if err == syscall.EINTR {
 		err = nil
@@ -329,11 +329,11 @@
 	}
 }
 
-// Finish is CloseWrite for a connection from which nothing more is wanted. Received bytes are
-// discarded, and the connection is closed when the peer closes it, at the latest after the given
-// time. Closing it with unread bytes would reset the connection and destroy data that the peer has
-// not read yet.
-func (c *Conn) Finish(within time.Duration) {
+// CloseLingering is CloseWrite for a connection from which nothing more is wanted. Received bytes
+// are discarded, and the connection is closed when the peer closes it, at the latest after the
+// given time. Closing it with unread bytes would reset the connection and destroy data that the
+// peer has not read yet.
+func (c *Conn) CloseLingering(within time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.open || c.discarding {
@@ -369,23 +369,23 @@
 	return !c.open
 }
 
-// Peeked is the result of Peek.
-type Peeked int
+// PeekResult is the result of Peek.
+type PeekResult int
 
 // The results of Peek.
 const (
-	Nothing Peeked = iota
-	Bytes
-	End // the peer's end, or an error
+	PeekNothing PeekResult = iota
+	PeekBytes
+	PeekEnd // the peer's end, or an error
 )
 
 // Peek looks at the socket without reading from it: the end of a connection may not have been read
 // yet.
-func (c *Conn) Peek() Peeked {
+func (c *Conn) Peek() PeekResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.open {
-		return End
+		return PeekEnd
 	}
 	var b [1]byte
 	var n int
@@ -395,13 +395,13 @@
 	})
 	switch {
 	case closed != nil:
-		return End
+		return PeekEnd
 	case err == syscall.EAGAIN || err == syscall.EINTR || isTransient(err):
-		return Nothing
+		return PeekNothing
 	case err == nil && n > 0:
-		return Bytes
+		return PeekBytes
 	}
-	return End
+	return PeekEnd
 }
 
 // EndedByPeer reports whether the peer closed the connection, as opposed to this side or a local
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -36,9 +36,9 @@
 	Name        string
 	ReadBuffer  int // bytes read at once
 	WriteBuffer int // bytes that may wait to be written to a connection, closed beyond that; 0 for no bound
-	// Sent is called with the number of bytes that the kernel has taken, in the order of writing.
+	// OnSent is called with the number of bytes that the kernel has taken, in the order of writing.
 	// It must not call back into the connection. It may be nil.
-	Sent func(h Handler, n int)
+	OnSent func(h Handler, n int)
 }
 
 // Engine serves connections.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -84,8 +84,8 @@
 // had left pending.
 func TestEndFollowsPendingWrites(t *testing.T) {
 	for name, end := range map[string]func(*Conn){
-		"CloseWrite": (*Conn).CloseWrite,
-		"Finish":     func(c *Conn) { c.Finish(time.Minute) },
+		"CloseWrite":     (*Conn).CloseWrite,
+		"CloseLingering": func(c *Conn) { c.CloseLingering(time.Minute) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _, peer := pair(t, Options{})
@@ -107,12 +107,12 @@
 }
 
 // Guards against an answer destroyed by a reset, which a close with unread bytes causes.
-func TestFinishWithUnreadBytes(t *testing.T) {
+func TestCloseLingeringWithUnreadBytes(t *testing.T) {
 	c, r, peer := pair(t, Options{})
 	if _, err := c.Write([]byte("answer")); err != nil {
 		t.Fatal(err)
 	}
-	c.Finish(time.Minute)
+	c.CloseLingering(time.Minute)
 	if _, err := peer.Write(make([]byte, 64<<10)); err != nil {
 		t.Fatal(err)
 	}
@@ -186,9 +186,9 @@
 		t.Errorf("write to a closed connection: %v, want net.ErrClosed", err)
 	}
 	first.CloseWrite()
-	first.Finish(time.Minute)
+	first.CloseLingering(time.Minute)
 	_ = first.Close()
-	if first.Peek() != End {
+	if first.Peek() != PeekEnd {
 		t.Error("a closed connection has bytes to read")
 	}
 	if _, err := second.Write([]byte("y")); err != nil {
--- a/internal/front/clock.go
+++ b/internal/front/clock.go
@@ -6,7 +6,7 @@
 
 // Now returns the nanoseconds since the process started, on the monotonic clock. Fronts measure
 // idle times and time limits by it, because the wall clock may be set.
-func Now() int64 { return Nanos(time.Now()) }
+func Now() int64 { return SinceStart(time.Now()) }
 
-// Nanos converts a time of this process to the scale of Now.
-func Nanos(t time.Time) int64 { return int64(t.Sub(processStart)) }
+// SinceStart converts a time of this process to the scale of Now.
+func SinceStart(t time.Time) int64 { return int64(t.Sub(processStart)) }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -14,14 +14,14 @@
 	"basaltcross.example/basaltcross/internal/ledger"
 )
 
-// Door accepts handed-in messages; core.Core implements it.
-type Door interface {
+// Submitter accepts handed-in messages; core.Core implements it.
+type Submitter interface {
 	Submit(*core.Message) error
 	Withdraw(identity string)
 }
 
-// Keeper stores what a front needs after a restart; journal.Journal implements it.
-type Keeper interface {
+// Journal stores what a front needs after a restart; journal.Journal implements it.
+type Journal interface {
 	// Session stores a value for one client, without expiry.
 	Session(front, id string, value []byte)
 	// Handed records that the client has received the answer for an identity.
@@ -30,23 +30,23 @@
 
 // Owed is a message from before a restart whose client still waits for it, or its answer.
 type Owed struct {
-	Identity string
-	Way      []byte        // what the front stored with the message to find its client again
-	Answer   ledger.Answer // without a verdict if the answer is still to come
-	Handed   bool          // the client has the answer; it may only ask to complete the protocol exchange
+	Identity   string
+	ReturnPath []byte        // what the front stored with the message to find its client again
+	Answer     ledger.Answer // without a verdict if the answer is still to come
+	Handed     bool          // the client has the answer; it may only ask to complete the protocol exchange
 }
 
 // Reasons to reject a message before it reaches the core.
 var (
-	ErrPending = errors.New("owed too many answers already")
-	ErrNames   = errors.New("names no class and partner of this relay")
+	ErrPending      = errors.New("owed too many answers already")
+	ErrUnknownRoute = errors.New("names no class and partner of this relay")
 )
 
 // Names holds the classes and partners of the configuration by name.
 type Names struct {
-	Classes  map[string]int
-	Partners map[string]int
-	Lives    []time.Duration // deadline by class
+	Classes   map[string]int
+	Partners  map[string]int
+	Deadlines []time.Duration // deadline by class
 }
 
 // Route looks up the class and the partner of a path "<class>/<partner>".
@@ -55,7 +55,7 @@
 	class, known := n.Classes[name]
 	partner, there := n.Partners[to]
 	if !ok || !known || !there {
-		return 0, 0, ErrNames
+		return 0, 0, ErrUnknownRoute
 	}
 	return class, partner, nil
 }
@@ -73,8 +73,8 @@
 	return string(b)
 }
 
-// Said is one report of the core about a hand-in, which is a T.
-type Said[T any] struct {
+// Report is one report of the core about a hand-in, which is a T.
+type Report[T any] struct {
 	To     T
 	Answer ledger.Answer // without a verdict: the report says whether the message was taken
 	Err    error         // why the message was not taken
@@ -85,7 +85,7 @@
 // answer that is still owed.
 type Outbox[T any] struct {
 	mu      sync.Mutex
-	entries []Said[T]
+	entries []Report[T]
 	wake    chan struct{}
 }
 
@@ -93,7 +93,7 @@
 func NewOutbox[T any]() *Outbox[T] { return &Outbox[T]{wake: make(chan struct{}, 1)} }
 
 // Put adds a report and never blocks.
-func (o *Outbox[T]) Put(s Said[T]) {
+func (o *Outbox[T]) Put(s Report[T]) {
 	o.mu.Lock()
 	o.entries = append(o.entries, s)
 	first := len(o.entries) == 1
@@ -107,8 +107,8 @@
 }
 
 // Run passes batches of reports to f until stop is closed, and then what is left.
-func (o *Outbox[T]) Run(stop <-chan struct{}, f func([]Said[T])) {
-	var spare []Said[T]
+func (o *Outbox[T]) Run(stop <-chan struct{}, f func([]Report[T])) {
+	var spare []Report[T]
 	for {
 		stopping := false
 		select {
@@ -135,12 +135,12 @@
 	To  T
 }
 
-func (r Reply[T]) Taken(err error)        { r.Box.Put(Said[T]{To: r.To, Err: err}) }
-func (r Reply[T]) Answer(a ledger.Answer) { r.Box.Put(Said[T]{To: r.To, Answer: a}) }
+func (r Reply[T]) Taken(err error)        { r.Box.Put(Report[T]{To: r.To, Err: err}) }
+func (r Reply[T]) Answer(a ledger.Answer) { r.Box.Put(Report[T]{To: r.To, Answer: a}) }
 
-// Nobody is a core.Reply for a message whose client no longer waits.
-type Nobody struct{}
+// NoReply is a core.Reply for a message whose client no longer waits.
+type NoReply struct{}
 
 // Taken and Answer do nothing.
-func (Nobody) Taken(error)          {}
-func (Nobody) Answer(ledger.Answer) {}
+func (NoReply) Taken(error)          {}
+func (NoReply) Answer(ledger.Answer) {}
--- a/internal/front/listen.go
+++ b/internal/front/listen.go
@@ -14,36 +14,36 @@
 	"basaltcross.example/basaltcross/internal/engine"
 )
 
-// Conn is a front's handler for one connection.
-type Conn = engine.Handler
+// ConnHandler is a front's handler for one connection.
+type ConnHandler = engine.Handler
 
-// Sockets configures the listeners of one front and how their connections are served.
-type Sockets struct {
+// ListenOptions configures the listeners of one front and how their connections are served.
+type ListenOptions struct {
 	Name        string
 	Addrs       []string
 	ReadBuffer  int
 	WriteBuffer int // bytes that may wait to be written to a connection, which is closed beyond that
-	// Open makes the front's handler for a connection; nil closes the connection at once. waited
+	// NewHandler makes the front's handler for a connection; nil closes the connection at once. waited
 	// bounds the time for which the connection waited in the listener's queue because accepting
 	// failed.
-	Open func(conn *engine.Conn, waited time.Duration) Conn
-	// Failed is called when accepting a connection fails, in most cases for lack of descriptors.
-	Failed func(err error)
+	NewHandler func(conn *engine.Conn, waited time.Duration) ConnHandler
+	// OnError is called when accepting a connection fails, in most cases for lack of descriptors.
+	OnError func(err error)
 }
 
 // Listeners are the open listening sockets of one front.
 type Listeners struct {
 	Addrs     []string
-	sockets   Sockets
+	sockets   ListenOptions
 	engine    *engine.Engine
 	listeners []*net.TCPListener
 	acceptors sync.WaitGroup
 	closing   atomic.Bool
 }
 
-// Farewell is how long a client may take to read what was written to it before its connection is
+// LingerTime is how long a client may take to read what was written to it before its connection is
 // closed.
-const Farewell = time.Second
+const LingerTime = time.Second
 
 const (
 	// acceptRetryPause keeps failing accepts from spinning.
@@ -54,12 +54,12 @@
 )
 
 // Listen opens the sockets and starts to serve them.
-func Listen(s Sockets) (*Listeners, error) {
+func Listen(s ListenOptions) (*Listeners, error) {
 	l := &Listeners{sockets: s}
 	for _, addr := range s.Addrs {
 		listener, err := net.Listen("tcp", addr)
 		if err != nil {
-			l.Refuse()
+			l.StopAccepting()
 			return nil, fmt.Errorf("%s: %w", s.Name, err)
 		}
 		l.Addrs, l.listeners = append(l.Addrs, listener.Addr().String()),
@@ -68,7 +68,7 @@
 	var err error
 	l.engine, err = engine.Start(engine.Options{Name: s.Name, ReadBuffer: s.ReadBuffer, WriteBuffer: s.WriteBuffer})
 	if err != nil {
-		l.Refuse()
+		l.StopAccepting()
 		return nil, err
 	}
 	for _, listener := range l.listeners {
@@ -101,7 +101,7 @@
 		case errors.Is(err, os.ErrDeadlineExceeded): // the listener is closing
 		case err != nil:
 			delay.delayed(asked)
-			l.sockets.Failed(err)
+			l.sockets.OnError(err)
 			time.Sleep(acceptRetryPause)
 		default:
 			delay.accepted(asked, time.Now())
@@ -166,7 +166,7 @@
 func (l *Listeners) serve(raw net.Conn, waited time.Duration) {
 	refused := false
 	conn, err := l.engine.Adopt(raw, func(conn *engine.Conn) engine.Handler {
-		c := l.sockets.Open(conn, waited)
+		c := l.sockets.NewHandler(conn, waited)
 		if refused = c == nil; refused {
 			return rejected{}
 		}
@@ -174,7 +174,7 @@
 	})
 	switch {
 	case err != nil:
-		l.sockets.Failed(err)
+		l.sockets.OnError(err)
 	case refused:
 		_ = conn.Close()
 	}
@@ -186,8 +186,9 @@
 func (rejected) Data([]byte) {}
 func (rejected) Closed()     {}
 
-// Refuse closes the listeners, after accepting what is in their queues. Open connections are kept.
-func (l *Listeners) Refuse() {
+// StopAccepting closes the listeners, after accepting what is in their queues. Open connections are
+// kept.
+func (l *Listeners) StopAccepting() {
 	l.closing.Store(true)
 	for _, listener := range l.listeners {
 		_ = listener.SetDeadline(time.Now()) // ends the wait for the next connection
@@ -200,6 +201,6 @@
 
 // Close closes the listeners and all connections.
 func (l *Listeners) Close() {
-	l.Refuse()
+	l.StopAccepting()
 	l.engine.Stop()
 }
--- a/internal/front/listen_test.go
+++ b/internal/front/listen_test.go
@@ -42,8 +42,8 @@
 	const clients = 30
 	held := make(chan struct{})
 	var opened atomic.Int32
-	l, err := Listen(Sockets{Name: "test", Addrs: []string{"127.0.0.1:0"}, Failed: func(error) {},
-		Open: func(nb *engine.Conn, _ time.Duration) Conn {
+	l, err := Listen(ListenOptions{Name: "test", Addrs: []string{"127.0.0.1:0"}, OnError: func(error) {},
+		NewHandler: func(nb *engine.Conn, _ time.Duration) ConnHandler {
 			if opened.Add(1) == 1 {
 				<-held
 			}
@@ -65,7 +65,7 @@
 	}
 	refused := make(chan struct{})
 	go func() {
-		l.Refuse()
+		l.StopAccepting()
 		close(refused)
 	}()
 	time.AfterFunc(20*time.Millisecond, func() { close(held) })
--- a/internal/hookfront/close_test.go
+++ b/internal/hookfront/close_test.go
@@ -20,8 +20,9 @@
 func startWithoutTimeouts(t *testing.T) (*Front, *fakeCore) {
 	t.Helper()
 	return startWith(t, func(o *Options) {
-		o.Connections, o.Kept = 10, 10
-		o.Request, o.Whole, o.Idle, o.Linger = time.Minute, time.Minute, time.Minute, time.Minute
+		o.Connections, o.IdleConnections = 10, 10
+		o.RequestPause, o.RequestTimeout, o.IdleTimeout, o.LingerTimeout =
+			time.Minute, time.Minute, time.Minute, time.Minute
 	})
 }
 
@@ -63,7 +64,8 @@
 		t.Fatal("the relay did not end its side")
 	}
 	for i := range 3 { // a second write to a closed socket would fail, and the read after it
-		if _, err := io.WriteString(c, handInText(fmt.Sprint("crosses", i), "charge", "7", "480", "", "")); err != nil {
+		if _, err := io.WriteString(c, handInText(fmt.Sprint("crosses", i),
+			"charge", "7", "480", "", "")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -151,7 +153,7 @@
 
 // Guards against closing a connection at shutdown that has just been established, without an answer
 // to its request. An idle one is closed.
-func TestLeaveKeepsNewConnections(t *testing.T) {
+func TestCloseListenerKeepsNewConnections(t *testing.T) {
 	f, d := startWithoutTimeouts(t)
 	rests, fresh := dial(t, f), dial(t, f)
 	if got := ask(t, rests, handInText("m1", "notice", "7", "480", "", "")); got != 202 {
@@ -161,7 +163,7 @@
 	for f.Connections() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	f.Leave()
+	f.CloseListener()
 	if got := readToEnd(t, rests, rests); got != "" {
 		t.Errorf("%q on the idle connection", got)
 	}
@@ -170,9 +172,9 @@
 	}
 }
 
-// Guards against hand-ins after Finish, and against hand-ins before it that get no answer: an
+// Guards against hand-ins after StopHandIns, and against hand-ins before it that get no answer: an
 // incomplete request gets 503, a pending one the core's answer.
-func TestFinishAnswersAll(t *testing.T) {
+func TestStopHandInsAnswersAll(t *testing.T) {
 	f, d := startWithoutTimeouts(t)
 	d.hold = true
 	open, half, late := dial(t, f), dial(t, f), dial(t, f)
@@ -197,13 +199,13 @@
 	for reading() == 0 || f.Connections() < 3 {
 		time.Sleep(time.Millisecond)
 	}
-	f.Finish()
+	f.StopHandIns()
 	if r, err := http.ReadResponse(bufio.NewReader(half), nil); err != nil || r.StatusCode != 503 {
 		t.Errorf("incomplete request: %v %v, want 503", r, err)
 	}
 	_, _ = io.WriteString(late, handInText("late", "charge", "7", "480", "", ""))
 	if got := readToEnd(t, late, late); got != "" && !strings.HasPrefix(got, "HTTP/1.1 503") {
-		t.Errorf("request after Finish: %q", got)
+		t.Errorf("request after StopHandIns: %q", got)
 	}
 	d.mu.Lock()
 	m := d.taken[0]
--- a/internal/hookfront/conn.go
+++ b/internal/hookfront/conn.go
@@ -18,7 +18,7 @@
 // tryEnd ends the relay's side of a connection, unless a request has arrived on it since it was
 // selected: that request is owed its answer. Later input is discarded, so that its client may send
 // it again to another relay. A connection whose sending side has already ended is closed.
-func (c *conn) tryEnd(why lifecycle.Reason) bool {
+func (c *conn) tryEnd(why lifecycle.CloseReason) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	phase := c.state.Phase()
@@ -41,7 +41,7 @@
 // client has sent meanwhile is read and discarded until the client closes as well, within bounds,
 // because closing a socket with unread bytes would reset the connection and destroy the answer. The
 // caller holds mu.
-func (c *conn) endSending(why lifecycle.Reason) {
+func (c *conn) endSending(why lifecycle.CloseReason) {
 	if c.sendingEnded || !c.state.MayClose(c.front.opt.Guard) {
 		return
 	}
@@ -52,7 +52,7 @@
 }
 
 // close closes the connection whatever the client does. The caller holds mu.
-func (c *conn) close(why lifecycle.Reason) {
+func (c *conn) close(why lifecycle.CloseReason) {
 	c.sendingEnded = true
 	c.recordClose(why)
 	c.front.remove(c)
@@ -60,7 +60,7 @@
 }
 
 // recordClose counts and traces the reason for the end of the connection.
-func (c *conn) recordClose(why lifecycle.Reason) {
+func (c *conn) recordClose(why lifecycle.CloseReason) {
 	c.front.counts.Closes.Add(why)
 	c.front.opt.Trace.Step(c.name, "close", string(why))
 }
@@ -76,7 +76,7 @@
 	name         string
 	lastActive   atomic.Int64 // by front.Now: last change of phase, or last byte while a request is read
 	requestBegun atomic.Int64 // by front.Now: start of the request, or of the connection before its first request
-	state        lifecycle.Exchange
+	state        lifecycle.ClientConn
 	answeredOnce atomic.Bool   // a request has been answered
 	queueTime    time.Duration // upper bound on the time the connection waited in the listener's queue
 	evicting     atomic.Bool   // selected to be closed to make room
@@ -106,7 +106,7 @@
 	switch {
 	case c.answeredOnce.Load():
 		return 1
-	case front.Nanos(now)-c.lastActive.Load() > int64(c.front.opt.Request)/2:
+	case front.SinceStart(now)-c.lastActive.Load() > int64(c.front.opt.RequestPause)/2:
 		return 0
 	}
 	return 2
@@ -114,17 +114,18 @@
 
 // timedOut reports whether the connection has been idle for too long or its request takes too long.
 func (c *conn) timedOut(now time.Time) bool {
-	age := front.Nanos(now) - c.lastActive.Load()
+	age := front.SinceStart(now) - c.lastActive.Load()
 	switch c.state.Phase() {
 	case lifecycle.Idle:
 		if c.front.listenerClosed.Load() {
-			return c.answeredOnce.Load() || age > int64(c.front.opt.Request)/2
+			return c.answeredOnce.Load() || age > int64(c.front.opt.RequestPause)/2
 		}
-		return age > int64(c.front.opt.Idle)
+		return age > int64(c.front.opt.IdleTimeout)
 	case lifecycle.Reading:
-		return age > int64(c.front.opt.Request) || front.Nanos(now)-c.requestBegun.Load() > int64(c.front.opt.Whole)
+		return age > int64(c.front.opt.RequestPause) ||
+			front.SinceStart(now)-c.requestBegun.Load() > int64(c.front.opt.RequestTimeout)
 	case lifecycle.Closing:
-		return age > int64(c.front.opt.Linger)
+		return age > int64(c.front.opt.LingerTimeout)
 	}
 	return false
 }
@@ -139,7 +140,7 @@
 		c.recordClose(lifecycle.CloseClient)
 	}
 	c.sendingEnded = true
-	c.state.Gone()
+	c.state.MarkClosed()
 	c.withdraw()
 }
 
@@ -149,8 +150,8 @@
 func (c *conn) HalfClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.req.Keep = false
-	if !c.sendingEnded && c.state.Phase() == lifecycle.Answering && c.front.opt.Wait > 0 {
+	c.req.KeepAlive = false
+	if !c.sendingEnded && c.state.Phase() == lifecycle.Answering && c.front.opt.ClientTimeout > 0 {
 		c.halfClosed.Store(true)
 		return true
 	}
@@ -175,7 +176,7 @@
 func (c *conn) closeGivenUp() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.pending != nil && time.Duration(front.Now()-c.lastActive.Load()) > c.front.opt.Wait {
+	if c.pending != nil && time.Duration(front.Now()-c.lastActive.Load()) > c.front.opt.ClientTimeout {
 		c.withdraw()
 		c.close(lifecycle.CloseClient)
 	}
@@ -186,7 +187,7 @@
 func (c *conn) withdraw() {
 	if x := c.pending; x != nil {
 		c.pending = nil
-		c.front.opt.Door.Abandon(x.id, x)
+		c.front.opt.Core.Abandon(x.id, x)
 	}
 }
 
@@ -217,14 +218,14 @@
 	case err != nil:
 		c.reject(http.StatusBadRequest, "%v", err)
 	case !c.req.Done():
-		if c.req.Expect && c.req.InContent() {
-			c.req.Expect = false
+		if c.req.ExpectContinue && c.req.InContent() {
+			c.req.ExpectContinue = false
 			_, _ = c.socket.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 	case len(rest) > 0:
 		c.reject(http.StatusBadRequest, "a request before the answer to the last one")
 	default:
-		c.state.Whole(c.name, c.clientDeadline(time.Duration(now)))
+		c.state.RequestRead(c.name, c.clientDeadline(time.Duration(now)))
 		c.serve()
 	}
 }
@@ -245,7 +246,7 @@
 		c.writeError(http.StatusMethodNotAllowed, "POST a message here")
 	case !f.opt.Ready():
 		c.writeError(http.StatusServiceUnavailable, "not ready")
-	case f.finished.Load(): // covers requests completed after Finish visited this connection, and before
+	case f.finished.Load(): // covers requests completed after StopHandIns visited this connection, and before
 		c.writeError(http.StatusServiceUnavailable, "the relay ends")
 	default:
 		m, err := c.parseHandIn()
@@ -253,7 +254,7 @@
 			c.writeError(http.StatusBadRequest, "%v", err)
 			return
 		}
-		if !f.opt.Dest(m.Partner) {
+		if !f.opt.KnownDestination(m.Partner) {
 			c.writeError(http.StatusServiceUnavailable, "dest: %d has no host", m.Partner)
 			return
 		}
@@ -261,12 +262,12 @@
 			c.writeError(http.StatusServiceUnavailable, "notices are owed, and not taken")
 			return
 		}
-		c.state.Name(m.Identity)
+		c.state.SetID(m.Identity)
 		f.opt.Trace.Step(m.Identity, "read", c.name)
 		x := &handIn{conn: c, id: m.Identity}
 		m.Reply = x
 		c.pending = x
-		if err := f.opt.Door.Submit(m); err != nil {
+		if err := f.opt.Core.Submit(m); err != nil {
 			c.pending = nil
 			c.writeError(http.StatusServiceUnavailable, "%v", err)
 		}
@@ -281,7 +282,7 @@
 // reject answers input that is not a valid request and ends the connection. A request pending on
 // the connection gets no other answer. The caller holds mu.
 func (c *conn) reject(status int, format string, args ...any) {
-	c.req.Keep, c.invalid = false, true
+	c.req.KeepAlive, c.invalid = false, true
 	c.writeError(status, format, args...)
 }
 
@@ -291,7 +292,7 @@
 	if c.sendingEnded || !c.state.MayAnswer(c.front.opt.Guard, time.Duration(front.Now())) {
 		return
 	}
-	keep := c.req.Keep && !c.front.draining.Load()
+	keep := c.req.KeepAlive && !c.front.draining.Load()
 	b := make([]byte, 0, 160+len(body))
 	b = append(strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10), ' ')
 	b = append(append(b, http.StatusText(status)...), "\r\n"...)
@@ -319,7 +320,7 @@
 		c.endSending(why)
 		return
 	}
-	c.req.Reset(http1.Limits{Header: c.front.opt.Header, Body: c.front.opt.Body})
+	c.req.Reset(http1.Limits{Header: c.front.opt.HeaderBytes, Body: c.front.opt.BodyBytes})
 	c.req.Body = nil
 	c.answeredOnce.Store(true)
 	c.lastActive.Store(front.Now())
--- a/internal/hookfront/front.go
+++ b/internal/hookfront/front.go
@@ -21,15 +21,15 @@
 // Name is the name of this front in records.
 const Name = "hook"
 
-// Door accepts messages; core.Core implements it.
-type Door interface {
+// Core accepts messages; core.Core implements it.
+type Core interface {
 	Submit(*core.Message) error
 	Abandon(identity string, by core.Reply)
 	Settled(identity string)
 }
 
-// Keeper records the answers that have been given to their client.
-type Keeper interface{ Handed(identity string) }
+// Journal records the answers that have been given to their client.
+type Journal interface{ Handed(identity string) }
 
 // Notices receives the final answers of messages whose hand-in was answered before.
 type Notices interface {
@@ -40,30 +40,30 @@
 
 // Options configure a Front.
 type Options struct {
-	Listen  string
-	Lanes   map[string]int   // class by the name in X-Lane
-	Ordered []bool           // by class: messages with the same key stay in order
-	Dest    func(n int) bool // reports whether destination n is known
-	Ready   func() bool
+	Listen           string
+	Classes          map[string]int   // class by the name in X-Lane
+	Ordered          []bool           // by class: messages with the same key stay in order
+	KnownDestination func(n int) bool // reports whether destination n is known
+	Ready            func() bool
 
-	Header      int           // limit on the bytes of a request's header
-	Body        int           // limit on the bytes of a request's content
-	Connections int           // limit on open connections, without those that the relay is closing
-	Lingering   int           // limit on connections on which the relay has ended its side and the client has not
-	Kept        int           // limit on connections between two requests
-	Request     time.Duration // longest pause between two reads of a request
-	Whole       time.Duration // longest time for a request, from its first byte; for the first, from the connection
-	Respond     time.Duration // time for the response to a request, also while the disk blocks; 0 for no limit
-	Wait        time.Duration // how long clients wait for a response; 0 if unknown
-	Linger      time.Duration // time after which a connection is closed on which only the relay has ended its side
-	Idle        time.Duration // time after which a connection without a request is closed
-	WriteBuffer int
-	Door        Door
-	Keeper      Keeper
-	Notices     Notices
-	Trace       lifecycle.Trace
-	Guard       *lifecycle.Guard // checks which responses and closes are allowed; nil for one that doesn't count
-	Logf        func(format string, args ...any)
+	HeaderBytes          int           // limit on the bytes of a request's header
+	BodyBytes            int           // limit on the bytes of a request's content
+	Connections          int           // limit on open connections, without those that the relay is closing
+	LingeringConnections int           // limit on those on which only the relay has ended its side
+	IdleConnections      int           // limit on connections between two requests
+	RequestPause         time.Duration // longest pause between two reads of a request
+	RequestTimeout       time.Duration // longest time for a request; the first one counts from the connection
+	RespondWithin        time.Duration // time for the response, also while the disk blocks; 0 for no limit
+	ClientTimeout        time.Duration // how long clients wait for a response; 0 if unknown
+	LingerTimeout        time.Duration // longest time for the client to close after the relay has ended its side
+	IdleTimeout          time.Duration // time after which a connection without a request is closed
+	WriteBuffer          int
+	Core                 Core
+	Journal              Journal
+	Notices              Notices
+	Trace                lifecycle.Trace
+	Guard                *lifecycle.Guard // checks responses and closes; nil for one that doesn't count
+	Logf                 func(format string, args ...any)
 }
 
 // Front serves the clients of the platform.
@@ -85,17 +85,17 @@
 
 // Counts are the counters of one Front.
 type Counts struct {
-	Taken, Refused, Failed, Rejected, Closed, Evicted atomic.Int64
-	Closes                                            lifecycle.Closes
+	Taken, Refused, Failed, Rejected, NotAccepted, Evicted atomic.Int64
+	Closes                                                 lifecycle.CloseCounts
 }
 
 // New opens the listener and starts to serve.
 func New(opt Options) (*Front, error) {
 	f := &Front{opt: opt, stop: make(chan struct{}), conns: map[*conn]struct{}{}}
 	var err error
-	f.sockets, err = front.Listen(front.Sockets{Name: Name, Addrs: []string{opt.Listen}, ReadBuffer: 16 << 10,
-		WriteBuffer: opt.WriteBuffer, Open: f.open,
-		Failed: func(err error) { opt.Logf("accept: %v", err) }})
+	f.sockets, err = front.Listen(front.ListenOptions{Name: Name, Addrs: []string{opt.Listen}, ReadBuffer: 16 << 10,
+		WriteBuffer: opt.WriteBuffer, NewHandler: f.open,
+		OnError: func(err error) { opt.Logf("accept: %v", err) }})
 	if err != nil {
 		return nil, err
 	}
@@ -120,24 +120,24 @@
 // Drain makes every connection close after its next response.
 func (f *Front) Drain() { f.draining.Store(true) }
 
-// Leave closes the listener and the idle connections. A connection that has not sent a request yet
-// gets the time in which a client sends one, so that its request is answered.
-func (f *Front) Leave() {
+// CloseListener closes the listener and the idle connections. A connection that has not sent a
+// request yet gets the time in which a client sends one, so that its request is answered.
+func (f *Front) CloseListener() {
 	f.Drain()
-	f.sockets.Refuse()
+	f.sockets.StopAccepting()
 	f.listenerClosed.Store(true)
 	f.endMatching(lifecycle.CloseDrain, func(c *conn) bool { return c.timedOut(time.Now()) })
 }
 
-// Finish accepts no further messages: an incomplete request is answered with 503. Messages that
-// have been handed in are still answered.
-func (f *Front) Finish() {
+// StopHandIns accepts no further messages: an incomplete request is answered with 503. Messages
+// that have been handed in are still answered.
+func (f *Front) StopHandIns() {
 	f.finished.Store(true)
 	f.endMatching(lifecycle.CloseDrain, func(c *conn) bool { return c.state.Phase() != lifecycle.Closing })
 }
 
-// Quiet reports whether no client is owed a response or a part of one.
-func (f *Front) Quiet() bool {
+// AllAnswered reports whether no client is owed a response or a part of one.
+func (f *Front) AllAnswered() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -160,7 +160,7 @@
 	f.sockets.Close()
 }
 
-func (f *Front) endMatching(why lifecycle.Reason, pick func(*conn) bool) {
+func (f *Front) endMatching(why lifecycle.CloseReason, pick func(*conn) bool) {
 	for _, c := range f.matching(pick) {
 		c.tryEnd(why)
 	}
@@ -209,11 +209,11 @@
 // without a pending request is closed; with too many connections between two requests, the one of
 // them that has been idle longest. Clients have a limit on their connections as well, and keep
 // those they have used open until the relay closes them.
-func (f *Front) open(socket *engine.Conn, waited time.Duration) front.Conn {
+func (f *Front) open(socket *engine.Conn, waited time.Duration) front.ConnHandler {
 	c := &conn{front: f, socket: socket, queueTime: waited, name: strconv.FormatUint(f.lastNumber.Add(1), 36)}
 	c.lastActive.Store(front.Now())
 	c.requestBegun.Store(c.lastActive.Load())
-	c.req.Reset(http1.Limits{Header: f.opt.Header, Body: f.opt.Body})
+	c.req.Reset(http1.Limits{Header: f.opt.HeaderBytes, Body: f.opt.BodyBytes})
 	f.mu.Lock()
 	var evict, longestIdle, longestLingering *conn
 	idle, closing, unsent, now := 0, 0, 0, time.Now()
@@ -240,24 +240,24 @@
 		}
 	}
 	switch {
-	case unsent > f.opt.Lingering:
+	case unsent > f.opt.LingeringConnections:
 		f.mu.Unlock()
-		f.counts.Closed.Add(1)
+		f.counts.NotAccepted.Add(1)
 		return nil
-	case len(f.conns)-closing < f.opt.Connections && idle > f.opt.Kept:
+	case len(f.conns)-closing < f.opt.Connections && idle > f.opt.IdleConnections:
 		evict = longestIdle
 	case len(f.conns)-closing < f.opt.Connections:
 		evict = nil
 	case evict == nil:
 		f.mu.Unlock()
-		f.counts.Closed.Add(1)
+		f.counts.NotAccepted.Add(1)
 		return nil
 	}
 	if evict != nil {
 		evict.evicting.Store(true)
 	}
 	f.conns[c] = struct{}{}
-	if closing < f.opt.Lingering {
+	if closing < f.opt.LingeringConnections {
 		longestLingering = nil
 	}
 	f.mu.Unlock()
--- a/internal/hookfront/front_test.go
+++ b/internal/hookfront/front_test.go
@@ -66,17 +66,19 @@
 
 func start(t *testing.T, maxConns int, kept ...int) (*Front, *fakeCore) {
 	t.Helper()
-	return startWith(t, func(o *Options) { o.Connections, o.Kept = maxConns, append(kept, maxConns)[0] })
+	return startWith(t, func(o *Options) { o.Connections, o.IdleConnections = maxConns, append(kept, maxConns)[0] })
 }
 
 func startWith(t *testing.T, change func(*Options)) (*Front, *fakeCore) {
 	t.Helper()
 	d := &fakeCore{events: make(chan struct{}, 1000)}
-	o := Options{Listen: "127.0.0.1:0", Lanes: map[string]int{"notice": 0, "charge": 1}, Ordered: []bool{false, true},
-		Dest: func(n int) bool { return n < 10 }, Ready: func() bool { return true }, Header: 16 << 10, Body: 64 << 10,
-		Request: 500 * time.Millisecond, Whole: time.Second,
-		Idle: 500 * time.Millisecond, Linger: 200 * time.Millisecond,
-		Lingering: maxLingering, WriteBuffer: 64 << 10, Door: d, Keeper: d, Notices: d, Logf: t.Logf}
+	o := Options{Listen: "127.0.0.1:0", Classes: map[string]int{"notice": 0, "charge": 1},
+		Ordered:          []bool{false, true},
+		KnownDestination: func(n int) bool { return n < 10 }, Ready: func() bool { return true },
+		HeaderBytes: 16 << 10, BodyBytes: 64 << 10,
+		RequestPause: 500 * time.Millisecond, RequestTimeout: time.Second,
+		IdleTimeout: 500 * time.Millisecond, LingerTimeout: 200 * time.Millisecond,
+		LingeringConnections: maxLingering, WriteBuffer: 64 << 10, Core: d, Journal: d, Notices: d, Logf: t.Logf}
 	change(&o)
 	f, err := New(o)
 	if err != nil {
@@ -236,7 +238,9 @@
 // Guards against closing without a response when the client ends its sending side after the request
 // and waits for the answer, and against holding the message of a client that has gone for good.
 func TestHalfClosedClientIsAnsweredWhileItWaits(t *testing.T) {
-	f, d := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Wait = 10, 10, 300*time.Millisecond })
+	f, d := startWith(t, func(o *Options) {
+		o.Connections, o.IdleConnections, o.ClientTimeout = 10, 10, 300*time.Millisecond
+	})
 	for _, text := range []string{handInText("ends", "notice", "7", "480", "", ""),
 		"GET /up HTTP/1.1\r\nHost: r\r\n\r\n"} {
 		c := dial(t, f)
@@ -275,7 +279,7 @@
 // client has just sent.
 func TestHalfClosedClientOfQueuedConnectionIsAnswered(t *testing.T) {
 	f, d := startWith(t, func(o *Options) {
-		o.Connections, o.Kept, o.Wait, o.Request = 10, 10, time.Minute, 2*time.Minute
+		o.Connections, o.IdleConnections, o.ClientTimeout, o.RequestPause = 10, 10, time.Minute, 2*time.Minute
 	})
 	d.hold = true
 	c := dial(t, f)
@@ -307,7 +311,9 @@
 // Guards against a truncated response when the client ends its sending side before the socket has
 // taken all of it.
 func TestHalfClosedClientReadsItsWholeAnswer(t *testing.T) {
-	f, _ := startWith(t, func(o *Options) { o.Connections, o.Kept, o.Linger, o.WriteBuffer = 10, 10, time.Minute, 0 })
+	f, _ := startWith(t, func(o *Options) {
+		o.Connections, o.IdleConnections, o.LingerTimeout, o.WriteBuffer = 10, 10, time.Minute, 0
+	})
 	c := dial(t, f)
 	if got := ask(t, c, "GET /up HTTP/1.1\r\nHost: r\r\n\r\n"); got != 200 {
 		t.Fatal(got)
@@ -455,9 +461,9 @@
 	if got := ask(t, dial(t, f), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"); got != 503 {
 		t.Errorf("/up says %d while draining", got)
 	}
-	f.Leave()
+	f.CloseListener()
 	if c, err := net.Dial("tcp", f.Addr()); err == nil {
 		_ = c.Close()
-		t.Error("the listener is open after Leave")
+		t.Error("the listener is open after CloseListener")
 	}
 }
--- a/internal/hookfront/handin.go
+++ b/internal/hookfront/handin.go
@@ -76,10 +76,10 @@
 		})
 		return
 	}
-	if f.opt.Keeper != nil {
-		f.opt.Keeper.Handed(x.id)
+	if f.opt.Journal != nil {
+		f.opt.Journal.Handed(x.id)
 	}
-	f.opt.Door.Settled(x.id)
+	f.opt.Core.Settled(x.id)
 }
 
 // Undecided sends the response when a record of the decision cannot be written in time, or before
--- a/internal/hookfront/request.go
+++ b/internal/hookfront/request.go
@@ -16,17 +16,17 @@
 	f, r := c.front, &c.req
 	value := map[string]string{}
 	for _, name := range [...]string{"X-Txn", "X-Lane", "X-Remaining-Ms", "X-Addressing"} {
-		v, n := r.Only(name)
+		v, n := r.FirstAndCount(name)
 		if n != 1 {
 			return nil, fmt.Errorf("%s: %d fields, one is needed", name, n)
 		}
 		value[name] = v
 	}
 	id := value["X-Txn"]
-	if len(id) > 128 || !http1.Token(id) {
+	if len(id) > 128 || !http1.IsToken(id) {
 		return nil, fmt.Errorf("X-Txn: %.40q is no id of at most 128 characters", id)
 	}
-	class, ok := f.opt.Lanes[value["X-Lane"]]
+	class, ok := f.opt.Classes[value["X-Lane"]]
 	if !ok {
 		return nil, fmt.Errorf("X-Lane: %.40q is no class", value["X-Lane"])
 	}
@@ -41,7 +41,7 @@
 	m := &core.Message{Source: c.name, Identity: id, Class: class, Partner: dest, RejectKnown: true,
 		Left:          max(time.Duration(left)*time.Millisecond-c.readDelay(), time.Millisecond),
 		RespondWithin: c.respondWithin(), Front: Name, Body: r.Body}
-	key, n := r.Only(idempotencyField)
+	key, n := r.FirstAndCount(idempotencyField)
 	if n > 1 || len(key) > 256 || strings.ContainsFunc(key, func(c rune) bool { return c < ' ' || c >= 0x7f }) {
 		return nil, fmt.Errorf("%s: %d fields, %.40q; one of at most 256 visible characters may be there",
 			idempotencyField, n, key)
@@ -50,7 +50,7 @@
 		m.Head = []byte(idempotencyField + ": " + key + "\r\n")
 	}
 	if f.opt.Ordered[class] {
-		m.Key = cookie(strings.Join(r.All("Cookie"), "; "), "about")
+		m.Key = cookie(strings.Join(r.Values("Cookie"), "; "), "about")
 		if m.ReturnPath = []byte(m.Key); len(m.Key) > 256 {
 			return nil, errors.New("Cookie: the key is over 256 bytes")
 		}
@@ -61,27 +61,27 @@
 // readDelay returns an upper bound on how long the request that is being read waited: reading it
 // failed for a while, or, for the first request of a connection, accepting the connection did.
 func (c *conn) readDelay() time.Duration {
-	delay := c.socket.HeldUp()
+	delay := c.socket.ReadDelay()
 	if !c.answeredOnce.Load() {
 		delay += c.queueTime
 	}
-	return min(delay, c.front.opt.Request/2) // a client doesn't wait longer
+	return min(delay, c.front.opt.RequestPause/2) // a client doesn't wait longer
 }
 
 // clientDeadline returns when the client of a request read now stops waiting; 0 if that is unknown.
 func (c *conn) clientDeadline(now time.Duration) time.Duration {
-	if c.front.opt.Wait == 0 {
+	if c.front.opt.ClientTimeout == 0 {
 		return 0
 	}
-	return now + c.front.opt.Wait - c.readDelay()
+	return now + c.front.opt.ClientTimeout - c.readDelay()
 }
 
 // respondWithin returns how soon the core must answer a hand-in; 0 for no limit.
 func (c *conn) respondWithin() time.Duration {
-	if c.front.opt.Respond == 0 {
+	if c.front.opt.RespondWithin == 0 {
 		return 0
 	}
-	return max(c.front.opt.Respond-c.readDelay(), time.Millisecond)
+	return max(c.front.opt.RespondWithin-c.readDelay(), time.Millisecond)
 }
 
 // idempotencyField is the field by which the hosts of some classes recognize a repeat. It is passed
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -36,10 +36,10 @@
 type Framing int
 
 // The framings. ByFields follows Content-Length and Transfer-Encoding; without either there is no
-// content, except with ToClose, where the content then ends with the connection.
+// content, except with UntilClose, where the content then ends with the connection.
 const (
 	ByFields Framing = iota
-	ToClose
+	UntilClose
 	NoContent
 	Interim // interim response; a further header follows
 )
@@ -114,8 +114,8 @@
 // InContent reports whether the header is complete and content is still expected.
 func (p *Parser) InContent() bool { return p.state != inHead && p.state != finished }
 
-// AtClose reports whether the end of the connection would complete the message.
-func (p *Parser) AtClose() bool { return p.state == inBody && p.untilClose }
+// CompleteAtClose reports whether the end of the connection would complete the message.
+func (p *Parser) CompleteAtClose() bool { return p.state == inBody && p.untilClose }
 
 // Feed parses b and returns the bytes behind the end of the message.
 func (p *Parser) Feed(b []byte, h Handler) (rest []byte, err error) {
@@ -262,7 +262,7 @@
 		}
 		line, fields, _ = strings.Cut(fields, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !Token(name) {
+		if !ok || !IsToken(name) {
 			return Malformed("header line %.40q", line)
 		}
 		value = strings.Trim(value, " \t")
@@ -308,7 +308,7 @@
 		return fmt.Errorf("%w of %d bytes", ErrTooLong, p.limits.Body)
 	case p.length > 0:
 		p.state, p.remaining = inBody, p.length
-	case p.length < 0 && framing == ToClose:
+	case p.length < 0 && framing == UntilClose:
 		p.state, p.untilClose = inBody, true
 	default:
 		p.state = finished
@@ -316,8 +316,8 @@
 	return nil
 }
 
-// Token reports whether s is a token as defined in RFC 9110, 5.6.2.
-func Token(s string) bool {
+// IsToken reports whether s is a token as defined in RFC 9110, 5.6.2.
+func IsToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if c <= ' ' || c >= 0x7f || strings.IndexByte("\"(),/:;<=>?@[\\]{}", c) >= 0 {
@@ -327,8 +327,8 @@
 	return s != ""
 }
 
-// Closes reports whether a Connection field contains the close option.
-func Closes(value string) bool {
+// HasCloseOption reports whether a Connection field contains the close option.
+func HasCloseOption(value string) bool {
 	for part := range strings.SplitSeq(value, ",") {
 		if strings.EqualFold(strings.Trim(part, " \t"), "close") {
 			return true
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -6,13 +6,13 @@
 // r.Feed(b, r).
 type Request struct {
 	Parser
-	Method, Path string
-	Body         []byte
-	Keep         bool // the connection may carry a further request
-	Expect       bool // the client waits for 100 Continue
-	fields       []field
-	http10       bool // the request's version is HTTP/1.0
-	hostFields   int
+	Method, Path   string
+	Body           []byte
+	KeepAlive      bool // the connection may carry a further request
+	ExpectContinue bool // the client waits for 100 Continue
+	fields         []field
+	http10         bool // the request's version is HTTP/1.0
+	hostFields     int
 }
 
 type field struct{ name, value string }
@@ -27,7 +27,7 @@
 		_, path, _ := strings.Cut(parts[1][len(scheme):], "/")
 		parts[1] = "/" + path
 	}
-	if len(parts) != 3 || !Token(parts[0]) || !strings.HasPrefix(parts[1], "/") {
+	if len(parts) != 3 || !IsToken(parts[0]) || !strings.HasPrefix(parts[1], "/") {
 		return Malformed("request line %.60q", line)
 	}
 	if parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
@@ -35,8 +35,8 @@
 	}
 	r.Method, r.Path = parts[0], parts[1]
 	r.http10 = parts[2] == "HTTP/1.0"
-	r.Keep = !r.http10
-	r.fields, r.Body, r.Expect, r.hostFields = r.fields[:0], nil, false, 0
+	r.KeepAlive = !r.http10
+	r.fields, r.Body, r.ExpectContinue, r.hostFields = r.fields[:0], nil, false, 0
 	return nil
 }
 
@@ -44,11 +44,11 @@
 func (r *Request) Field(name, value string) error {
 	switch {
 	case strings.EqualFold(name, "connection"):
-		r.Keep = r.Keep && !Closes(value)
+		r.KeepAlive = r.KeepAlive && !HasCloseOption(value)
 	case strings.EqualFold(name, "host"):
 		r.hostFields++
 	case strings.EqualFold(name, "expect"):
-		r.Expect = strings.EqualFold(value, "100-continue")
+		r.ExpectContinue = strings.EqualFold(value, "100-continue")
 	}
 	r.fields = append(r.fields, field{name, value})
 	return nil
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// All returns the values of all fields with the given name, in their order.
-func (r *Request) All(name string) (values []string) {
+// Values returns the values of all fields with the given name, in their order.
+func (r *Request) Values(name string) (values []string) {
 	for _, f := range r.fields {
 		if strings.EqualFold(f.name, name) {
 			values = append(values, f.value)
@@ -80,12 +80,13 @@
 
 // Header returns the value of the first field with the given name, empty for none.
 func (r *Request) Header(name string) string {
-	v, _ := r.Only(name)
+	v, _ := r.FirstAndCount(name)
 	return v
 }
 
-// Only returns the value of the first field with the given name, and the number of such fields.
-func (r *Request) Only(name string) (value string, n int) {
+// FirstAndCount returns the value of the first field with the given name, and the number of such
+// fields.
+func (r *Request) FirstAndCount(name string) (value string, n int) {
 	for _, f := range r.fields {
 		if strings.EqualFold(f.name, name) {
 			if n++; n == 1 {
--- a/internal/lifecycle/trust.go
+++ b/internal/lifecycle/distrust.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// Bears is what the messages of a call require of the connection that carries it.
-type Bears int
+// Requirement is what the messages of a call require of the connection that carries it.
+type Requirement int
 
 // The requirements of calls.
 const (
-	Repeats Bears = iota // a second effect does no harm, and no other message waits for the end of this one
-	Once                 // a second effect does harm, or messages with the same ordering key follow
+	NoRequirement Requirement = iota // a second effect does no harm, and no message waits for this one
+	OnceOrOrdered                    // a second effect does harm, or messages with the same ordering key follow
 )
 
-// PeerBreach is the reason why an answer or a connection of a peer was refused.
-type PeerBreach string
+// PeerRefusalReason is the reason why an answer or a connection of a peer was refused.
+type PeerRefusalReason string
 
-// The reasons for refusals. Their values appear as names in the line of counts and in the log.
+// The reasons for refusals. Their values appear as names in the line of counts and in the log. A
+// later call is one that is not the first on its connection.
 const (
-	BytesUnasked    PeerBreach = "bytes_unasked"    // bytes while no call was in progress, or behind a complete answer
-	AnswerEarly     PeerBreach = "answer_early"     // answer before the call was written, not the connection's first
-	AnswerForeign   PeerBreach = "answer_foreign"   // answer that names the messages of another call
-	AnswerDoubtful  PeerBreach = "answer_doubtful"  // answer of a distrusted peer, not the connection's first
-	ReuseForbidden  PeerBreach = "reuse_forbidden"  // connection has already carried the only call it may carry
-	ReuseUnrested   PeerBreach = "reuse_unrested"   // connection has not been idle for long enough
-	AnswerRetracted PeerBreach = "answer_retracted" // answer that was accepted until unsolicited bytes followed it
+	BytesUnasked    PeerRefusalReason = "bytes_unasked"    // bytes without a call, or behind a complete answer
+	AnswerEarly     PeerRefusalReason = "answer_early"     // answer to a later call before it was written
+	AnswerForeign   PeerRefusalReason = "answer_foreign"   // answer that names the messages of another call
+	AnswerDoubtful  PeerRefusalReason = "answer_doubtful"  // answer to a later call, by a distrusted peer
+	ReuseForbidden  PeerRefusalReason = "reuse_forbidden"  // connection has already carried the only call it may carry
+	ReuseUnrested   PeerRefusalReason = "reuse_unrested"   // connection has not been idle for long enough
+	AnswerRetracted PeerRefusalReason = "answer_retracted" // accepted until unsolicited bytes followed
 )
 
 // PeerRefusal describes one answer of a peer that was not accepted, or one connection that was not
 // used.
 type PeerRefusal struct {
-	Breach     PeerBreach
+	Reason     PeerRefusalReason
 	Peer       string
 	Connection uint64
-	Turn       int    // number of calls on the connection so far
+	Calls      int    // number of calls on the connection so far
 	Message    string // id of a message of the last call, empty for none
 }
 
@@ -59,20 +60,20 @@
 	slowestDecay     = 64
 )
 
-// Conduct records which peers sent unsolicited bytes and how long peers take to answer, and decides
-// from that what their connections may carry. It is safe for concurrent use.
-type Conduct struct {
-	// Refused is called with each refusal and must not block. It may be nil.
-	Refused func(PeerRefusal)
-	// Off makes every peer trusted, for tests that must then fail.
-	Off bool
+// PeerTrust records which peers sent unsolicited bytes and how long peers take to answer, and
+// decides from that what their connections may carry. It is safe for concurrent use.
+type PeerTrust struct {
+	// OnRefusal is called with each refusal and must not block. It may be nil.
+	OnRefusal func(PeerRefusal)
+	// TrustAll makes every peer trusted, for tests that must then fail.
+	TrustAll bool
 
 	mu             sync.Mutex
 	peers          map[string]*peerRecord
 	destinations   map[int]time.Duration // by destination: when the last of its distrusted peers is trusted again
 	duplicateDelay time.Duration         // largest delay of a duplicate answer behind the answer before it
 	distrustEnd    time.Duration         // when the last distrusted peer is trusted again
-	counts         map[PeerBreach]int
+	counts         map[PeerRefusalReason]int
 }
 
 // peerRecord is what is known of one peer.
@@ -82,30 +83,32 @@
 	slowest      time.Duration // slowest recent answer time, decaying
 }
 
-// Refuse counts a refusal and passes it to Refused.
-func (c *Conduct) Refuse(r PeerRefusal) {
+// RecordRefusal counts a refusal and passes it to OnRefusal.
+func (c *PeerTrust) RecordRefusal(r PeerRefusal) {
 	c.mu.Lock()
 	if c.counts == nil {
-		c.counts = map[PeerBreach]int{}
+		c.counts = map[PeerRefusalReason]int{}
 	}
-	c.counts[r.Breach]++
+	c.counts[r.Reason]++
 	c.mu.Unlock()
-	if c.Refused != nil {
-		c.Refused(r)
+	if c.OnRefusal != nil {
+		c.OnRefusal(r)
 	}
 }
 
 // Counts returns the refusals so far by reason.
-func (c *Conduct) Counts() map[PeerBreach]int {
+func (c *PeerTrust) Counts() map[PeerRefusalReason]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.counts)
 }
 
-// Saw records that a peer sent unsolicited bytes, and how long after its last answer they came.
-// From then on each connection of the peer carries one call. general reports that, with this peer,
-// peers of a second destination have become distrusted, so that the cause is not a single peer.
-func (c *Conduct) Saw(now time.Duration, peer string, destination int, delay time.Duration) (general bool) {
+// RecordUnsolicited records that a peer sent unsolicited bytes, and how long after its last answer
+// they came. From then on each connection of the peer carries one call. general reports that, with
+// this peer, peers of a second destination have become distrusted, so that the cause is not a
+// single peer.
+func (c *PeerTrust) RecordUnsolicited(now time.Duration, peer string, destination int, delay time.Duration) (
+	general bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	generalBefore := c.distrustedDestinations(now) > 1
@@ -113,8 +116,8 @@
 	return !generalBefore && c.distrustedDestinations(now) > 1
 }
 
-// recordUnsolicited does the work of Saw; the caller holds mu.
-func (c *Conduct) recordUnsolicited(now time.Duration, peer string, destination int, delay time.Duration) {
+// recordUnsolicited does the work of RecordUnsolicited; the caller holds mu.
+func (c *PeerTrust) recordUnsolicited(now time.Duration, peer string, destination int, delay time.Duration) {
 	if now >= c.distrustEnd {
 		c.duplicateDelay = 0
 	}
@@ -135,7 +138,7 @@
 
 // peer returns the entry of a peer and creates it if needed, or nil when maxPeers are remembered
 // already. The caller holds mu.
-func (c *Conduct) peer(now time.Duration, name string) *peerRecord {
+func (c *PeerTrust) peer(now time.Duration, name string) *peerRecord {
 	if p := c.peers[name]; p != nil {
 		return p
 	}
@@ -154,14 +157,14 @@
 }
 
 // Len returns the number of peers remembered.
-func (c *Conduct) Len() int {
+func (c *PeerTrust) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.peers)
 }
 
 // Forget drops what is known of a peer that was removed, unless the peer is distrusted.
-func (c *Conduct) Forget(now time.Duration, peer string) {
+func (c *PeerTrust) Forget(now time.Duration, peer string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p := c.peers[peer]; p != nil && now >= p.distrustEnd {
@@ -174,29 +177,30 @@
 // since the cause is then not a single peer. With one such destination, calls whose second effect
 // does harm get single-use connections at its other peers as well, and on all other connections a
 // minimum idle time separates two calls.
-func (c *Conduct) Rule(now time.Duration, peer string, destination int, requirement Bears) PeerRule {
+func (c *PeerTrust) Rule(now time.Duration, peer string, destination int, requirement Requirement) PeerRule {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Off || now >= c.distrustEnd {
+	if c.TrustAll || now >= c.distrustEnd {
 		return PeerRule{}
 	}
 	p := c.peers[peer]
 	distrusted := p != nil && now < p.distrustEnd
-	if distrusted || c.distrustedDestinations(now) > 1 || requirement == Once && now < c.destinations[destination] {
-		return PeerRule{FirstOnly: true}
+	if distrusted || c.distrustedDestinations(now) > 1 ||
+		requirement == OnceOrOrdered && now < c.destinations[destination] {
+		return PeerRule{SingleUse: true}
 	}
-	return PeerRule{Rest: min(max(2*c.duplicateDelay, minIdleTime), maxIdleTime)}
+	return PeerRule{MinIdle: min(max(2*c.duplicateDelay, minIdleTime), maxIdleTime)}
 }
 
 // distrustedDestinations returns the number of destinations with a distrusted peer. The caller
 // holds mu.
-func (c *Conduct) distrustedDestinations(now time.Duration) int {
+func (c *PeerTrust) distrustedDestinations(now time.Duration) int {
 	maps.DeleteFunc(c.destinations, func(_ int, until time.Duration) bool { return now >= until })
 	return len(c.destinations)
 }
 
-// Took records how long a peer took to answer a call.
-func (c *Conduct) Took(now time.Duration, peer string, took time.Duration) {
+// RecordAnswerTime records how long a peer took to answer a call.
+func (c *PeerTrust) RecordAnswerTime(now time.Duration, peer string, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p := c.peer(now, peer); p != nil {
@@ -204,12 +208,12 @@
 	}
 }
 
-// Usual returns how long after a call was sent its answer is expected at the latest.
-func (c *Conduct) Usual(peer string) time.Duration {
+// ExpectedAnswerTime returns how long after a call was sent its answer is expected at the latest.
+func (c *PeerTrust) ExpectedAnswerTime(peer string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.peers[peer]
-	if p == nil || c.Off {
+	if p == nil || c.TrustAll {
 		return 0
 	}
 	return p.slowest + p.slowest/answerTimeMargin + socketGrace
--- a/internal/lifecycle/clientconn.go
+++ b/internal/lifecycle/frontconn.go
@@ -21,39 +21,39 @@
 
 func (p Phase) String() string { return phaseNames[p] }
 
-// Exchange is the state of a connection that carries one request at a time. Phase may be called
+// ClientConn is the state of a connection that carries one request at a time. Phase may be called
 // from any goroutine; everything else is guarded by the owner's lock.
-type Exchange struct {
+type ClientConn struct {
 	phase    atomic.Int32
 	id       string        // id of the request in progress, or of the connection
 	deadline time.Duration // time until which the client waits for the response; 0 for no limit
 }
 
 // Phase returns the current phase of the connection.
-func (e *Exchange) Phase() Phase { return Phase(e.phase.Load()) }
+func (e *ClientConn) Phase() Phase { return Phase(e.phase.Load()) }
 
 // Begin records the first byte of a request and reports whether it was the first.
-func (e *Exchange) Begin() bool {
+func (e *ClientConn) Begin() bool {
 	return e.phase.CompareAndSwap(int32(Idle), int32(Reading))
 }
 
-// Whole records the last byte of a request. From now on the client is owed a response, for which it
-// waits until deadline; 0 for no limit.
-func (e *Exchange) Whole(id string, deadline time.Duration) {
+// RequestRead records the last byte of a request. From now on the client is owed a response, for
+// which it waits until deadline; 0 for no limit.
+func (e *ClientConn) RequestRead(id string, deadline time.Duration) {
 	e.id, e.deadline = id, deadline
 	e.phase.Store(int32(Answering))
 }
 
-// Name sets the id under which the request in progress is logged and traced.
-func (e *Exchange) Name(id string) { e.id = id }
+// SetID sets the id under which the request in progress is logged and traced.
+func (e *ClientConn) SetID(id string) { e.id = id }
 
 // ID returns the id of the request in progress, or of the connection.
-func (e *Exchange) ID() string { return e.id }
+func (e *ClientConn) ID() string { return e.id }
 
 // MayAnswer reports whether a response may be written now: to a request that was read, or to input
 // that is not a valid request. The connection is idle afterwards. A response after its client's
 // deadline is counted as a violation but is still written.
-func (e *Exchange) MayAnswer(g *Guard, now time.Duration) bool {
+func (e *ClientConn) MayAnswer(g *Guard, now time.Duration) bool {
 	switch p := e.Phase(); p {
 	case Reading, Answering:
 		if p == Answering && e.deadline > 0 && now > e.deadline {
@@ -70,7 +70,7 @@
 
 // MayClose reports whether the relay may end its sending side now. A request that was read must be
 // answered first.
-func (e *Exchange) MayClose(g *Guard) bool {
+func (e *ClientConn) MayClose(g *Guard) bool {
 	if e.Phase() == Answering {
 		return g.forbid(CloseUnanswered, e.id, Answering.String())
 	}
@@ -79,5 +79,5 @@
 	return true
 }
 
-// Gone records that the connection has ended, by the client or by a close.
-func (e *Exchange) Gone() { e.phase.Store(int32(Closed)) }
+// MarkClosed records that the connection has ended, by the client or by a close.
+func (e *ClientConn) MarkClosed() { e.phase.Store(int32(Closed)) }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -34,20 +34,20 @@
 
 // Violation describes one refused action.
 type Violation struct {
-	Rule Rule
-	ID   string // id of the message or request
-	What string // state in which the action was refused
+	Rule  Rule
+	ID    string // id of the message or request
+	State string // state in which the action was refused
 }
 
 func (v Violation) Error() string {
-	return fmt.Sprintf("lifecycle: %s: %s: %s", v.Rule, v.ID, v.What)
+	return fmt.Sprintf("lifecycle: %s: %s: %s", v.Rule, v.ID, v.State)
 }
 
 // Guard counts violations. A nil Guard still refuses, but counts and reports nothing. A Guard is
 // safe for concurrent use.
 type Guard struct {
-	// Told is called with each violation and must not block. It may be nil.
-	Told func(Violation)
+	// OnViolation is called with each violation and must not block. It may be nil.
+	OnViolation func(Violation)
 	// Strict makes a violation panic, for tests.
 	Strict bool
 
@@ -88,7 +88,7 @@
 	}
 	g.counts[rule]++
 	g.mu.Unlock()
-	if g.Told != nil {
-		g.Told(Violation{rule, id, state})
+	if g.OnViolation != nil {
+		g.OnViolation(Violation{rule, id, state})
 	}
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -10,67 +10,67 @@
 // Guards against rules that let their violation pass, that report it more than once or under
 // another rule, or that refuse allowed actions.
 func TestRules(t *testing.T) {
-	message := func(repeat Repeat) *Message {
-		return &Message{ID: "m", Repeat: repeat, Window: 2 * s, Due: 10 * s, Kept: true}
+	message := func(repeat Repeatability) *Message {
+		return &Message{ID: "m", Repeat: repeat, Window: 2 * s, Deadline: 10 * s, Durable: true}
 	}
 	sent := func(g *Guard, m *Message, now time.Duration, noEffect bool) {
 		if !m.MaySend(g, now, false) || !m.MayBegin(g, now, true) {
 			t.Error("an allowed call was refused")
 		}
-		m.Back(noEffect)
+		m.CallEnded(noEffect)
 	}
 	for rule, violate := range map[Rule]func(g *Guard) bool{
 		SendAfterEnd: func(g *Guard) bool {
-			m := message(Freely)
+			m := message(Repeatable)
 			return m.MayEnd(g, true) && m.MaySend(g, s, false)
 		},
 		SendWhileOut: func(g *Guard) bool {
-			m := message(Freely)
+			m := message(Repeatable)
 			return m.MaySend(g, s, false) && m.MaySend(g, s, false)
 		},
 		SendBeforeRecord: func(g *Guard) bool {
-			m := message(Freely)
+			m := message(Repeatable)
 			return m.MaySend(g, s, false) && m.MayBegin(g, s, false)
 		},
-		SendAfterPark: func(g *Guard) bool { return message(Freely).MaySend(g, s, true) },
+		SendAfterPark: func(g *Guard) bool { return message(Repeatable).MaySend(g, s, true) },
 		RepeatUnsafe: func(g *Guard) bool {
-			m := message(Never)
+			m := message(NotRepeatable)
 			sent(g, m, s, true)
 			sent(g, m, s, false)
 			return m.MaySend(g, 2*s, false)
 		},
 		RepeatAfterWindow: func(g *Guard) bool {
-			m := message(InWindow)
+			m := message(RepeatableInWindow)
 			sent(g, m, s, false)
 			sent(g, m, 3*s, false)
 			return m.MaySend(g, 3*s+1, false)
 		},
 		AnswerTwice: func(g *Guard) bool {
-			m := message(Freely)
-			return m.MayEnd(g, false) && m.MayTell(g, s, true) && m.MayTell(g, s, true)
+			m := message(Repeatable)
+			return m.MayEnd(g, false) && m.MayAnswer(g, s, true) && m.MayAnswer(g, s, true)
 		},
 		AnswerUnasked: func(g *Guard) bool {
-			var e Exchange
+			var e ClientConn
 			return e.MayAnswer(g, 0)
 		},
 		AnswerBeforeRecord: func(g *Guard) bool {
-			m := message(Freely)
-			return m.MayEnd(g, true) && m.MayTell(g, s, false)
+			m := message(Repeatable)
+			return m.MayEnd(g, true) && m.MayAnswer(g, s, false)
 		},
 		RefuseAfterSend: func(g *Guard) bool {
-			m := message(Never)
+			m := message(NotRepeatable)
 			m.Restore(true, s)
 			return m.MayEnd(g, true)
 		},
 		CloseUnanswered: func(g *Guard) bool {
-			var e Exchange
+			var e ClientConn
 			e.Begin()
-			e.Whole("m", 0)
+			e.RequestRead("m", 0)
 			return e.MayClose(g)
 		},
 	} {
 		var told []Violation
-		g := &Guard{Told: func(v Violation) { told = append(told, v) }}
+		g := &Guard{OnViolation: func(v Violation) { told = append(told, v) }}
 		if violate(g) {
 			t.Errorf("%s was allowed", rule)
 		}
@@ -82,14 +82,14 @@
 
 // Guards against violations reported for a connection that answers each of its requests and then
 // ends.
-func TestExchange(t *testing.T) {
+func TestClientConn(t *testing.T) {
 	g := &Guard{Strict: true}
-	var e Exchange
+	var e ClientConn
 	for range 2 {
 		if !e.Begin() || e.Begin() {
 			t.Fatal("a request did not begin exactly once")
 		}
-		e.Whole("m", 0)
+		e.RequestRead("m", 0)
 		if !e.MayAnswer(g, 0) || e.Phase() != Idle {
 			t.Fatal("the response was refused, or the connection is not idle")
 		}
@@ -97,7 +97,7 @@
 	if !e.MayClose(g) || e.Phase() != Closing {
 		t.Error("the close was refused")
 	}
-	if e.Gone(); e.Phase() != Closed {
+	if e.MarkClosed(); e.Phase() != Closed {
 		t.Error("the phase is not Closed after the connection's end")
 	}
 }
@@ -111,18 +111,18 @@
 		backs    bool // the message's record can be withdrawn
 		want     Response
 	}{
-		"all is on disk":              {recorded: true, want: Decision},
-		"records wait, there is time": {now: s - 1, backs: true, want: Wait},
-		"its own record is on disk":   {now: s, want: TakenOn},
-		"its own record is not":       {now: s, backs: true, want: TakenBack},
-		"on disk in the last instant": {now: 2 * s, recorded: true, backs: true, want: Decision},
+		"all is on disk":              {recorded: true, want: RespondDecision},
+		"records wait, there is time": {now: s - 1, backs: true, want: RespondLater},
+		"its own record is on disk":   {now: s, want: RespondAccepted},
+		"its own record is not":       {now: s, backs: true, want: RespondNotAccepted},
+		"on disk in the last instant": {now: 2 * s, recorded: true, backs: true, want: RespondDecision},
 	} {
-		m := &Message{ID: "m", Due: 10 * s, Kept: true, RespondBy: s}
+		m := &Message{ID: "m", Deadline: 10 * s, Durable: true, RespondBy: s}
 		if got := m.MayRespond(c.now, c.recorded, func() bool { return c.backs }); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
-		if m.Kept == (c.want == TakenBack) {
-			t.Errorf("%s: kept %v", name, m.Kept)
+		if m.Durable == (c.want == RespondNotAccepted) {
+			t.Errorf("%s: kept %v", name, m.Durable)
 		}
 	}
 }
@@ -131,9 +131,9 @@
 func TestLateResponsesAreCounted(t *testing.T) {
 	g := &Guard{}
 	for range 2 { // the second response is in time
-		var e Exchange
+		var e ClientConn
 		e.Begin()
-		e.Whole("m", s)
+		e.RequestRead("m", s)
 		if !e.MayAnswer(g, s+time.Duration(1-g.Counts()[AnswerLate])) {
 			t.Error("a late response was refused")
 		}
--- a/internal/lifecycle/message.go
+++ b/internal/lifecycle/message.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Repeat states what a second effect of a message does at the host.
-type Repeat int
+// Repeatability states what a second effect of a message does at the host.
+type Repeatability int
 
 // The kinds of messages, by the harm of a repeat.
 const (
-	Freely   Repeat = iota // a repeat does no harm
-	InWindow               // the host recognizes a repeat within a window
-	Never                  // a repeat does harm
+	Repeatable         Repeatability = iota // a repeat does no harm
+	RepeatableInWindow                      // the host recognizes a repeat within a window
+	NotRepeatable                           // a repeat does harm
 )
 
 // Stage is the state of a message.
@@ -17,21 +17,21 @@
 
 // The stages of a message.
 const (
-	Held  Stage = iota // waits for its first call or for a retry
-	Out                // a call is in progress
-	Ended              // the final answer is decided and nothing is sent any more
+	Waiting Stage = iota // waits for its first call or for a retry
+	Calling              // a call is in progress
+	Ended                // the final answer is decided and nothing is sent any more
 )
 
 // Message is the state of one message. It belongs to one goroutine. All times are readings of one
 // monotonic clock.
 type Message struct {
-	ID     string
-	Repeat Repeat
-	Window time.Duration // with InWindow: how long after the first call the host recognizes a repeat
-	Due    time.Duration // deadline; nothing is sent after it
-	// Kept marks a message that is in the journal and survives a restart: actions on it wait for
+	ID       string
+	Repeat   Repeatability
+	Window   time.Duration // with RepeatableInWindow: how long after the first call the host recognizes a repeat
+	Deadline time.Duration // deadline; nothing is sent after it
+	// Durable marks a message that is in the journal and survives a restart: actions on it wait for
 	// its records.
-	Kept bool
+	Durable bool
 	// RespondBy is the deadline for the answer to the client's hand-in, 0 for none.
 	RespondBy time.Duration
 
@@ -58,18 +58,18 @@
 	switch {
 	case m.stage == Ended:
 		return g.forbid(SendAfterEnd, m.ID, "ended")
-	case now > m.Due:
+	case now > m.Deadline:
 		return g.forbid(SendAfterEnd, m.ID, "its deadline has passed")
-	case m.stage == Out:
+	case m.stage == Calling:
 		return g.forbid(SendWhileOut, m.ID, "a call is in progress")
 	case shuttingDown:
 		return g.forbid(SendAfterPark, m.ID, "the relay is shutting down")
-	case m.mayHaveRun && m.Repeat == Never:
+	case m.mayHaveRun && m.Repeat == NotRepeatable:
 		return g.forbid(RepeatUnsafe, m.ID, "a call may have taken effect")
-	case m.mayHaveRun && m.Repeat == InWindow && now-m.firstRun > m.Window:
+	case m.mayHaveRun && m.Repeat == RepeatableInWindow && now-m.firstRun > m.Window:
 		return g.forbid(RepeatAfterWindow, m.ID, "the window for repeats has passed")
 	}
-	m.stage, m.sentAt = Out, now
+	m.stage, m.sentAt = Calling, now
 	return true
 }
 
@@ -77,30 +77,30 @@
 // that all records on which the call depends are on disk.
 func (m *Message) MayBegin(g *Guard, now time.Duration, recorded bool) bool {
 	switch {
-	case m.stage != Out:
+	case m.stage != Calling:
 		return g.forbid(SendAfterEnd, m.ID, "no call is in progress")
-	case now > m.Due:
+	case now > m.Deadline:
 		return g.forbid(SendAfterEnd, m.ID, "its deadline has passed")
-	case m.Kept && !recorded:
+	case m.Durable && !recorded:
 		return g.forbid(SendBeforeRecord, m.ID, "a record is not yet on disk")
 	}
 	m.sentAt = now
 	return true
 }
 
-// Back records the end of a call. noEffect states that the call certainly had no effect.
-func (m *Message) Back(noEffect bool) {
-	if m.stage == Out {
-		m.stage = Held
+// CallEnded records the end of a call. noEffect states that the call certainly had no effect.
+func (m *Message) CallEnded(noEffect bool) {
+	if m.stage == Calling {
+		m.stage = Waiting
 	}
 	if !noEffect && !m.mayHaveRun {
 		m.mayHaveRun, m.firstRun = true, m.sentAt
 	}
 }
 
-// Doubt records that a call that was thought to have had no effect, sent at the given time, may
-// have had one.
-func (m *Message) Doubt(sent time.Duration) {
+// SetMayHaveRun records that a call that was thought to have had no effect, sent at the given time,
+// may have had one.
+func (m *Message) SetMayHaveRun(sent time.Duration) {
 	if !m.mayHaveRun {
 		m.mayHaveRun, m.firstRun = true, sent
 	}
@@ -109,11 +109,11 @@
 // MayHaveRun reports whether a call of the message may have taken effect.
 func (m *Message) MayHaveRun() bool { return m.mayHaveRun }
 
-// Unconfirmed records that the answer to the latest call may belong to another call until the given
-// time, and that actions based on the answer wait until then. nextWaits reports whether the next
-// message of the same key must wait too. Behind a message that was served it need not: only the
-// absence of further bytes confirms an answer, so it would wait that time out for nothing.
-func (m *Message) Unconfirmed(until time.Duration, served bool) (nextWaits bool) {
+// AwaitConfirmation records that the answer to the latest call may belong to another call until the
+// given time, and that actions based on the answer wait until then. nextWaits reports whether the
+// next message of the same key must wait too. Behind a message that was served it need not: only
+// the absence of further bytes confirms an answer, so it would wait that time out for nothing.
+func (m *Message) AwaitConfirmation(until time.Duration, served bool) (nextWaits bool) {
 	m.confirmedBy = until
 	return !served
 }
@@ -136,7 +136,7 @@
 // nothing took effect, or that a repeat does no harm.
 func (m *Message) Refusal(now time.Duration) Refusal {
 	switch {
-	case m.Repeat != Never:
+	case m.Repeat != NotRepeatable:
 		return RefuseNow
 	case m.mayHaveRun:
 		return FailInstead
@@ -151,10 +151,10 @@
 
 // The responses to a hand-in.
 const (
-	Wait      Response = iota // none yet: records are being written, and there is time left
-	Decision                  // the decision: all records about the message are on disk
-	TakenOn                   // accepted: the message's record is on disk and survives a restart
-	TakenBack                 // not accepted: the message's record was withdrawn and won't be known after a restart
+	RespondLater       Response = iota // none yet: records are being written, and there is time left
+	RespondDecision                    // the decision: all records about the message are on disk
+	RespondAccepted                    // accepted: the message's record is on disk and survives a restart
+	RespondNotAccepted                 // not accepted: the message's record was withdrawn
 )
 
 // MayRespond returns which response the hand-in may get now. recorded states that all records about
@@ -163,19 +163,20 @@
 // message was not accepted while a later process sends it, and none the other way round.
 func (m *Message) MayRespond(now time.Duration, recorded bool, withdraw func() bool) Response {
 	switch {
-	case !m.Kept || recorded:
-		return Decision
+	case !m.Durable || recorded:
+		return RespondDecision
 	case m.RespondBy == 0 || now < m.RespondBy:
-		return Wait
+		return RespondLater
 	case !withdraw():
-		return TakenOn
+		return RespondAccepted
 	}
-	m.TakeBack()
-	return TakenBack
+	m.RecordWithdrawn()
+	return RespondNotAccepted
 }
 
-// TakeBack marks the message as unknown to later processes, because its own record was withdrawn.
-func (m *Message) TakeBack() { m.Kept = false }
+// RecordWithdrawn marks the message as unknown to later processes, because its own record was
+// withdrawn.
+func (m *Message) RecordWithdrawn() { m.Durable = false }
 
 // MayEnd reports whether the message may get its final answer now, and ends it if so. A refusal
 // promises that nothing took effect, or that a repeat does no harm.
@@ -183,21 +184,21 @@
 	switch {
 	case m.stage == Ended:
 		return g.forbid(AnswerTwice, m.ID, "ended")
-	case refusal && m.mayHaveRun && m.Repeat == Never:
+	case refusal && m.mayHaveRun && m.Repeat == NotRepeatable:
 		return g.forbid(RefuseAfterSend, m.ID, "a call may have taken effect")
 	}
 	m.stage = Ended
 	return true
 }
 
-// MayTell reports whether the final answer may leave the relay. recorded states that the record of
-// the answer is on disk. Past the message's deadline it need not be, because a later process
+// MayAnswer reports whether the final answer may leave the relay. recorded states that the record
+// of the answer is on disk. Past the message's deadline it need not be, because a later process
 // doesn't send the message either.
-func (m *Message) MayTell(g *Guard, now time.Duration, recorded bool) bool {
+func (m *Message) MayAnswer(g *Guard, now time.Duration, recorded bool) bool {
 	switch {
 	case m.answered:
 		return g.forbid(AnswerTwice, m.ID, "told")
-	case m.Kept && !recorded && now < m.Due:
+	case m.Durable && !recorded && now < m.Deadline:
 		return g.forbid(AnswerBeforeRecord, m.ID, "its record is not yet on disk")
 	}
 	m.answered = true
--- a/internal/lifecycle/peer.go
+++ b/internal/lifecycle/peer.go
@@ -10,10 +10,10 @@
 
 // The phases of a connection to a peer.
 const (
-	PeerNew     PeerPhase = iota // no call has been sent
-	PeerInUse                    // a call is in progress
-	PeerResting                  // idle between two calls
-	PeerDoubted                  // unsolicited bytes arrived; answers and calls can't be matched any more
+	PeerNew            PeerPhase = iota // no call has been sent
+	PeerInUse                           // a call is in progress
+	PeerIdle                            // idle between two calls
+	PeerDesynchronized                  // unsolicited bytes arrived; answers and calls can't be matched any more
 	PeerClosed
 )
 
@@ -47,8 +47,8 @@
 const (
 	// maxUnconfirmed bounds the unconfirmed answers remembered for one connection.
 	maxUnconfirmed = 16
-	// LongestDoubt is how long an answer may turn out to belong to another call.
-	LongestDoubt = 5 * time.Second
+	// RetractionWindow is how long an answer may turn out to belong to another call.
+	RetractionWindow = 5 * time.Second
 	// maxConfirmation bounds how long any action waits for an answer to be confirmed.
 	maxConfirmation = 250 * time.Millisecond
 )
@@ -65,30 +65,30 @@
 
 // PeerRule is what the relay's trust in a peer allows on its connections.
 type PeerRule struct {
-	FirstOnly bool          // a connection carries a single call
-	Rest      time.Duration // minimum idle time between two calls on a connection
+	SingleUse bool          // a connection carries a single call
+	MinIdle   time.Duration // minimum idle time between two calls on a connection
 }
 
-// Phase returns the current phase of the connection, Turn the number of calls on it so far.
+// Phase returns the current phase of the connection, Calls the number of calls on it so far.
 func (p *PeerConn) Phase() PeerPhase { return p.phase }
-func (p *PeerConn) Turn() int        { return p.calls }
+func (p *PeerConn) Calls() int       { return p.calls }
 
 // MayCarry reports whether a call may be sent on the connection now.
 func (p *PeerConn) MayCarry(now time.Duration, rule PeerRule) Carry {
 	switch {
 	case p.phase == PeerNew:
 		return CarryNow
-	case p.phase != PeerResting || rule.FirstOnly:
+	case p.phase != PeerIdle || rule.SingleUse:
 		return CarryNever
-	case now < p.RestsUntil(rule):
+	case now < p.ReusableAt(rule):
 		return CarryLater
 	}
 	return CarryNow
 }
 
-// RestsUntil returns when an idle connection may carry a call again.
-func (p *PeerConn) RestsUntil(rule PeerRule) time.Duration {
-	until := p.answeredAt + rule.Rest
+// ReusableAt returns when an idle connection may carry a call again.
+func (p *PeerConn) ReusableAt(rule PeerRule) time.Duration {
+	until := p.answeredAt + rule.MinIdle
 	if p.waitsForConfirmation {
 		until = max(until, p.confirmedAt)
 	}
@@ -100,10 +100,10 @@
 	return p.phase == PeerNew || now >= p.confirmedAt
 }
 
-// Unsettled returns how much longer an idle connection should stay open because an answer on it may
-// turn out to belong to another call. It is at most maxConfirmation after the answer.
-func (p *PeerConn) Unsettled(now time.Duration) time.Duration {
-	if p.phase != PeerResting {
+// UnsettledFor returns how much longer an idle connection should stay open because an answer on it
+// may turn out to belong to another call. It is at most maxConfirmation after the answer.
+func (p *PeerConn) UnsettledFor(now time.Duration) time.Duration {
+	if p.phase != PeerIdle {
 		return 0
 	}
 	return max(0, min(p.settledAt, p.answeredAt+maxConfirmation)-now)
@@ -119,34 +119,34 @@
 	return rested
 }
 
-// Belief states how certainly an answer belongs to the call in progress.
-type Belief int
+// Attribution states how certainly an answer belongs to the call in progress.
+type Attribution int
 
 // The degrees of certainty.
 const (
-	Own      Belief = iota // the answer belongs to the call in progress
-	Likely                 // nothing speaks against it, but the answer may yet turn out to belong to another call
-	Doubtful               // the answer may belong to another call, so the call may have taken effect
-	Nobodys                // the answer does not belong to the call
+	Certain   Attribution = iota // the answer belongs to the call in progress
+	Likely                       // probably, but the answer may yet turn out to belong to another call
+	Doubtful                     // the answer may belong to another call, so the call may have taken effect
+	Unmatched                    // the answer does not belong to the call
 )
 
 // PeerAnswer holds what is known about an answer on its arrival.
 type PeerAnswer struct {
-	Written   bool // the call's last byte was written before the answer arrived
-	Names     bool // the answer names the messages of the call
-	Foreign   bool // the answer names messages of another call
-	Followed  bool // further bytes arrived behind the answer
-	FirstOnly bool // the peer is known for unsolicited bytes
+	Written       bool // the call's last byte was written before the answer arrived
+	NamesCall     bool // the answer names the messages of the call
+	NamesOther    bool // the answer names messages of another call
+	TrailingBytes bool // further bytes arrived behind the answer
+	Distrusted    bool // the peer is known for unsolicited bytes
 }
 
-// Believe decides how certainly an answer belongs to the call in progress.
-func (p *PeerConn) Believe(a PeerAnswer) Belief {
+// Attribute decides how certainly an answer belongs to the call in progress.
+func (p *PeerConn) Attribute(a PeerAnswer) Attribution {
 	switch {
-	case p.calls > 1 && (!a.Written || a.Foreign):
-		return Nobodys
-	case p.calls <= 1 || a.Names:
-		return Own
-	case a.Followed || a.FirstOnly:
+	case p.calls > 1 && (!a.Written || a.NamesOther):
+		return Unmatched
+	case p.calls <= 1 || a.NamesCall:
+		return Certain
+	case a.TrailingBytes || a.Distrusted:
 		return Doubtful
 	}
 	return Likely
@@ -158,19 +158,19 @@
 // was served keeps the connection from carrying calls until the answer is confirmed, which takes a
 // bounded time. Answered returns how long actions based on the answer should wait, and how long the
 // answer may turn out to belong to another call.
-func (p *PeerConn) Answered(now, expected time.Duration, belief Belief, served bool, retract func()) (
+func (p *PeerConn) Answered(now, expected time.Duration, belief Attribution, served bool, retract func()) (
 	wait, unsettled time.Duration) {
-	p.phase, p.answeredAt, p.confirmedAt, p.settledAt, p.waitsForConfirmation = PeerResting, now, now, now, false
+	p.phase, p.answeredAt, p.confirmedAt, p.settledAt, p.waitsForConfirmation = PeerIdle, now, now, now, false
 	switch belief {
-	case Own: // earlier answers on the connection are certain as well
+	case Certain: // earlier answers on the connection are certain as well
 		p.answers = nil
 		return 0, 0
-	case Doubtful, Nobodys:
+	case Doubtful, Unmatched:
 		return 0, 0
 	case Likely: // the peer has answered, so it isn't still processing an earlier call
 		p.answers = slices.DeleteFunc(p.answers, func(a unconfirmedAnswer) bool { return a.settledAt <= p.sentAt })
 	}
-	p.settledAt = max(now, p.sentAt+min(expected, LongestDoubt))
+	p.settledAt = max(now, p.sentAt+min(expected, RetractionWindow))
 	p.confirmedAt = max(now, p.sentAt+min(expected, maxConfirmation))
 	p.waitsForConfirmation = !served
 	if retract != nil {
@@ -182,12 +182,12 @@
 	return p.confirmedAt - now, p.settledAt - now
 }
 
-// Strayed records unsolicited bytes. It returns the callbacks of all answers since the connection
-// was last certainly synchronized that may have belonged to other calls, and how long after the
-// latest answer the bytes arrived. The connection carries no further call.
-func (p *PeerConn) Strayed(now time.Duration) (retractions []func(), delay time.Duration) {
+// ReceivedUnsolicited records unsolicited bytes. It returns the callbacks of all answers since the
+// connection was last certainly synchronized that may have belonged to other calls, and how long
+// after the latest answer the bytes arrived. The connection carries no further call.
+func (p *PeerConn) ReceivedUnsolicited(now time.Duration) (retractions []func(), delay time.Duration) {
 	retractions = p.Retract(now)
-	p.phase = PeerDoubted
+	p.phase = PeerDesynchronized
 	return retractions, now - p.answeredAt
 }
 
@@ -197,20 +197,20 @@
 // itself.
 func (p *PeerConn) Retract(now time.Duration) []func() {
 	return p.take(func(a unconfirmedAnswer) bool {
-		return now < a.settledAt || a.served && now-a.answeredAt <= LongestDoubt
+		return now < a.settledAt || a.served && now-a.answeredAt <= RetractionWindow
 	})
 }
 
-// Broke returns the callbacks to run when the peer closes the connection: it may still have been
-// processing a call that a duplicate answer had ended. Only answers that said the call was served
-// are returned, since such a message would be lost. A refusal is not retracted.
-func (p *PeerConn) Broke(now time.Duration) []func() {
+// RetractOnPeerClose returns the callbacks to run when the peer closes the connection: it may still
+// have been processing a call that a duplicate answer had ended. Only answers that said the call
+// was served are returned, since such a message would be lost. A refusal is not retracted.
+func (p *PeerConn) RetractOnPeerClose(now time.Duration) []func() {
 	return p.take(func(a unconfirmedAnswer) bool { return now < a.settledAt && a.served })
 }
 
-// Left returns, for a connection that ends, the callbacks to run if the peer becomes distrusted
-// later.
-func (p *PeerConn) Left() []func() {
+// TakeServed returns, for a connection that ends, the callbacks to run if the peer becomes
+// distrusted later.
+func (p *PeerConn) TakeServed() []func() {
 	return p.take(func(a unconfirmedAnswer) bool { return a.served })
 }
 
--- a/internal/lifecycle/peer_test.go
+++ b/internal/lifecycle/peer_test.go
@@ -13,25 +13,25 @@
 	for _, c := range []struct {
 		turn   int
 		answer PeerAnswer
-		want   Belief
+		want   Attribution
 	}{
-		{1, PeerAnswer{Written: true}, Own},
-		{1, PeerAnswer{}, Own}, // no other call was sent on the connection
+		{1, PeerAnswer{Written: true}, Certain},
+		{1, PeerAnswer{}, Certain}, // no other call was sent on the connection
 		{2, PeerAnswer{Written: true}, Likely},
-		{2, PeerAnswer{Written: true, Names: true}, Own},
-		{2, PeerAnswer{Written: true, Foreign: true}, Nobodys},
-		{2, PeerAnswer{}, Nobodys},
-		{2, PeerAnswer{Written: true, Followed: true}, Doubtful},
-		{2, PeerAnswer{Written: true, FirstOnly: true}, Doubtful},
-		{1, PeerAnswer{Written: true, FirstOnly: true}, Own},
+		{2, PeerAnswer{Written: true, NamesCall: true}, Certain},
+		{2, PeerAnswer{Written: true, NamesOther: true}, Unmatched},
+		{2, PeerAnswer{}, Unmatched},
+		{2, PeerAnswer{Written: true, TrailingBytes: true}, Doubtful},
+		{2, PeerAnswer{Written: true, Distrusted: true}, Doubtful},
+		{1, PeerAnswer{Written: true, Distrusted: true}, Certain},
 	} {
 		p := PeerConn{}
 		for range c.turn - 1 {
 			p.Begin(0)
-			p.Answered(0, 0, Own, true, nil)
+			p.Answered(0, 0, Certain, true, nil)
 		}
 		p.Begin(0)
-		if got := p.Believe(c.answer); got != c.want {
+		if got := p.Attribute(c.answer); got != c.want {
 			t.Errorf("call %d, %+v: %d, want %d", c.turn, c.answer, got, c.want)
 		}
 	}
@@ -43,19 +43,19 @@
 	var told []string
 	doubted := func(name string) func() { return func() { told = append(told, name) } }
 	p := PeerConn{}
-	call := func(at time.Duration, name string, belief Belief, served bool) time.Duration {
+	call := func(at time.Duration, name string, belief Attribution, served bool) time.Duration {
 		t.Helper()
 		if p.MayCarry(at, PeerRule{}) != CarryNow {
 			t.Fatalf("%s may not be sent at %s", name, at)
 		}
 		p.Begin(at)
 		wait, unsettled := p.Answered(at+10*ms, 40*ms, belief, served, doubted(name))
-		if wait != unsettled || unsettled != p.Unsettled(at+10*ms) {
-			t.Errorf("%s: waits %s, unsettled for %s and %s", name, wait, unsettled, p.Unsettled(at+10*ms))
+		if wait != unsettled || unsettled != p.UnsettledFor(at+10*ms) {
+			t.Errorf("%s: waits %s, unsettled for %s and %s", name, wait, unsettled, p.UnsettledFor(at+10*ms))
 		}
 		return wait
 	}
-	if left := call(0, "first", Own, true); left != 0 {
+	if left := call(0, "first", Certain, true); left != 0 {
 		t.Errorf("the first answer is unconfirmed for %s", left)
 	}
 	call(20*ms, "confirmed", Likely, true)
@@ -66,7 +66,7 @@
 	if p.MayCarry(230*ms, PeerRule{}) != CarryLater || p.MayCarry(255*ms, PeerRule{}) != CarryNow {
 		t.Error("a connection carries a call before a refusal on it is confirmed, or not afterwards")
 	}
-	all, late := p.Strayed(240 * ms)
+	all, late := p.ReceivedUnsolicited(240 * ms)
 	for _, tell := range all {
 		tell()
 	}
@@ -85,7 +85,7 @@
 	p.Answered(0, s, Likely, false, doubted("refused"))
 	p.Answered(ms, s, Likely, true, doubted("served"))
 	told = nil
-	for _, tell := range p.Broke(2 * ms) {
+	for _, tell := range p.RetractOnPeerClose(2 * ms) {
 		tell()
 	}
 	if fmt.Sprint(told) != "[served]" {
@@ -94,66 +94,66 @@
 	p = PeerConn{calls: 1}
 	p.Begin(0)
 	if wait, unsettled := p.Answered(s, 2*s, Likely, true, doubted("slow")); wait != 0 ||
-		unsettled != s || p.Unsettled(s) != maxConfirmation {
-		t.Errorf("a slow answer: waits %s, unsettled for %s, kept for %s", wait, unsettled, p.Unsettled(s))
+		unsettled != s || p.UnsettledFor(s) != maxConfirmation {
+		t.Errorf("a slow answer: waits %s, unsettled for %s, kept for %s", wait, unsettled, p.UnsettledFor(s))
 	}
 	for range 2 * maxUnconfirmed {
 		p.Answered(0, s, Likely, true, doubted("x"))
 	}
-	if all, _ := p.Strayed(0); len(all) != maxUnconfirmed {
+	if all, _ := p.ReceivedUnsolicited(0); len(all) != maxUnconfirmed {
 		t.Errorf("%d answers are remembered, want %d", len(all), maxUnconfirmed)
 	}
 	p.Answered(0, s, Likely, true, doubted("old"))
-	if all, _ := p.Strayed(LongestDoubt + ms); len(all) != 0 {
-		t.Error("an answer is retracted after LongestDoubt")
+	if all, _ := p.ReceivedUnsolicited(RetractionWindow + ms); len(all) != 0 {
+		t.Error("an answer is retracted after RetractionWindow")
 	}
 }
 
 // Guards against a peer that violated the protocol and is trusted as before.
 func TestDistrustLimitsWhatConnectionsCarry(t *testing.T) {
-	c := Conduct{}
-	want := func(now time.Duration, peer string, group int, bears Bears, rule PeerRule) {
+	c := PeerTrust{}
+	want := func(now time.Duration, peer string, group int, bears Requirement, rule PeerRule) {
 		t.Helper()
 		if got := c.Rule(now, peer, group, bears); got != rule {
 			t.Errorf("%s at %s: %+v, want %+v", peer, now, got, rule)
 		}
 	}
-	only := PeerRule{FirstOnly: true}
-	want(0, "a", 1, Once, PeerRule{})
-	if c.Saw(s, "a", 1, 400*ms) {
+	only := PeerRule{SingleUse: true}
+	want(0, "a", 1, OnceOrOrdered, PeerRule{})
+	if c.RecordUnsolicited(s, "a", 1, 400*ms) {
 		t.Error("one distrusted peer is reported as a general fault")
 	}
-	want(2*s, "a", 1, Repeats, only)
-	want(2*s, "b", 1, Once, only)                        // the same destination
-	want(2*s, "b", 1, Repeats, PeerRule{Rest: 800 * ms}) // twice the delay of the duplicate answer
-	want(2*s, "c", 2, Once, PeerRule{Rest: 800 * ms})
-	if !c.Saw(2*s, "c", 2, 10*s) || c.Saw(2*s, "c", 2, 0) {
+	want(2*s, "a", 1, NoRequirement, only)
+	want(2*s, "b", 1, OnceOrOrdered, only)                        // the same destination
+	want(2*s, "b", 1, NoRequirement, PeerRule{MinIdle: 800 * ms}) // twice the delay of the duplicate answer
+	want(2*s, "c", 2, OnceOrOrdered, PeerRule{MinIdle: 800 * ms})
+	if !c.RecordUnsolicited(2*s, "c", 2, 10*s) || c.RecordUnsolicited(2*s, "c", 2, 0) {
 		t.Error("distrusted peers of two destinations are not reported exactly once")
 	}
-	want(3*s, "d", 3, Once, only) // two destinations: the cause is not one peer
-	want(3*s, "d", 3, Repeats, only)
-	want(s+minDistrust, "d", 3, Repeats, PeerRule{Rest: maxIdleTime}) // only one destination left
+	want(3*s, "d", 3, OnceOrOrdered, only) // two destinations: the cause is not one peer
+	want(3*s, "d", 3, NoRequirement, only)
+	want(s+minDistrust, "d", 3, NoRequirement, PeerRule{MinIdle: maxIdleTime}) // only one destination left
 	end := 2*s + minDistrust
-	want(end, "a", 1, Once, PeerRule{})
-	c.Saw(end, "a", 1, 0) // a second violation: twice as long
-	want(end+minDistrust, "a", 1, Repeats, only)
-	want(end+2*minDistrust, "a", 1, Repeats, PeerRule{})
-	want(end+minDistrust, "b", 1, Repeats, PeerRule{Rest: minIdleTime})
+	want(end, "a", 1, OnceOrOrdered, PeerRule{})
+	c.RecordUnsolicited(end, "a", 1, 0) // a second violation: twice as long
+	want(end+minDistrust, "a", 1, NoRequirement, only)
+	want(end+2*minDistrust, "a", 1, NoRequirement, PeerRule{})
+	want(end+minDistrust, "b", 1, NoRequirement, PeerRule{MinIdle: minIdleTime})
 	for i := range 2 * maxPeers {
-		c.Saw(end, fmt.Sprint(i), 4, 0)
+		c.RecordUnsolicited(end, fmt.Sprint(i), 4, 0)
 	}
 	if len(c.peers) > maxPeers {
 		t.Errorf("%d peers are remembered", len(c.peers))
 	}
-	c = Conduct{}
-	c.Took(0, "a", 100*ms)
-	if got := c.Usual("a"); got != 200*ms {
+	c = PeerTrust{}
+	c.RecordAnswerTime(0, "a", 100*ms)
+	if got := c.ExpectedAnswerTime("a"); got != 200*ms {
 		t.Errorf("expected answer time %s, want 200ms", got)
 	}
 	for range 1000 {
-		c.Took(0, "a", 10*ms)
+		c.RecordAnswerTime(0, "a", 10*ms)
 	}
-	if got := c.Usual("a"); got < 65*ms || got > 66*ms {
+	if got := c.ExpectedAnswerTime("a"); got < 65*ms || got > 66*ms {
 		t.Errorf("expected answer time %s after many quick answers", got)
 	}
 }
@@ -162,24 +162,24 @@
 // that belonged to another call.
 func TestRefusalWaitsForConfirmation(t *testing.T) {
 	for _, c := range []struct {
-		repeat Repeat
+		repeat Repeatability
 		now    time.Duration
 		mayRun bool
 		want   Refusal
 	}{
-		{Never, s, false, RefuseLater},
-		{Never, 2 * s, false, RefuseNow},
-		{Never, s, true, FailInstead},
-		{Never, 2 * s, true, FailInstead},
-		{Freely, s, true, RefuseNow},
-		{InWindow, s, false, RefuseNow},
+		{NotRepeatable, s, false, RefuseLater},
+		{NotRepeatable, 2 * s, false, RefuseNow},
+		{NotRepeatable, s, true, FailInstead},
+		{NotRepeatable, 2 * s, true, FailInstead},
+		{Repeatable, s, true, RefuseNow},
+		{RepeatableInWindow, s, false, RefuseNow},
 	} {
 		m := Message{Repeat: c.repeat}
-		if m.Unconfirmed(2*s, true) || !m.Unconfirmed(2*s, false) {
+		if m.AwaitConfirmation(2*s, true) || !m.AwaitConfirmation(2*s, false) {
 			t.Error("the next message of a key must wait only behind an answer that was not served")
 		}
 		if c.mayRun {
-			m.Doubt(0)
+			m.SetMayHaveRun(0)
 		}
 		if got := m.Refusal(c.now); got != c.want {
 			t.Errorf("%+v: %d", c, got)
--- a/internal/lifecycle/trace.go
+++ b/internal/lifecycle/trace.go
@@ -5,40 +5,40 @@
 	"sync"
 )
 
-// Reason states why the relay ended its side of a client's connection.
-type Reason string
+// CloseReason states why the relay ended its side of a client's connection.
+type CloseReason string
 
 // The reasons. Their values appear as names in the line of counts and in the trace.
 const (
-	CloseIdle    Reason = "idle"     // idle for too long
-	CloseDrain   Reason = "drain"    // the relay is shutting down
-	CloseEvicted Reason = "evicted"  // closed to make room for another connection
-	CloseAnswer  Reason = "answer"   // the response asked for the close
-	CloseFlood   Reason = "flood"    // too many bytes after the relay ended its side
-	CloseLinger  Reason = "linger"   // the client didn't close its side in time
-	CloseError   Reason = "error"    // a write failed
-	CloseClient  Reason = "client"   // the client closed the connection
-	CloseBadData Reason = "rejected" // input that is no valid request, or not complete in time
+	CloseIdle    CloseReason = "idle"     // idle for too long
+	CloseDrain   CloseReason = "drain"    // the relay is shutting down
+	CloseEvicted CloseReason = "evicted"  // closed to make room for another connection
+	CloseAnswer  CloseReason = "answer"   // the response asked for the close
+	CloseFlood   CloseReason = "flood"    // too many bytes after the relay ended its side
+	CloseLinger  CloseReason = "linger"   // the client didn't close its side in time
+	CloseError   CloseReason = "error"    // a write failed
+	CloseClient  CloseReason = "client"   // the client closed the connection
+	CloseBadData CloseReason = "rejected" // input that is no valid request, or not complete in time
 )
 
-// Closes counts closed client connections by reason. It is safe for concurrent use.
-type Closes struct {
+// CloseCounts counts closed client connections by reason. It is safe for concurrent use.
+type CloseCounts struct {
 	mu     sync.Mutex
-	counts map[Reason]int
+	counts map[CloseReason]int
 }
 
 // Add counts one connection closed for the given reason.
-func (c *Closes) Add(r Reason) {
+func (c *CloseCounts) Add(r CloseReason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.counts == nil {
-		c.counts = map[Reason]int{}
+		c.counts = map[CloseReason]int{}
 	}
 	c.counts[r]++
 }
 
 // Counts returns the closed connections by reason since the process started.
-func (c *Closes) Counts() map[Reason]int {
+func (c *CloseCounts) Counts() map[CloseReason]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.counts)
--- a/internal/mqttfront/conn.go
+++ b/internal/mqttfront/conn.go
@@ -113,7 +113,7 @@
 		_ = c.nb.Close()
 		return true
 	}
-	c.nb.Finish(front.Farewell)
+	c.nb.CloseLingering(front.LingerTime)
 	return true
 }
 
@@ -240,7 +240,7 @@
 // or of its keep-alive.
 func (c *conn) checkTimeouts(now time.Time) {
 	wait := c.front.opt.Handshake
-	if since := c.partialSince.Load(); since != 0 && front.Nanos(now)-since > int64(wait) {
+	if since := c.partialSince.Load(); since != 0 && front.SinceStart(now)-since > int64(wait) {
 		c.end(mqtt.ProtocolError, "packet was not finished in time")
 		return
 	}
@@ -250,7 +250,7 @@
 	switch {
 	case st != connected && now.Sub(c.openedAt) > wait:
 		c.end(mqtt.ProtocolError, "no CONNECT in time")
-	case st == connected && keep > 0 && front.Nanos(now)-c.lastPacket.Load() > int64(keep+keep/2):
+	case st == connected && keep > 0 && front.SinceStart(now)-c.lastPacket.Load() > int64(keep+keep/2):
 		c.end(mqtt.KeepAliveTimeout, "nothing came within one and a half keep-alive times")
 	}
 }
@@ -350,7 +350,7 @@
 	s.mu.Unlock()
 	c.discardWill.Store(d.Code != mqtt.DisconnectWithWill)
 	c.ended.Store(true)
-	c.nb.Finish(front.Farewell)
+	c.nb.CloseLingering(front.LingerTime)
 	return nil
 }
 
--- a/internal/mqttfront/front.go
+++ b/internal/mqttfront/front.go
@@ -61,9 +61,9 @@
 	Handshake      time.Duration     // time limit until CONNECT is accepted, and to complete a packet
 	WriteBuffer    int               // unsent bytes of one connection; over this limit it is closed
 	Users          map[string]string // bcrypt hash by user name; if empty, any client may connect
-	Door           front.Door
+	Door           front.Submitter
 	Observer       Observer
-	Keeper         front.Keeper // stores sessions and answers for a restart; nil for none
+	Keeper         front.Journal // stores sessions and answers for a restart; nil for none
 	// BeforeListen, if set, is called once before the front listens, to restore the sessions
 	// and messages of an earlier run.
 	BeforeListen func(*Front)
@@ -116,10 +116,10 @@
 		if len(addrs) == 0 {
 			continue
 		}
-		l, err := front.Listen(front.Sockets{Name: "mqtt", Addrs: addrs, ReadBuffer: 64 << 10,
+		l, err := front.Listen(front.ListenOptions{Name: "mqtt", Addrs: addrs, ReadBuffer: 64 << 10,
 			WriteBuffer: opt.WriteBuffer,
-			Open:        func(nb *engine.Conn, _ time.Duration) front.Conn { return f.open(nb, i == 1) },
-			Failed: func(err error) {
+			NewHandler:  func(nb *engine.Conn, _ time.Duration) front.ConnHandler { return f.open(nb, i == 1) },
+			OnError: func(err error) {
 				if !f.draining.Load() {
 					opt.Observer.Logf("mqtt: accept: %v", err)
 				}
@@ -159,7 +159,7 @@
 	listeners := f.listeners
 	f.mu.Unlock()
 	for _, l := range listeners {
-		l.Refuse()
+		l.StopAccepting()
 	}
 	for _, s := range sessions {
 		s.mu.Lock()
@@ -190,11 +190,11 @@
 
 // open accepts a connection, or returns nil at the limit of connections and while the
 // front drains.
-func (f *Front) open(nb *engine.Conn, secured bool) front.Conn {
+func (f *Front) open(nb *engine.Conn, secured bool) front.ConnHandler {
 	c := &conn{front: f, nb: nb, out: nb}
 	now := time.Now()
 	c.openedAt = now
-	c.lastPacket.Store(front.Nanos(now))
+	c.lastPacket.Store(front.SinceStart(now))
 	f.mu.Lock()
 	full := len(f.conns) >= f.opt.Connections || f.stopping
 	if !full {
@@ -232,7 +232,7 @@
 		}
 		sessions := make([]*session, 0, 16)
 		for _, s := range f.sessions {
-			if s.nextExpiry.Load() <= front.Nanos(now) {
+			if s.nextExpiry.Load() <= front.SinceStart(now) {
 				sessions = append(sessions, s)
 			}
 		}
@@ -316,7 +316,7 @@
 func (f *Front) writeLoop() {
 	defer f.goroutines.Done()
 	var dirty []*conn
-	f.outbox.Run(f.stop, func(list []front.Said[*pending]) {
+	f.outbox.Run(f.stop, func(list []front.Report[*pending]) {
 		for _, said := range list {
 			s := said.To.session
 			s.mu.Lock()
--- a/internal/mqttfront/front_test.go
+++ b/internal/mqttfront/front_test.go
@@ -65,7 +65,7 @@
 		TopicAliases: 2, Pending: 8, PartialBytes: 64 << 10, SessionExpiry: time.Minute, KeepAlive: time.Minute,
 		Handshake: 10 * time.Second, WriteBuffer: 32 << 10, Door: d, Observer: nopObserver{},
 		Names: front.Names{Classes: map[string]int{"status": 0}, Partners: map[string]int{"p": 0},
-			Lives: []time.Duration{time.Minute}}}
+			Deadlines: []time.Duration{time.Minute}}}
 	if change != nil {
 		change(&o)
 	}
--- a/internal/mqttfront/handin.go
+++ b/internal/mqttfront/handin.go
@@ -131,7 +131,7 @@
 		added.waitingFlows = []*flow{fl}
 	}
 	m := &core.Message{Source: s.id, Class: class, Partner: partner, Key: p.Props.UserValue("key"),
-		Left: f.opt.Names.Lives[class],
+		Left: f.opt.Names.Deadlines[class],
 		Body: bytes.Clone(p.Payload), Reply: front.Reply[*pending]{Box: f.outbox, To: added}}
 	if p.Props.HasMessageExpiry() {
 		m.Left = min(m.Left, time.Duration(p.Props.MessageExpiry)*time.Second)
@@ -180,7 +180,7 @@
 func (f *Front) route(topic string) (class, partner int, err error) {
 	path, ok := strings.CutPrefix(topic, "send/")
 	if !ok {
-		return 0, 0, front.ErrNames
+		return 0, 0, front.ErrUnknownRoute
 	}
 	return f.opt.Names.Route(path)
 }
--- a/internal/mqttfront/persist.go
+++ b/internal/mqttfront/persist.go
@@ -85,7 +85,7 @@
 // that is still to come.
 func (f *Front) RestoreMessage(o front.Owed) core.Reply {
 	var w returnPath
-	if err := cbor.Unmarshal(o.Way, &w); err != nil {
+	if err := cbor.Unmarshal(o.ReturnPath, &w); err != nil {
 		f.opt.Observer.Logf("mqtt: way of %q: %v", o.Identity, err)
 		return discardReplies{}
 	}
@@ -119,4 +119,4 @@
 }
 
 // discardReplies is the receiver of answers that nobody waits for.
-type discardReplies = front.Nobody
+type discardReplies = front.NoReply
--- a/internal/mqttfront/session.go
+++ b/internal/mqttfront/session.go
@@ -78,9 +78,9 @@
 		s.nextExpiry.Store(never)
 		return
 	}
-	at := front.Nanos(s.disconnectedAt.Add(s.expiry))
+	at := front.SinceStart(s.disconnectedAt.Add(s.expiry))
 	if s.will != nil {
-		at = min(at, front.Nanos(s.willAt))
+		at = min(at, front.SinceStart(s.willAt))
 	}
 	s.nextExpiry.Store(at)
 }
@@ -130,7 +130,7 @@
 	switch err {
 	case core.ErrBusy, ledger.ErrFull, front.ErrPending:
 		code = mqtt.QuotaExceeded
-	case front.ErrNames:
+	case front.ErrUnknownRoute:
 		code = mqtt.TopicNameInvalid
 	}
 	s.front.opt.Observer.NotTaken(reason)
--- a/internal/partner/attribution.go
+++ b/internal/partner/attribution.go
@@ -25,16 +25,16 @@
 
 // attribute decides how certain it is that the response just read answers k. followed reports
 // whether more bytes were received behind it. The caller holds cn.mu.
-func (cn *conn) attribute(k *call, followed bool) lifecycle.Belief {
+func (cn *conn) attribute(k *call, followed bool) lifecycle.Attribution {
 	conduct := &cn.pool.caller.conduct
-	if conduct.Off {
-		return lifecycle.Own
+	if conduct.TrustAll {
+		return lifecycle.Certain
 	}
 	names, foreign := cn.resp.matchMessages(k)
-	belief := cn.state.Believe(lifecycle.PeerAnswer{Written: cn.allSent(), Names: names, Foreign: foreign,
-		Followed: followed, FirstOnly: cn.firstCallOnly()})
+	belief := cn.state.Attribute(lifecycle.PeerAnswer{Written: cn.allSent(), NamesCall: names, NamesOther: foreign,
+		TrailingBytes: followed, Distrusted: cn.firstCallOnly()})
 	switch belief {
-	case lifecycle.Nobodys:
+	case lifecycle.Unmatched:
 		breach := lifecycle.AnswerEarly
 		if foreign {
 			breach = lifecycle.AnswerForeign
@@ -42,16 +42,16 @@
 		cn.reportBreach(breach, k)
 	case lifecycle.Doubtful:
 		cn.reportBreach(lifecycle.AnswerDoubtful, k)
-	case lifecycle.Own, lifecycle.Likely:
+	case lifecycle.Certain, lifecycle.Likely:
 	}
 	return belief
 }
 
 // attributeLast is attribute for a response after which no further one can follow. The caller holds
 // cn.mu.
-func (cn *conn) attributeLast(k *call) lifecycle.Belief {
+func (cn *conn) attributeLast(k *call) lifecycle.Attribution {
 	belief := cn.attribute(k, false)
-	if belief == lifecycle.Nobodys && cn.allSent() {
+	if belief == lifecycle.Unmatched && cn.allSent() {
 		return lifecycle.Doubtful
 	}
 	return belief
@@ -63,22 +63,22 @@
 // firstCallOnly reports whether the peer's conduct limits its connections to one call each.
 func (cn *conn) firstCallOnly() bool {
 	c := cn.pool.caller
-	return c.conduct.Rule(c.now(), cn.host, cn.pool.partner, lifecycle.Repeats).FirstOnly
+	return c.conduct.Rule(c.now(), cn.host, cn.pool.partner, lifecycle.NoRequirement).SingleUse
 }
 
 // attribution is how certain it is that a response answers its call, how long anything that depends
 // on it has to wait, and how long it may still turn out to answer another call.
 type attribution struct {
-	belief          lifecycle.Belief
+	belief          lifecycle.Attribution
 	wait, unsettled time.Duration
 }
 
 // recordAnswer records that k was answered. The caller holds cn.mu.
-func (cn *conn) recordAnswer(k *call, belief lifecycle.Belief) attribution {
+func (cn *conn) recordAnswer(k *call, belief lifecycle.Attribution) attribution {
 	c := cn.pool.caller
 	now := c.now()
-	if belief == lifecycle.Own || belief == lifecycle.Likely {
-		c.conduct.Took(now, cn.host, now-k.writtenAt)
+	if belief == lifecycle.Certain || belief == lifecycle.Likely {
+		c.conduct.RecordAnswerTime(now, cn.host, now-k.writtenAt)
 	}
 	served := len(k.Items) == 0 && cn.resp.firstStatus >= http.StatusOK &&
 		cn.resp.firstStatus < http.StatusMultipleChoices
@@ -88,7 +88,7 @@
 			k.Retract()
 		}
 	}
-	wait, unsettled := cn.state.Answered(now, c.conduct.Usual(cn.host), belief, served, doubted)
+	wait, unsettled := cn.state.Answered(now, c.conduct.ExpectedAnswerTime(cn.host), belief, served, doubted)
 	return attribution{belief, wait, unsettled}
 }
 
@@ -101,16 +101,16 @@
 		c.opt.UnsolicitedWait(cn.host, cn.pool.partner, wait)
 	}
 	cn.mu.Lock()
-	if cn.state.Phase() == lifecycle.PeerDoubted {
+	if cn.state.Phase() == lifecycle.PeerDesynchronized {
 		cn.mu.Unlock()
 		return
 	}
 	now := c.now()
-	doubted, late := cn.state.Strayed(now)
+	doubted, late := cn.state.ReceivedUnsolicited(now)
 	cn.mu.Unlock()
 	cn.reportBreach(lifecycle.BytesUnasked, nil)
 	_ = cn.sock.Close()
-	if !c.conduct.Off {
+	if !c.conduct.TrustAll {
 		cn.distrust(now, late, doubted)
 	}
 }
@@ -145,7 +145,7 @@
 		p.served = append(p.served, servedAnswer{now, doubted})
 	}
 	old := 0
-	for old < len(p.served) && (now-p.served[old].at > lifecycle.LongestDoubt ||
+	for old < len(p.served) && (now-p.served[old].at > lifecycle.RetractionWindow ||
 		len(p.served)-old > maxServedAnswers) {
 		old++
 	}
@@ -157,7 +157,7 @@
 	p.servedMu.Lock()
 	defer p.servedMu.Unlock()
 	for _, a := range p.served {
-		if now-a.at <= lifecycle.LongestDoubt {
+		if now-a.at <= lifecycle.RetractionWindow {
 			doubted = append(doubted, a.doubted)
 		}
 	}
@@ -171,7 +171,7 @@
 func (cn *conn) distrust(now, late time.Duration, doubted []func()) {
 	c := cn.pool.caller
 	pools := []*pool{cn.pool}
-	if c.conduct.Saw(now, cn.host, cn.pool.partner, late) {
+	if c.conduct.RecordUnsolicited(now, cn.host, cn.pool.partner, late) {
 		pools = c.allPools()
 	}
 	for _, p := range pools {
@@ -197,9 +197,9 @@
 // settled.
 func (cn *conn) closeWhenSettled() {
 	cn.mu.Lock()
-	after := cn.state.Unsettled(cn.pool.caller.now())
+	after := cn.state.UnsettledFor(cn.pool.caller.now())
 	cn.mu.Unlock()
-	if after > 0 && !cn.pool.caller.conduct.Off {
+	if after > 0 && !cn.pool.caller.conduct.TrustAll {
 		time.AfterFunc(after, func() { _ = cn.sock.Close() })
 		return
 	}
@@ -215,10 +215,10 @@
 // closedByPeer closes a connection that was found to be closed by the peer.
 func (cn *conn) closedByPeer() {
 	cn.mu.Lock()
-	doubted := cn.state.Broke(cn.pool.caller.now())
+	doubted := cn.state.RetractOnPeerClose(cn.pool.caller.now())
 	cn.mu.Unlock()
 	_ = cn.sock.Close()
-	if !cn.pool.caller.conduct.Off {
+	if !cn.pool.caller.conduct.TrustAll {
 		notifyAll(doubted)
 	}
 }
@@ -228,14 +228,14 @@
 func (cn *conn) doubtedAtClose() []func() {
 	now := cn.pool.caller.now()
 	switch {
-	case cn.state.Turn() < 2 || cn.pool.caller.conduct.Off:
+	case cn.state.Calls() < 2 || cn.pool.caller.conduct.TrustAll:
 		return nil
 	case cn.firstCallOnly():
 		return cn.state.Retract(now)
 	case cn.sock.EndedByPeer():
-		return cn.state.Broke(now)
+		return cn.state.RetractOnPeerClose(now)
 	}
-	cn.pool.rememberServed(now, cn.state.Left())
+	cn.pool.rememberServed(now, cn.state.TakeServed())
 	return nil
 }
 
@@ -249,18 +249,18 @@
 func (cn *conn) used() bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	return cn.state.Turn() > 0
+	return cn.state.Calls() > 0
 }
 
 // label names the connection and the turn on it, which is the number of its last call.
-func (cn *conn) label() string { return fmt.Sprintf("%d turn %d", cn.number, cn.state.Turn()) }
+func (cn *conn) label() string { return fmt.Sprintf("%d turn %d", cn.number, cn.state.Calls()) }
 
-func (cn *conn) reportBreach(breach lifecycle.PeerBreach, k *call) {
-	r := lifecycle.PeerRefusal{Breach: breach, Peer: cn.host, Connection: cn.number, Turn: cn.state.Turn()}
+func (cn *conn) reportBreach(breach lifecycle.PeerRefusalReason, k *call) {
+	r := lifecycle.PeerRefusal{Reason: breach, Peer: cn.host, Connection: cn.number, Calls: cn.state.Calls()}
 	if k != nil {
 		r.Message = k.messageNames()[0]
 	}
-	cn.pool.caller.conduct.Refuse(r)
+	cn.pool.caller.conduct.RecordRefusal(r)
 }
 
 // messageNames returns the names of the messages in the call.
@@ -276,11 +276,11 @@
 }
 
 // bears returns whether the messages of the call may be repeated.
-func (k *call) bears() lifecycle.Bears {
+func (k *call) bears() lifecycle.Requirement {
 	if k.NoDuplicates {
-		return lifecycle.Once
+		return lifecycle.OnceOrOrdered
 	}
-	return lifecycle.Repeats
+	return lifecycle.NoRequirement
 }
 
 // matchMessages reports whether a response names the messages of the call, all of them and no
--- a/internal/partner/attribution_test.go
+++ b/internal/partner/attribution_test.go
@@ -90,7 +90,7 @@
 	c.opt.UnsolicitedWait = func(_ string, _ int, wait time.Duration) { waits <- wait }
 	first, _ := sendDoubtable(t, c, "first")
 	// A usual answer time of a minute: the second answer is still unconfirmed when the bytes come.
-	c.conduct.Took(c.now(), "h", time.Minute)
+	c.conduct.RecordAnswerTime(c.now(), "h", time.Minute)
 	second, doubted := sendDoubtable(t, c, "second")
 	if first.Outcome != choice.Served || first.ConfirmAfter != 0 ||
 		second.Outcome != choice.Refused || second.ConfirmAfter == 0 {
@@ -123,7 +123,7 @@
 	host := startScripted(t, servedResponse, refusedResponse, servedResponse)
 	c := hookCaller(t, host.addr)
 	sendDoubtable(t, c, "first")
-	c.conduct.Took(c.now(), "h", time.Minute)
+	c.conduct.RecordAnswerTime(c.now(), "h", time.Minute)
 	sendDoubtable(t, c, "refused")
 	if e, _ := sendDoubtable(t, c, "next"); e.Outcome != choice.Served || host.connections.Load() != 2 {
 		t.Errorf("%+v over %d connections, want Served over 2", e, host.connections.Load())
--- a/internal/partner/call.go
+++ b/internal/partner/call.go
@@ -63,7 +63,7 @@
 	cn.beginCall(k)
 	cn.resp.reset(k.caller.opt.Limits)
 	cn.resp.hook = k.caller.opt.Hook != nil
-	cn.resp.keepContent = cn.resp.hook && (len(k.Items) > 0 || cn.state.Turn() > 1)
+	cn.resp.keepContent = cn.resp.hook && (len(k.Items) > 0 || cn.state.Calls() > 1)
 	if cn.tls == nil { // with TLS, each TLS record is counted when it is written
 		cn.queued.Add(int64(len(request)))
 	}
@@ -143,7 +143,7 @@
 }
 
 // end reports the outcome of the call, unless it has already ended.
-func (k *call) end(ev event, r *response) { k.endWith(ev, r, attribution{belief: lifecycle.Own}) }
+func (k *call) end(ev event, r *response) { k.endWith(ev, r, attribution{belief: lifecycle.Certain}) }
 
 // endWith is end for a call that was answered, with the attribution of its answer.
 func (k *call) endWith(ev event, r *response, attr attribution) {
@@ -177,12 +177,12 @@
 // discount replaces the outcome of an answer that may not be the call's own. Its wait is kept,
 // because it may be the call's own after all. In the platform's format a host does not run a call
 // before it has received its last byte; a partner may act on part of a request.
-func (k *call) discount(e *core.Ending, belief lifecycle.Belief) {
+func (k *call) discount(e *core.Ending, belief lifecycle.Attribution) {
 	instead := choice.Doubted
 	switch belief {
-	case lifecycle.Own, lifecycle.Likely:
+	case lifecycle.Certain, lifecycle.Likely:
 		return
-	case lifecycle.Nobodys:
+	case lifecycle.Unmatched:
 		if k.caller.opt.Hook != nil {
 			instead = choice.NotSent
 		}
--- a/internal/partner/caller.go
+++ b/internal/partner/caller.go
@@ -75,7 +75,7 @@
 	epoch            time.Time
 	open             atomic.Int64  // open connections of all pools
 	openedTotal      atomic.Uint64 // connections opened since the start
-	conduct          lifecycle.Conduct
+	conduct          lifecycle.PeerTrust
 	stop             chan struct{}
 	ctx              context.Context // cancelled by Close
 	cancel           context.CancelFunc
@@ -130,11 +130,11 @@
 	c := &Caller{opt: opt, pools: map[string]*pool{}, selectors: map[string]*addr.Selector{},
 		addressesChanged: make(chan struct{}), excluded: map[string]bool{}, epoch: time.Now(),
 		stop: make(chan struct{}), sessions: newSessions(opt.TLSSessions)}
-	c.conduct.Refused, c.conduct.Off = opt.PeerRefused, opt.TrustPeers
+	c.conduct.OnRefusal, c.conduct.TrustAll = opt.PeerRefused, opt.TrustPeers
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	var err error
 	c.engine, err = engine.Start(engine.Options{Name: "partner", ReadBuffer: 16 << 10,
-		Sent: func(h engine.Handler, n int) {
+		OnSent: func(h engine.Handler, n int) {
 			cn := h.(*conn)
 			cn.sent.Add(int64(n))
 			c.count(cn, n, true)
@@ -148,7 +148,7 @@
 }
 
 // Refusals returns the number of refusals by kind of breach.
-func (c *Caller) Refusals() map[lifecycle.PeerBreach]int { return c.conduct.Counts() }
+func (c *Caller) Refusals() map[lifecycle.PeerRefusalReason]int { return c.conduct.Counts() }
 
 // Close closes all connections and stops the engine.
 func (c *Caller) Close() {
--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -50,11 +50,11 @@
 // sawOK reports whether the response to a call with a single message, in the platform's format, has
 // begun with status 200, and the attribution of that status line. What follows the line is not
 // considered.
-func (cn *conn) sawOK(k *call) (belief lifecycle.Belief, ok bool) {
+func (cn *conn) sawOK(k *call) (belief lifecycle.Attribution, ok bool) {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	if cn.call != k || !cn.resp.hook || len(k.Items) > 0 || cn.resp.firstStatus != http.StatusOK {
-		return lifecycle.Nobodys, false
+		return lifecycle.Unmatched, false
 	}
 	return cn.attributeLast(k), true
 }
@@ -158,7 +158,7 @@
 		return nil, false
 	}
 	belief := cn.attribute(k, len(rest) > 0)
-	if belief == lifecycle.Nobodys {
+	if belief == lifecycle.Unmatched {
 		return cn.skipForeign(k, &r, rest)
 	}
 	attr := cn.recordAnswer(k, belief)
@@ -216,7 +216,7 @@
 		cn.call = nil
 		cn.mu.Unlock()
 		_ = cn.sock.Close()
-		k.endWith(answeredEarly, r, attribution{belief: lifecycle.Nobodys})
+		k.endWith(answeredEarly, r, attribution{belief: lifecycle.Unmatched})
 		return nil, false
 	}
 	doubted := cn.state.Retract(now)
@@ -233,9 +233,9 @@
 	k := cn.call
 	cn.call = nil
 	r := &cn.resp
-	whole := k != nil && r.AtClose()
+	whole := k != nil && r.CompleteAtClose()
 	final := *r
-	belief := lifecycle.Own
+	belief := lifecycle.Certain
 	if k != nil && final.firstStatus != 0 {
 		belief = cn.attributeLast(k)
 	}
--- a/internal/partner/response.go
+++ b/internal/partner/response.go
@@ -64,7 +64,7 @@
 func (r *response) Field(name, value string) error {
 	switch {
 	case strings.EqualFold(name, "connection"):
-		r.reusable = r.reusable && !http1.Closes(value)
+		r.reusable = r.reusable && !http1.HasCloseOption(value)
 	case strings.EqualFold(name, "retry-after"):
 		r.retryAfter = value
 	case r.hook && len(name) > 2 && (name[0] == 'X' || name[0] == 'x'):
@@ -85,7 +85,7 @@
 	case r.status == 204 || r.status == 304:
 		return http1.NoContent, nil
 	}
-	return http1.ToClose, nil
+	return http1.UntilClose, nil
 }
 
 // Content keeps or discards a piece of the content.
--- a/internal/partner/reuse.go
+++ b/internal/partner/reuse.go
@@ -22,11 +22,11 @@
 // handled yet. A request on a half-closed connection would be lost, and may have run.
 func (cn *conn) peek() peekResult {
 	switch found := cn.sock.Peek(); {
-	case found == engine.Nothing:
+	case found == engine.PeekNothing:
 		return peekReady
-	case found == engine.Bytes && cn.tls != nil:
+	case found == engine.PeekBytes && cn.tls != nil:
 		return peekTLSRecords
-	case found == engine.Bytes:
+	case found == engine.PeekBytes:
 		return peekUnsolicited
 	}
 	return peekClosed
@@ -159,7 +159,7 @@
 	for _, cn := range p.idle {
 		cn.mu.Lock()
 		if cn.state.MayCarry(now, rule) == lifecycle.CarryLater {
-			if after := cn.state.RestsUntil(rule) - now; soonest < 0 || after < soonest {
+			if after := cn.state.ReusableAt(rule) - now; soonest < 0 || after < soonest {
 				soonest = after
 			}
 		}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -120,12 +120,12 @@
 	n := &Node{cfg: cfg, bounds: BoundsOf(cfg), log: log, dests: map[int]bool{}}
 	b := &n.bounds
 	n.watch = &watcher{node: n}
-	n.guard = &lifecycle.Guard{Strict: os.Getenv(strictVariable) != "", Told: func(v lifecycle.Violation) {
+	n.guard = &lifecycle.Guard{Strict: os.Getenv(strictVariable) != "", OnViolation: func(v lifecycle.Violation) {
 		if v.Rule == lifecycle.AnswerLate { // a machine that stood still has it as well
-			n.warn("late").Str("rule", string(v.Rule)).Str("id", v.ID).Msg(v.What)
+			n.warn("late").Str("rule", string(v.Rule)).Str("id", v.ID).Msg(v.State)
 			return
 		}
-		n.log.Error().Str("cause", "violation").Str("rule", string(v.Rule)).Str("id", v.ID).Msg(v.What)
+		n.log.Error().Str("cause", "violation").Str("rule", string(v.Rule)).Str("id", v.ID).Msg(v.State)
 	}}
 	var undo []func()
 	defer func() {
@@ -198,9 +198,9 @@
 		OnListed: func(int) {}, OnError: func(source string, err error) {
 			n.warn("discovery").Str("source", source).Err(err).Msg("")
 		}})
-	n.front, err = hookfront.New(hookfront.Options{Listen: cfg.Listen, Lanes: s.Lanes, Ordered: ordered, Dest: n.known,
-		Ready: n.ready.Load, Header: headerBytes, Body: bodyBytes, Connections: b.Clients, Lingering: b.Lingering, Kept: b.Kept, Request: 2 * clientWaits, Respond: respondWithin, Wait: clientWaits, Whole: whole, Idle: silent, Linger: linger,
-		WriteBuffer: b.WriteBuffer, Door: n.core, Keeper: n.keep, Notices: n.said, Guard: n.guard, Trace: trace(log),
+	n.front, err = hookfront.New(hookfront.Options{Listen: cfg.Listen, Classes: s.Lanes, Ordered: ordered, KnownDestination: n.known,
+		Ready: n.ready.Load, HeaderBytes: headerBytes, BodyBytes: bodyBytes, Connections: b.Clients, LingeringConnections: b.Lingering, IdleConnections: b.Kept, RequestPause: 2 * clientWaits, RespondWithin: respondWithin, ClientTimeout: clientWaits, RequestTimeout: whole, IdleTimeout: silent, LingerTimeout: linger,
+		WriteBuffer: b.WriteBuffer, Core: n.core, Journal: n.keep, Notices: n.said, Guard: n.guard, Trace: trace(log),
 		Logf: func(f string, v ...any) { n.warn("front").Msgf(f, v...) }})
 	if err != nil {
 		return nil, err
@@ -230,10 +230,10 @@
 
 // refusedOf logs what was refused of a host; connections that are not used again are only counted.
 func (n *Node) refusedOf(r lifecycle.PeerRefusal) {
-	if r.Breach == lifecycle.ReuseForbidden || r.Breach == lifecycle.ReuseUnrested {
+	if r.Reason == lifecycle.ReuseForbidden || r.Reason == lifecycle.ReuseUnrested {
 		return
 	}
-	n.warn("host").Str("breach", string(r.Breach)).Str("host", r.Peer).Uint64("connection", r.Connection).Int("turn", r.Turn).
+	n.warn("host").Str("breach", string(r.Reason)).Str("host", r.Peer).Uint64("connection", r.Connection).Int("turn", r.Calls).
 		Str("id", r.Message).Msg("not believed")
 }
 
@@ -379,9 +379,9 @@
 		began := time.Now()
 		n.front.Drain()
 		time.Sleep(leaveAfter)
-		n.front.Leave()
+		n.front.CloseListener()
 		time.Sleep(parkAfter - time.Since(began))
-		n.front.Finish() // before the core is parked: what was handed in until then is answered
+		n.front.StopHandIns() // before the core is parked: what was handed in until then is answered
 		idle := make(chan struct{})
 		n.core.Park(func() { close(idle) })
 		select {
@@ -409,7 +409,7 @@
 	resolved := make(chan struct{})
 	n.core.ResolveUndecided(func() { close(resolved) })
 	<-resolved
-	for end := by.Add(lastBytes); !n.front.Quiet() && time.Now().Before(end); {
+	for end := by.Add(lastBytes); !n.front.AllAnswered() && time.Now().Before(end); {
 		time.Sleep(lastLook)
 	}
 }
--- a/internal/platform/watcher.go
+++ b/internal/platform/watcher.go
@@ -91,7 +91,7 @@
 	n.log.Info().Str("cause", "count").Int("taken", w.taken).Str("ended", strings.Join(ends, ", ")).
 		Str("attempts", strings.Join(tries, ", ")).Int("held", w.held).Int("held_most", w.mostHeld).Int("out", w.out).
 		Int("out_most", w.mostOut).Int("clients", n.front.Connections()).Int64("at_once", f.Refused.Load()+f.Failed.Load()).
-		Int64("rejected", f.Rejected.Load()).Int64("turned_away", f.Closed.Load()).Int64("evicted", f.Evicted.Load()).
+		Int64("rejected", f.Rejected.Load()).Int64("turned_away", f.NotAccepted.Load()).Int64("evicted", f.Evicted.Load()).
 		Interface("closes", f.Closes.Counts()).Interface("violations", n.guard.Counts()).Interface("peers", n.caller.Refusals()).Int("notices", n.said.Len()).Uint64("disk", n.keep.Stats().Disk).Msg("since the last such line")
 	w.taken, w.answered, w.attempts, w.mostHeld, w.mostOut = 0, [5]int{}, [choice.Doubted + 1]int{}, w.held, w.out
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -39,7 +39,7 @@
 type Hooks struct {
 	Caller func(core.Caller) core.Caller
 	Sink   func(directory.Sink) directory.Sink
-	Door   func(front.Door) front.Door
+	Door   func(front.Submitter) front.Submitter
 	// Broken is told that the journal failed; the process should end then.
 	Broken func(error)
 	// Journal stands between core and journal.
@@ -211,7 +211,7 @@
 	r.names = resolve.New(resolver(cfg), set, cfg.Resolver.Timeout.D(), r.caller, r.obs.Unresolved)
 	r.obs.Serves("/addresses", func() any { return r.Addresses() })
 	r.obs.Zones(traffic, zones, func() any { return r.zones.Report() })
-	var door front.Door = r.core
+	var door front.Submitter = r.core
 	if hooks.Door != nil {
 		door = hooks.Door(door)
 	}
@@ -272,7 +272,7 @@
 	}
 	m := &cfg.MQTT
 	doors := front.Names{Classes: index(cfg.Classes, func(k config.Class) string { return k.Name }),
-		Partners: names.Partners, Lives: lives}
+		Partners: names.Partners, Deadlines: lives}
 	run := func() {
 		r.done.Add(1)
 		go func() {
@@ -280,7 +280,7 @@
 			r.core.Run(ctx, cfg.Relay.Shutdown.D())
 		}()
 	}
-	var keeper front.Keeper
+	var keeper front.Journal
 	if r.log != nil {
 		keeper = r.log
 	}
@@ -447,12 +447,12 @@
 }
 
 var _ directory.Sink = (*core.Core)(nil)
-var _ front.Door = (*core.Core)(nil)
+var _ front.Submitter = (*core.Core)(nil)
 var _ core.Caller = (*partner.Caller)(nil)
 
 // refusedOf counts and logs bytes that a partner sent without a request.
 func (r *Relay) refusedOf(refusal lifecycle.PeerRefusal) {
-	if refusal.Breach == lifecycle.BytesUnasked {
+	if refusal.Reason == lifecycle.BytesUnasked {
 		r.obs.Unsolicited(refusal.Peer)
 	}
 }
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -65,12 +65,12 @@
 		case name == webpush.Name && push != nil:
 			return push.RestoreMessage(o)
 		}
-		return front.Nobody{}
+		return front.NoReply{}
 	}
 	var ended []core.Ended
 	for _, e := range plan.Ends {
 		a := ledger.Answer{Verdict: ledger.Verdict(e.Verdict), RetryAfter: time.Duration(e.After)}
-		owe(e.Front, front.Owed{Identity: e.Identity, Way: e.Way, Answer: a, Handed: e.Handed})
+		owe(e.Front, front.Owed{Identity: e.Identity, ReturnPath: e.Way, Answer: a, Handed: e.Handed})
 		ended = append(ended, core.Ended{Identity: e.Identity, Answer: a, Age: e.Age, Evictable: !classes[e.Class].RecordAttempts})
 	}
 	for _, identity := range plan.ExpiredIdentities {
@@ -81,7 +81,7 @@
 	}
 	var messages []core.Restored
 	for _, m := range plan.Messages {
-		reply := owe(m.Front, front.Owed{Identity: m.Identity, Way: m.Way})
+		reply := owe(m.Front, front.Owed{Identity: m.Identity, ReturnPath: m.Way})
 		if m.Verdict != 0 {
 			a := ledger.Answer{Verdict: m.Verdict}
 			r.log.RecordEnd(journal.End{Seq: m.Seq, Identity: m.Identity, Class: m.Class, Verdict: uint8(a.Verdict),
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -139,7 +139,7 @@
 // Close half-closes the connection, so that the peer can read what was written. It is
 // closed when the peer closes it too, or after closeTimeout.
 func (tr *transport) Close() error {
-	tr.nb.Finish(closeTimeout) // sends the pending close_notify alert first
+	tr.nb.CloseLingering(closeTimeout) // sends the pending close_notify alert first
 	return nil
 }
 
@@ -202,7 +202,7 @@
 		_ = tr.SetReadDeadline(time.Time{})
 		onData := ready(c, err)
 		if err != nil {
-			nb.Finish(closeTimeout) // lets the peer read the alert that tells why
+			nb.CloseLingering(closeTimeout) // lets the peer read the alert that tells why
 			return
 		}
 		if onData != nil {
--- a/internal/webpush/front.go
+++ b/internal/webpush/front.go
@@ -64,9 +64,9 @@
 	Handshake             time.Duration       // time limit of a TLS handshake, and of receiving a request
 	Idle                  time.Duration       // connections without a request are closed after this time
 	WriteBuffer           int                 // unsent bytes of one connection
-	Door                  front.Door
+	Door                  front.Submitter
 	Observer              Observer
-	Keeper                front.Keeper // stores subscriptions and answers for a restart; nil for none
+	Keeper                front.Journal // stores subscriptions and answers for a restart; nil for none
 }
 
 // Front is a Web Push server.
@@ -116,10 +116,10 @@
 		if len(addrs) == 0 {
 			continue
 		}
-		l, err := front.Listen(front.Sockets{Name: "webpush", Addrs: addrs, ReadBuffer: 32 << 10,
+		l, err := front.Listen(front.ListenOptions{Name: "webpush", Addrs: addrs, ReadBuffer: 32 << 10,
 			WriteBuffer: opt.WriteBuffer,
-			Open:        func(nb *engine.Conn, _ time.Duration) front.Conn { return f.open(nb, i == 1) },
-			Failed:      func(err error) { opt.Observer.Logf("webpush: accept: %v", err) }})
+			NewHandler:  func(nb *engine.Conn, _ time.Duration) front.ConnHandler { return f.open(nb, i == 1) },
+			OnError:     func(err error) { opt.Observer.Logf("webpush: accept: %v", err) }})
 		if err != nil {
 			f.closeListeners()
 			return err
@@ -133,7 +133,7 @@
 	f.goroutines.Add(2)
 	go func() {
 		defer f.goroutines.Done()
-		f.outbox.Run(f.stop, func(list []front.Said[*push]) {
+		f.outbox.Run(f.stop, func(list []front.Report[*push]) {
 			f.mu.Lock()
 			defer f.unlock()
 			for _, s := range list {
@@ -198,7 +198,7 @@
 			}
 			f.connMu.Unlock()
 			for _, c := range late {
-				c.nb.Finish(front.Farewell)
+				c.nb.CloseLingering(front.LingerTime)
 			}
 			f.opt.Observer.Push(n, messages, subscriptions)
 		}
@@ -221,7 +221,7 @@
 }
 
 // open accepts a connection, or returns nil at the limit of connections.
-func (f *Front) open(nb *engine.Conn, secured bool) front.Conn {
+func (f *Front) open(nb *engine.Conn, secured bool) front.ConnHandler {
 	c := &conn{front: f, nb: nb, out: nb}
 	c.stateSince.Store(front.Now())
 	c.req.Reset(http1.Limits{Header: f.opt.Header, Body: f.opt.Body})
@@ -280,7 +280,7 @@
 // overdue reports whether a connection exceeded its idle time or the time limit of
 // receiving a request.
 func (c *conn) overdue(now time.Time) bool {
-	age := front.Nanos(now) - c.stateSince.Load()
+	age := front.SinceStart(now) - c.stateSince.Load()
 	switch c.state.Load() {
 	case 0:
 		return age > int64(c.front.opt.Idle)
@@ -316,13 +316,13 @@
 			if errors.Is(err, http1.ErrTooLong) {
 				status = http.StatusRequestEntityTooLarge
 			}
-			c.req.Keep = false
+			c.req.KeepAlive = false
 			c.write(textResponse(status, "%v", err))
 			return
 		}
 		if !c.req.Done() {
-			if c.req.Expect && c.req.InContent() {
-				c.req.Expect = false
+			if c.req.ExpectContinue && c.req.InContent() {
+				c.req.ExpectContinue = false
 				_, _ = io.WriteString(c.out, "HTTP/1.1 100 Continue\r\n\r\n")
 			}
 			return
@@ -373,14 +373,14 @@
 	if r.status != http.StatusNoContent {
 		b = append(strconv.AppendInt(append(b, "Content-Length: "...), int64(len(r.body)), 10), "\r\n"...)
 	}
-	if !c.req.Keep {
+	if !c.req.KeepAlive {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	b = append(append(b, "\r\n"...), r.body...)
 	_, err := c.out.Write(b)
-	if !c.req.Keep || err != nil {
+	if !c.req.KeepAlive || err != nil {
 		c.closed = true
-		c.nb.Finish(front.Farewell)
+		c.nb.CloseLingering(front.LingerTime)
 		return
 	}
 	c.req.Reset(http1.Limits{Header: c.front.opt.Header, Body: c.front.opt.Body})
--- a/internal/webpush/persist.go
+++ b/internal/webpush/persist.go
@@ -74,9 +74,9 @@
 // returns the receiver of an answer that is still to come.
 func (f *Front) RestoreMessage(o front.Owed) core.Reply {
 	var w returnPath
-	if err := cbor.Unmarshal(o.Way, &w); err != nil {
+	if err := cbor.Unmarshal(o.ReturnPath, &w); err != nil {
 		f.opt.Observer.Logf("webpush: way of %q: %v", o.Identity, err)
-		return front.Nobody{}
+		return front.NoReply{}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,7 +96,7 @@
 		if p.subscription != nil && !o.Handed {
 			p.subscription.addReceipt(p)
 		}
-		return front.Nobody{}
+		return front.NoReply{}
 	}
 	if p.topic != "" {
 		f.topics[p.topic] = p
--- a/internal/webpush/push.go
+++ b/internal/webpush/push.go
@@ -133,9 +133,9 @@
 	if e != nil {
 		return m, "", false, fmt.Errorf("TTL: %.40q is not a number of seconds; the field is required", ttl)
 	}
-	m.Left = min(time.Duration(seconds)*time.Second, f.opt.Names.Lives[class])
+	m.Left = min(time.Duration(seconds)*time.Second, f.opt.Names.Deadlines[class])
 	if seconds == 0 { // deliver at once or not at all (5.2)
-		m.Immediate, m.Left = true, f.opt.Names.Lives[class]
+		m.Immediate, m.Left = true, f.opt.Names.Deadlines[class]
 	}
 	switch u := q.header("Urgency"); u {
 	case "", "very-low", "low", "normal", "high":
@@ -290,7 +290,7 @@
 
 // handleReply handles the core's reply about a push: that it is accepted or rejected, or
 // its final answer; under mu.
-func (f *Front) handleReply(s front.Said[*push]) {
+func (f *Front) handleReply(s front.Report[*push]) {
 	p := s.To
 	if s.Answer.Verdict == 0 {
 		posts := p.waitingPosts
--- a/internal/webpush/repeat_test.go
+++ b/internal/webpush/repeat_test.go
@@ -48,7 +48,7 @@
 func newFixture(t *testing.T) *fixture {
 	b := &fixture{t: t, backend: &fakeCore{}, handedOver: &keeper{}}
 	b.f = New(Options{Names: front.Names{Classes: map[string]int{"status": 0}, Partners: map[string]int{"p": 0},
-		Lives: []time.Duration{time.Minute}},
+		Deadlines: []time.Duration{time.Minute}},
 		RequireIdempotencyKey: []bool{false}, AllowAnonymous: true, Body: 4096, Messages: 100,
 		Subscriptions: 10, Pending: 10, Polls: 10, Retention: time.Minute, MaxPollWait: time.Second,
 		Door: b.backend, Keeper: b.handedOver, Observer: nopObserver{}})
@@ -76,7 +76,7 @@
 		header: func(name string) string { return fields[name] }},
 		func(r response) { got = &r })
 	if len(b.backend.received) > before {
-		b.reply(front.Said[*push]{})
+		b.reply(front.Report[*push]{})
 	}
 	if got == nil || got.status != http.StatusAccepted {
 		b.t.Fatalf("POST: response %+v, want 202", got)
@@ -85,7 +85,7 @@
 }
 
 // reply passes a reply of the core about the newest hand-in to the front.
-func (b *fixture) reply(s front.Said[*push]) {
+func (b *fixture) reply(s front.Report[*push]) {
 	s.To = b.backend.received[len(b.backend.received)-1].Reply.(front.Reply[*push]).To
 	b.f.mu.Lock()
 	b.f.handleReply(s)
@@ -94,7 +94,7 @@
 
 // answer gives the final answer of the newest hand-in.
 func (b *fixture) answer(v ledger.Verdict, after time.Duration) {
-	b.reply(front.Said[*push]{Answer: ledger.Answer{Verdict: v, RetryAfter: after}})
+	b.reply(front.Report[*push]{Answer: ledger.Answer{Verdict: v, RetryAfter: after}})
 }
 
 // receipts fetches the receipts of a subscription and returns their answers. The query
