--- a/cmd/basaltcross/load.go
+++ b/cmd/basaltcross/load.go
@@ -50,7 +50,7 @@
 		}}
 	f := c.Flags()
 	f.Float64Var(&o.Rate, "rate", 1200, "messages per second in the open-loop runs")
-	f.DurationVar(&o.Lasts, "for", 8*time.Second, "length of each run")
+	f.DurationVar(&o.Duration, "for", 8*time.Second, "length of each run")
 	f.IntVar(&o.Window, "window", 256, "messages in flight in the saturation run")
 	f.IntVar(&o.Connections, "connections", 16, "connections of the lightweight clients")
 	f.IntVar(&o.Idle, "idle", 10000, "idle MQTT connections to measure; 0 to skip")
--- a/internal/load/journal.go
+++ b/internal/load/journal.go
@@ -15,20 +15,20 @@
 	"basaltcross.example/basaltcross/internal/journal"
 )
 
-// JournalResult is a relay under load with one kind of journal.
+// JournalResult holds the figures of a relay with one journal setting and one message class.
 type JournalResult struct {
-	Journal  string  `json:"journal"` // off, unsynced, synced
-	Class    string  `json:"class"`
-	Full     Result  `json:"full"`
-	Open     Result  `json:"open"` // at the rate asked for
-	OfOff    float64 `json:"of_off"`
-	Bytes    float64 `json:"bytes_a_message"` // of records
-	PerGroup float64 `json:"records_a_group"`
+	Journal       string  `json:"journal"` // off, unsynced or synced
+	Class         string  `json:"class"`
+	Saturated     Result  `json:"full"`            // at saturation
+	OpenLoop      Result  `json:"open"`            // open-loop run at Options.Rate
+	RelativeToOff float64 `json:"of_off"`          // saturation throughput as a share of that without a journal
+	Bytes         float64 `json:"bytes_a_message"` // bytes of journal records per delivered message
+	PerGroup      float64 `json:"records_a_group"` // journal records per group commit
 }
 
-// Journal measures a relay without a journal, with one that is not synced, and
-// with one that is, one after the other, for a class whose attempts are recorded
-// and for one whose are not.
+// Journal measures a relay without a journal, with an unsynced and with a synced one, one
+// after the other. Each is measured with a class whose attempts are not recorded ("status")
+// and one whose attempts are ("charge").
 func Journal(ctx context.Context, o Options) ([]JournalResult, error) {
 	dir, err := os.MkdirTemp("", "basaltcross-load-")
 	if err != nil {
@@ -49,7 +49,7 @@
 	for _, kind := range []string{"off", "unsynced", "synced"} {
 		for _, class := range []string{"status", "charge"} {
 			name := kind + "-" + class
-			if err := o.journalConfig(dir, name, kind, host.addrs); err != nil {
+			if err := o.writeJournalConfig(dir, name, kind, host.addrs); err != nil {
 				return nil, err
 			}
 			relay, err := o.start(ctx, dir, name, "relay", "--config", filepath.Join(dir, name+".cue"))
@@ -68,32 +68,33 @@
 					return nil, err
 				}
 				if saturated {
-					r.Full = relay.measured(func() Result { return full(ctx, name, s, o.Window, o.Lasts) })
+					r.Saturated = relay.measure(func() Result { return saturate(ctx, name, s, o.Window, o.Duration) })
 				} else {
-					r.Open = relay.measured(func() Result { return open(ctx, name, s, o.Rate, o.Lasts) })
+					r.OpenLoop = relay.measure(func() Result { return openLoop(ctx, name, s, o.Rate, o.Duration) })
 				}
 				s.close()
 			}
 			if kind != "off" {
-				stats, err := journalStats(relay.named["metrics"])
+				stats, err := journalStats(relay.labelled["metrics"])
 				if err != nil {
 					relay.stop()
 					return nil, fmt.Errorf("load: %w", err)
 				}
-				r.Bytes = float64(stats.Bytes) / float64(max(1, r.Full.OK+r.Open.OK))
+				r.Bytes = float64(stats.Bytes) / float64(max(1, r.Saturated.OK+r.OpenLoop.OK))
 				r.PerGroup = float64(stats.Records) / float64(max(1, stats.Groups))
 			}
 			relay.stop()
 			if kind == "off" {
-				off[class] = r.Full.PerSec
+				off[class] = r.Saturated.PerSec
 			}
-			r.OfOff = r.Full.PerSec / off[class]
+			r.RelativeToOff = r.Saturated.PerSec / off[class]
 			out = append(out, r)
 		}
 	}
 	return out, nil
 }
 
+// journalStats fetches the journal's counters from the metrics listener of a relay.
 func journalStats(addr string) (s journal.Stats, err error) {
 	r, err := (&http.Client{Timeout: 10 * time.Second}).Get("http://" + addr + "/journal")
 	if err != nil {
@@ -103,7 +104,9 @@
 	return s, json.NewDecoder(r.Body).Decode(&s)
 }
 
-func (o *Options) journalConfig(dir, name, kind string, ends []string) error {
+// writeJournalConfig writes NAME.cue, the configuration of a relay with the given kind of journal, and
+// NAME.list, its list of endpoints, to dir.
+func (o *Options) writeJournalConfig(dir, name, kind string, ends []string) error {
 	var b, list strings.Builder
 	fmt.Fprintf(&b, `relay: {workers: %d, held: 100000, attempts: 4}
 classes: [
@@ -138,10 +141,13 @@
 // PrintJournal writes results as a table.
 func PrintJournal(w io.Writer, results []JournalResult) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "journal\tclass\tsaturated\tof off\tCPU a message\tp50 at rate\tp99 at rate\tbytes a message\trecords a group\t")
+	fmt.Fprintln(t,
+		"journal\tclass\tsaturated\tof off\tCPU a message\tp50 at rate\tp99 at rate\tbytes a message\trecords a group\t")
 	for _, r := range results {
-		fmt.Fprintf(t, "%s\t%s\t%.0f/s\t%.2f\t%v\t%v\t%v\t%.0f\t%.1f\t\n", r.Journal, r.Class, r.Full.PerSec, r.OfOff,
-			r.Full.CPU.Round(time.Microsecond), r.Open.P50.Round(10*time.Microsecond), r.Open.P99.Round(10*time.Microsecond), r.Bytes, r.PerGroup)
+		fmt.Fprintf(t, "%s\t%s\t%.0f/s\t%.2f\t%v\t%v\t%v\t%.0f\t%.1f\t\n", r.Journal, r.Class, r.Saturated.PerSec,
+			r.RelativeToOff,
+			r.Saturated.CPU.Round(time.Microsecond), r.OpenLoop.P50.Round(10*time.Microsecond),
+			r.OpenLoop.P99.Round(10*time.Microsecond), r.Bytes, r.PerGroup)
 	}
 	_ = t.Flush()
 }
