--- a/internal/badday/audit.go
+++ b/internal/badday/audit.go
@@ -76,14 +76,14 @@
 
 // endedAt returns when the call stopped being in flight, as far as the stand-in can tell.
 func (c *call) endedAt() time.Time {
-	if !c.Left.IsZero() && c.Left.Before(c.End) {
-		return c.Left
+	if !c.CallerClosed.IsZero() && c.CallerClosed.Before(c.End) {
+		return c.CallerClosed
 	}
 	return c.End
 }
 
 func (c *call) outcomeUnknown() bool {
-	return c.What == standin.Lost || c.What == standin.Failed || !c.Left.IsZero()
+	return c.Outcome == standin.Lost || c.Outcome == standin.Failed || !c.CallerClosed.IsZero()
 }
 
 func (d *deployment) audit() *Report {
@@ -97,7 +97,7 @@
 		}
 		calls = append(calls, k)
 		byID[k.id] = append(byID[k.id], k)
-		r.Calls[c.What]++
+		r.Calls[c.Outcome]++
 	}
 	byStart := func(a, b *call) int { return a.Start.Compare(b.Start) }
 	slices.SortFunc(calls, byStart)
@@ -157,7 +157,7 @@
 	for _, h := range handIns {
 		allIDs[h.id] = true
 		for _, a := range h.answers {
-			if a.Answer == "delivered" {
+			if a.Outcome == "delivered" {
 				deliveredIDs[h.id] = true
 			}
 		}
@@ -172,10 +172,10 @@
 			continue
 		}
 		first := answers[0]
-		r.Answers[first.Answer]++
+		r.Answers[first.Outcome]++
 		for _, a := range answers[1:] {
-			if a.Answer != first.Answer {
-				x.fail("%s: %s, then %s; %s", name, first.Answer, a.Answer, d.history(h))
+			if a.Outcome != first.Outcome {
+				x.fail("%s: %s, then %s; %s", name, first.Outcome, a.Outcome, d.history(h))
 			}
 		}
 		due := answerDue(h, handIns)
@@ -191,13 +191,13 @@
 			}
 		}
 		if first.At.After(due.Add(answerSlack)) && !d.clientDisconnected(h, due) {
-			x.fail("%s: %s %v late; %s", name, first.Answer, first.At.Sub(due), d.history(h))
+			x.fail("%s: %s %v late; %s", name, first.Outcome, first.At.Sub(due), d.history(h))
 		}
 		for _, c := range byID[h.id] {
-			if first.Answer == "refused" && c.number == h.number && c.What != standin.Refused {
-				x.fail("%s: refused, but it may have run (%s)", name, c.What)
+			if first.Outcome == "refused" && c.number == h.number && c.Outcome != standin.Refused {
+				x.fail("%s: refused, but it may have run (%s)", name, c.Outcome)
 			}
-			if c.number == h.number && c.Relay == d.relays[h.relay].name() && c.Left.IsZero() &&
+			if c.number == h.number && c.Relay == d.relays[h.relay].name() && c.CallerClosed.IsZero() &&
 				c.Start.After(first.At.Add(recordSlack)) {
 				x.fail("%s: a call went out %v after its answer", name, c.Start.Sub(first.At))
 			}
@@ -256,12 +256,12 @@
 				switch {
 				case c.Class == "charge":
 					x.fail("%s: charge sent again %v after an attempt that may have run (%s)", id,
-						c.Start.Sub(maybeRan.Start), maybeRan.What)
+						c.Start.Sub(maybeRan.Start), maybeRan.Outcome)
 				case c.Class == "order" && c.Start.Sub(maybeRan.Start) > window+recordSlack:
 					x.fail("%s: keyed message sent again %v after an attempt that may have run", id, c.Start.Sub(maybeRan.Start))
 				}
 			}
-			if maybeRan == nil && c.What != standin.Refused {
+			if maybeRan == nil && c.Outcome != standin.Refused {
 				maybeRan = c
 			}
 		}
@@ -313,12 +313,12 @@
 func (d *deployment) auditReturns() *Rule {
 	x := &Rule{Name: "no returning partner pushed over"}
 	for _, p := range d.partners {
-		x.Occasions += p.Returns()
-		for _, f := range p.Falls() {
+		x.Occasions += p.OutagesEnded()
+		for _, f := range p.Collapses() {
 			total, afterFailure := 0, 0
 			for relay, n := range f.Calls {
 				total += n
-				if f.Saw[relay] {
+				if f.SawFailure[relay] {
 					afterFailure += n
 				}
 			}
@@ -387,7 +387,7 @@
 			!d.restarted(c.Relay, w[0], c.Start) {
 			x.fail("%s sent to %s %v before its wait was over", c.Relay, c.Partner, w[1].Sub(c.Start))
 		}
-		if c.Wait > 0 && c.Left.IsZero() {
+		if c.Wait > 0 && c.CallerClosed.IsZero() {
 			x.Occasions++
 			w := until[key]
 			if end := c.End.Add(c.Wait); end.After(w[1]) {
--- a/internal/badday/deployment.go
+++ b/internal/badday/deployment.go
@@ -330,8 +330,9 @@
 	}
 	for i := range s.Partners {
 		limit := max(4, s.Rate*d.trafficShare(i)*rateHeadroom)
-		p := standin.NewPartner(fmt.Sprintf("p%d", i), standin.Model{Service: service, Spread: 0.5, Rate: limit,
-			Tells: i%2 == 0, Window: window, ColdFrom: coldFrom, Cold: cold, Factor: overloadFactor, Fall: fall,
+		p := standin.NewPartner(fmt.Sprintf("p%d", i), standin.Model{Service: service, ServiceJitter: 0.5, Rate: limit,
+			SendsRetryAfter: i%2 == 0, DedupWindow: window, RampUpFrom: coldFrom, RampUp: cold,
+			OverloadFactor: overloadFactor, OverloadTime: fall,
 			Capacity: limit}, s.Seed+uint64(i))
 		d.partners = append(d.partners, p)
 		for range 2 {
--- a/internal/badday/plant.go
+++ b/internal/badday/plant.go
@@ -38,7 +38,7 @@
 	case "send-to-drained":
 		h.Sink = func(s directory.Sink) directory.Sink { return &staleSink{Sink: s} }
 	case "out-of-order", "no-answer", "late-answer":
-		h.Door = func(d front.Door) front.Door { return &faultyDoor{Door: d, name: name, cfg: cfg} }
+		h.Door = func(d front.Submitter) front.Submitter { return &faultyDoor{Submitter: d, name: name, cfg: cfg} }
 	case "answer-before-sync":
 		h.Journal = func(j core.Journal) core.Journal { return &earlySyncJournal{j} }
 	default:
@@ -107,7 +107,7 @@
 
 // faultyDoor removes the keys of messages, or suppresses or delays answers.
 type faultyDoor struct {
-	front.Door
+	front.Submitter
 	name string
 	cfg  *config.Config
 	n    atomic.Int64
@@ -119,7 +119,7 @@
 	} else if b.n.Add(1)%20 == 0 {
 		m.Reply = &faultyReply{Reply: m.Reply, late: b.name == "late-answer", after: b.cfg.Classes[m.Class].Deadline.D()}
 	}
-	return b.Door.Submit(m)
+	return b.Submitter.Submit(m)
 }
 
 type faultyReply struct {
--- a/internal/badday/sender.go
+++ b/internal/badday/sender.go
@@ -85,8 +85,8 @@
 		return
 	}
 	h.answers = append(h.answers, a)
-	if a.Answer == "refused" && len(h.answers) == 1 && h.try < maxTries {
-		s.scheduleRetry(h, max(a.After, 100*time.Millisecond))
+	if a.Outcome == "refused" && len(h.answers) == 1 && h.try < maxTries {
+		s.scheduleRetry(h, max(a.RetryAfter, 100*time.Millisecond))
 	}
 }
 
@@ -117,8 +117,8 @@
 		if r := s.deployment.relays[s.relay]; s.pushSessions != nil {
 			cl, err = client.DialPush(r.origin, s.deployment.trust, s.pushSessions[s.relay], s.onAnswer)
 		} else {
-			cl, err = client.Dial(dial, r.addr(), client.Options{ID: s.name, Expiry: 120, On: s.onAnswer,
-				Acknowledged: s.onAcknowledged, AcknowledgeEvery: s.deployment.opt.AcknowledgeEvery})
+			cl, err = client.Dial(dial, r.addr(), client.Options{ID: s.name, Expiry: 120, OnAnswer: s.onAnswer,
+				OnAcknowledged: s.onAcknowledged, AckInterval: s.deployment.opt.AcknowledgeEvery})
 		}
 		cancel()
 		if err == nil {
@@ -244,7 +244,7 @@
 			step += ", connection lost"
 		}
 		for _, a := range h.answers {
-			step += fmt.Sprintf(", %s %v to come again after %v", a.Answer, since(h, a.At), a.After)
+			step += fmt.Sprintf(", %s %v to come again after %v", a.Outcome, since(h, a.At), a.RetryAfter)
 		}
 		steps = append(steps, step)
 	}
--- a/internal/badday/trouble.go
+++ b/internal/badday/trouble.go
@@ -39,32 +39,32 @@
 	case "hot_key":
 		during(func() { d.hotKeyShare = t.Size }, func() { d.hotKeyShare = 0 })
 	case "hang":
-		d.injectAtPartners(ctx, t, true, standin.Trouble{Hang: true})
+		d.injectAtPartners(ctx, t, true, standin.Faults{Hang: true})
 	case "vanish":
-		d.injectAtOneEndpoint(ctx, t, standin.Trouble{Hang: true})
+		d.injectAtOneEndpoint(ctx, t, standin.Faults{Hang: true})
 	case "crash":
 		d.crash(ctx, t)
 	case "fast_errors":
-		d.injectAtPartners(ctx, t, true, standin.Trouble{Errors: t.Size})
+		d.injectAtPartners(ctx, t, true, standin.Faults{Errors: t.Size})
 	case "slow":
-		d.injectAtPartners(ctx, t, false, standin.Trouble{Factor: t.Size})
+		d.injectAtPartners(ctx, t, false, standin.Faults{ServiceFactor: t.Size})
 	case "shared_slow":
-		d.injectAtPartners(ctx, t, false, standin.Trouble{Factor: t.Size})
+		d.injectAtPartners(ctx, t, false, standin.Faults{ServiceFactor: t.Size})
 	case "heavy_tail":
-		d.injectAtPartners(ctx, t, false, standin.Trouble{TailShare: 0.02, TailFactor: t.Size})
+		d.injectAtPartners(ctx, t, false, standin.Faults{TailShare: 0.02, TailFactor: t.Size})
 	case "pauses":
-		d.injectAtPartners(ctx, t, false, standin.Trouble{PauseEvery: 1500 * time.Millisecond,
+		d.injectAtPartners(ctx, t, false, standin.Faults{PauseEvery: 1500 * time.Millisecond,
 			Pause: time.Duration(t.Size * float64(time.Second))})
 	case "throttle":
-		d.injectAtPartners(ctx, t, false, standin.Trouble{RateShare: t.Size})
+		d.injectAtPartners(ctx, t, false, standin.Faults{RateShare: t.Size})
 	case "answer_lost":
-		d.injectAtPartners(ctx, t, false, standin.Trouble{Lost: t.Size})
+		d.injectAtPartners(ctx, t, false, standin.Faults{LostResponses: t.Size})
 	case "class_fail":
-		d.injectAtOneEndpoint(ctx, t, standin.Trouble{Errors: t.Size, ErrorClass: "status"})
+		d.injectAtOneEndpoint(ctx, t, standin.Faults{Errors: t.Size, ErrorClass: "status"})
 	case "idle_reap":
-		d.injectAtPartners(ctx, t, false, standin.Trouble{Reap: time.Duration(t.Size * float64(time.Second))})
+		d.injectAtPartners(ctx, t, false, standin.Faults{IdleReset: time.Duration(t.Size * float64(time.Second))})
 	case "handshake_slow":
-		d.injectAtPartners(ctx, t, false, standin.Trouble{Handshake: time.Duration(t.Size * float64(time.Second))})
+		d.injectAtPartners(ctx, t, false, standin.Faults{FirstCallDelay: time.Duration(t.Size * float64(time.Second))})
 	case "give_up":
 		for range 3 { // clients drop their connections without a close and reconnect for their answers
 			for _, i := range d.randomSubset(len(d.senders), t.Part) {
@@ -85,12 +85,12 @@
 	case "preempt":
 		d.deploy(ctx, t, 0)
 	case "catalogue_down":
-		d.injectAtCatalogue(ctx, lasts, standin.CatalogTrouble{Down: true})
+		d.injectAtCatalogue(ctx, lasts, standin.CatalogFaults{Down: true})
 	case "catalogue_half":
-		d.injectAtCatalogue(ctx, lasts, standin.CatalogTrouble{Half: true})
+		d.injectAtCatalogue(ctx, lasts, standin.CatalogFaults{OmitHalf: true})
 	case "catalogue_back": // restored without data: its index restarts, and services register again
 		d.consul.Reset()
-		d.injectAtCatalogue(ctx, lasts, standin.CatalogTrouble{Empty: true})
+		d.injectAtCatalogue(ctx, lasts, standin.CatalogFaults{Empty: true})
 		d.consul.Reset()
 	case "flap":
 		d.flap(ctx, t)
@@ -133,7 +133,7 @@
 }
 
 // injectAtPartners injects a fault at all endpoints of a fraction of the partners.
-func (d *deployment) injectAtPartners(ctx context.Context, t Trouble, outage bool, what standin.Trouble) {
+func (d *deployment) injectAtPartners(ctx context.Context, t Trouble, outage bool, what standin.Faults) {
 	var struck []*standin.Partner
 	for _, i := range d.randomSubset(len(d.partners), t.Part) {
 		struck = append(struck, d.partners[i])
@@ -149,7 +149,7 @@
 	pause.For(ctx, t.For.D())
 	for _, p := range struck {
 		for _, e := range d.readyEndpoints(p) {
-			e.Set(standin.Trouble{})
+			e.Set(standin.Faults{})
 		}
 		if outage {
 			p.Outage(false)
@@ -158,7 +158,7 @@
 }
 
 // injectAtOneEndpoint injects a fault at one endpoint each of a fraction of the partners.
-func (d *deployment) injectAtOneEndpoint(ctx context.Context, t Trouble, what standin.Trouble) {
+func (d *deployment) injectAtOneEndpoint(ctx context.Context, t Trouble, what standin.Faults) {
 	var struck []*listedEndpoint
 	for _, i := range d.randomSubset(len(d.partners), t.Part) {
 		struck = append(struck, d.readyEndpoints(d.partners[i])[0])
@@ -168,7 +168,7 @@
 	}
 	pause.For(ctx, t.For.D())
 	for _, e := range struck {
-		e.Set(standin.Trouble{})
+		e.Set(standin.Faults{})
 	}
 }
 
@@ -257,7 +257,7 @@
 	struck := d.randomSubset(len(all), t.Part)
 	for _, i := range struck {
 		if e := all[i].second; i%3 == 0 {
-			e.Set(standin.Trouble{Hang: true})
+			e.Set(standin.Faults{Hang: true})
 		} else {
 			e.Close()
 		}
@@ -265,7 +265,7 @@
 	pause.For(ctx, t.For.D())
 	for _, i := range struck {
 		if e := all[i].second; i%3 == 0 {
-			e.Set(standin.Trouble{})
+			e.Set(standin.Faults{})
 		} else if err := e.Reopen(); err != nil {
 			d.opt.Out.Write([]byte(err.Error() + "\n"))
 		}
@@ -273,10 +273,10 @@
 }
 
 // injectAtCatalogue injects a fault at the catalogue for a given duration.
-func (d *deployment) injectAtCatalogue(ctx context.Context, lasts time.Duration, t standin.CatalogTrouble) {
+func (d *deployment) injectAtCatalogue(ctx context.Context, lasts time.Duration, t standin.CatalogFaults) {
 	d.consul.Set(t)
 	pause.For(ctx, lasts)
-	d.consul.Set(standin.CatalogTrouble{})
+	d.consul.Set(standin.CatalogFaults{})
 }
 
 // flap marks endpoints as draining and as ready again ten times a second. In the end they stay
--- a/internal/fleet/calibrate.go
+++ b/internal/fleet/calibrate.go
@@ -52,7 +52,7 @@
 	var ends []end
 	for p := range s.Partners {
 		sp := standin.NewPartner(fmt.Sprintf("p%d", p),
-			standin.Model{Service: medianServiceTime, Spread: serviceTimeSpread}, s.Seed+uint64(p))
+			standin.Model{Service: medianServiceTime, ServiceJitter: serviceTimeSpread}, s.Seed+uint64(p))
 		for i := range 2 {
 			e, err := standin.Start("127.0.0.1:0", sp, rec)
 			if err != nil {
@@ -120,7 +120,7 @@
 		}
 		delete(sent, a.ID)
 		k, age := classes[p.class], a.At.Sub(begin)-p.arrival
-		switch a.Answer {
+		switch a.Outcome {
 		case "refused":
 			out.Refused++
 		case "failed":
@@ -141,7 +141,7 @@
 	body := make([]byte, requestBytes+responseBytes-exchangeOverhead)
 	var all sync.WaitGroup
 	for i, r := range relays {
-		c, err := client.Dial(ctx, r.Addrs()[0], client.Options{ID: fmt.Sprintf("c%d", i), Expiry: 60, On: on})
+		c, err := client.Dial(ctx, r.Addrs()[0], client.Options{ID: fmt.Sprintf("c%d", i), Expiry: 60, OnAnswer: on})
 		if err != nil {
 			return out, err
 		}
