--- a/internal/badday/plant.go
+++ b/internal/badday/plant.go
@@ -38,7 +38,7 @@
 	case "send-to-drained":
 		h.Sink = func(s directory.Sink) directory.Sink { return &staleSink{Sink: s} }
 	case "out-of-order", "no-answer", "late-answer":
-		h.Door = func(d front.Submitter) front.Submitter { return &faultyDoor{Submitter: d, name: name, cfg: cfg} }
+		h.Door = func(d front.Submitter) front.Submitter { return &faultySubmitter{Submitter: d, name: name, cfg: cfg} }
 	case "answer-before-sync":
 		h.Journal = func(j core.Journal) core.Journal { return &earlySyncJournal{j} }
 	default:
@@ -105,15 +105,15 @@
 	d.Sink.List(l)
 }
 
-// faultyDoor removes the keys of messages, or suppresses or delays answers.
-type faultyDoor struct {
+// faultySubmitter removes the keys of messages, or suppresses or delays answers.
+type faultySubmitter struct {
 	front.Submitter
 	name string
 	cfg  *config.Config
 	n    atomic.Int64
 }
 
-func (b *faultyDoor) Submit(m *core.Message) error {
+func (b *faultySubmitter) Submit(m *core.Message) error {
 	if b.name == "out-of-order" {
 		m.Key = ""
 	} else if b.n.Add(1)%20 == 0 {
--- a/internal/badday/trouble.go
+++ b/internal/badday/trouble.go
@@ -134,11 +134,11 @@
 
 // injectAtPartners injects a fault at all endpoints of a fraction of the partners.
 func (d *deployment) injectAtPartners(ctx context.Context, t Trouble, outage bool, what standin.Faults) {
-	var struck []*standin.Partner
+	var affected []*standin.Partner
 	for _, i := range d.randomSubset(len(d.partners), t.Part) {
-		struck = append(struck, d.partners[i])
+		affected = append(affected, d.partners[i])
 	}
-	for _, p := range struck {
+	for _, p := range affected {
 		if outage {
 			p.Outage(true)
 		}
@@ -147,7 +147,7 @@
 		}
 	}
 	pause.For(ctx, t.For.D())
-	for _, p := range struck {
+	for _, p := range affected {
 		for _, e := range d.readyEndpoints(p) {
 			e.Set(standin.Faults{})
 		}
@@ -159,15 +159,15 @@
 
 // injectAtOneEndpoint injects a fault at one endpoint each of a fraction of the partners.
 func (d *deployment) injectAtOneEndpoint(ctx context.Context, t Trouble, what standin.Faults) {
-	var struck []*listedEndpoint
+	var affected []*listedEndpoint
 	for _, i := range d.randomSubset(len(d.partners), t.Part) {
-		struck = append(struck, d.readyEndpoints(d.partners[i])[0])
+		affected = append(affected, d.readyEndpoints(d.partners[i])[0])
 	}
-	for _, e := range struck {
+	for _, e := range affected {
 		e.Set(what)
 	}
 	pause.For(ctx, t.For.D())
-	for _, e := range struck {
+	for _, e := range affected {
 		e.Set(standin.Faults{})
 	}
 }
@@ -179,7 +179,7 @@
 	for _, r := range d.relays {
 		names = append(names, r.name())
 	}
-	var struck []*listedEndpoint
+	var affected []*listedEndpoint
 	var partners []*standin.Partner
 	for _, i := range d.randomSubset(len(d.partners), t.Part) {
 		p := d.partners[i]
@@ -189,14 +189,14 @@
 			for _, a := range e.addresses() {
 				a.Close()
 			}
-			struck = append(struck, e)
+			affected = append(affected, e)
 		}
 	}
 	pause.For(ctx, t.For.D())
 	for _, p := range partners {
 		p.Outage(false)
 	}
-	for _, e := range struck {
+	for _, e := range affected {
 		for _, a := range e.addresses() {
 			if err := a.Reopen(); err != nil {
 				d.opt.Out.Write([]byte(err.Error() + "\n"))
@@ -254,8 +254,8 @@
 	for _, p := range d.partners {
 		all = append(all, d.readyEndpoints(p)...)
 	}
-	struck := d.randomSubset(len(all), t.Part)
-	for _, i := range struck {
+	affected := d.randomSubset(len(all), t.Part)
+	for _, i := range affected {
 		if e := all[i].second; i%3 == 0 {
 			e.Set(standin.Faults{Hang: true})
 		} else {
@@ -263,7 +263,7 @@
 		}
 	}
 	pause.For(ctx, t.For.D())
-	for _, i := range struck {
+	for _, i := range affected {
 		if e := all[i].second; i%3 == 0 {
 			e.Set(standin.Faults{})
 		} else if err := e.Reopen(); err != nil {
--- a/internal/fleet/address.go
+++ b/internal/fleet/address.go
@@ -41,15 +41,15 @@
 
 // AddressResult is the result of a run of Addresses.
 type AddressResult struct {
-	Memory   AddressMemory
-	Calls    int
-	Dialed   int           // calls that needed a new connection
-	Struck   int           // new connections to an endpoint whose IPv6 was dead at the time
-	Extra    int           // connection attempts beyond one for each new connection
-	Delayed  int           // struck calls delayed by 10 ms or more compared with trying a live address first
-	Mean     time.Duration // mean delay added to a struck call
-	P99      time.Duration // 99th percentile of that delay
-	Returned float64       // fraction of new connections over IPv6 in the last tenth of the run, where it had been dead
+	Memory        AddressMemory
+	Calls         int
+	Dials         int           // calls that needed a new connection
+	Affected      int           // new connections to an endpoint whose IPv6 was dead at the time
+	ExtraAttempts int           // connection attempts beyond one for each new connection
+	Delayed       int           // affected calls delayed by 10 ms or more compared with trying a live address first
+	Mean          time.Duration // mean delay added to an affected call
+	P99           time.Duration // 99th percentile of that delay
+	Returned      float64       // fraction of new connections over IPv6 in the last tenth of the run, where it had been dead
 }
 
 // Addresses runs the simulation.
@@ -76,10 +76,10 @@
 			continue
 		}
 		last[at] = now + s.IdleTimeout
-		r.Dialed++
+		r.Dials++
 		// Which endpoints are affected is independent of how often they are called.
-		struck := float64(at.endpoint*7919%s.Endpoints) < s.DeadShare*float64(s.Endpoints)
-		dead := struck && now > s.Duration/3 && now < 2*s.Duration/3
+		affected := float64(at.endpoint*7919%s.Endpoints) < s.DeadShare*float64(s.Endpoints)
+		dead := affected && now > s.Duration/3 && now < 2*s.Duration/3
 		book := books[at]
 		if book == nil || s.Memory == NoMemory {
 			f := &families[at.relay]
@@ -104,22 +104,22 @@
 			case i == won:
 				book.Connected(step.Address, wait)
 			case step.Trial && alive:
-				r.Extra++
+				r.ExtraAttempts++
 				book.Connected(step.Address, wait)
 			case step.Trial:
-				r.Extra++
+				r.ExtraAttempts++
 				book.Failed(now+addr.TrialTimeout, step.Address)
 			case step.After < up: // attempt begun, then cancelled
-				r.Extra++
+				r.ExtraAttempts++
 				book.Cancelled(now+up, step.Address, up-step.After)
 			}
 		}
 		if dead {
-			r.Struck++
+			r.Affected++
 			if added = append(added, up-wait); up-wait >= 10*time.Millisecond {
 				r.Delayed++
 			}
-		} else if struck && now > s.Duration*9/10 {
+		} else if affected && now > s.Duration*9/10 {
 			if late++; plan[won].Family == addr.IPv6 {
 				back++
 			}
@@ -141,11 +141,11 @@
 func PrintAddresses(w io.Writer, results []AddressResult) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t,
-		"address memory\tcalls\tconnections\tstruck\tdelayed\tadded, mean\tadded, p99\textra connections\tIPv6 again\t")
+		"address memory\tcalls\tconnections\taffected\tdelayed\tadded, mean\tadded, p99\textra connections\tIPv6 again\t")
 	for _, r := range results {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f%%\t%v\t%v\t%.1f%%\t%.0f%%\t\n", r.Memory, r.Calls, r.Dialed, r.Struck,
-			100*float64(r.Delayed)/float64(max(1, r.Struck)), r.Mean.Round(100*time.Microsecond),
-			r.P99.Round(time.Millisecond), 100*float64(r.Extra)/float64(cmp.Or(r.Dialed, 1)), 100*r.Returned)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f%%\t%v\t%v\t%.1f%%\t%.0f%%\t\n", r.Memory, r.Calls, r.Dials, r.Affected,
+			100*float64(r.Delayed)/float64(max(1, r.Affected)), r.Mean.Round(100*time.Microsecond),
+			r.P99.Round(time.Millisecond), 100*float64(r.ExtraAttempts)/float64(cmp.Or(r.Dials, 1)), 100*r.Returned)
 	}
 	_ = t.Flush()
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -64,8 +64,8 @@
 
 // Sizes and times of the modelled traffic.
 const (
-	requestBytes      = 600 // request with its headers
-	responseBytes     = 400 // response with its headers
+	requestBytes      = 600 // bytes, including headers
+	responseBytes     = 400 // bytes, including headers
 	medianServiceTime = 30 * time.Millisecond
 	serviceTimeSpread = 0.5 // standard deviation of the logarithm of the service time
 	slotsPerRelay     = 8   // concurrent calls of an endpoint, before scaling by relays per partner
@@ -157,14 +157,14 @@
 
 // relay is one simulated relay; it is also its core's Caller and Observer.
 type relay struct {
-	w        *simulation
-	index    int
-	zone     int
-	core     *core.Core
-	toll     *zone.Toll
-	dead     bool
-	nextStep time.Duration // time of the next scheduled step; valid while armed
-	armed    bool
+	w          *simulation
+	index      int
+	zone       int
+	core       *core.Core
+	zoneBudget *zone.Toll
+	dead       bool
+	nextStep   time.Duration // time of the next scheduled step; valid while armed
+	armed      bool
 }
 
 // after schedules an action; a negative delay counts as 0.
@@ -227,8 +227,8 @@
 			if s.Policy == ZoneBlindCap {
 				own = -1
 			}
-			r.toll = zone.NewToll(book, own)
-			opt.ZoneBudget = r.toll
+			r.zoneBudget = zone.NewToll(book, own)
+			opt.ZoneBudget = r.zoneBudget
 		}
 		var err error
 		if r.core, err = core.New(opt); err != nil {
@@ -250,8 +250,8 @@
 		e.do()
 	}
 	for _, r := range w.relays {
-		if r.toll != nil && (s.Policy != Ideal || r.index == 0) {
-			w.result.Overdrawn += r.toll.State(w.now).Overdrawn
+		if r.zoneBudget != nil && (s.Policy != Ideal || r.index == 0) {
+			w.result.Overdrawn += r.zoneBudget.State(w.now).Overdrawn
 		}
 	}
 	w.findWorstWindow()
@@ -296,8 +296,8 @@
 			}
 			w.after(s.DetectionDelay, func() {
 				for _, r := range w.relays[dying:] {
-					if r.toll != nil && s.Policy != Ideal {
-						r.toll.Fleet(w.now, s.Relays-dying)
+					if r.zoneBudget != nil && s.Policy != Ideal {
+						r.zoneBudget.Fleet(w.now, s.Relays-dying)
 					}
 				}
 			})
