--- a/internal/fleet/address.go
+++ b/internal/fleet/address.go
@@ -49,7 +49,7 @@
 	Delayed       int           // affected calls delayed by 10 ms or more compared with trying a live address first
 	Mean          time.Duration // mean delay added to an affected call
 	P99           time.Duration // 99th percentile of that delay
-	Returned      float64       // fraction of new connections over IPv6 in the last tenth of the run, where it had been dead
+	Returned      float64       // fraction of new connections over IPv6 in the last tenth, where it had been dead
 }
 
 // Addresses runs the simulation.
