--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -20,8 +20,11 @@
 	"basaltcross.example/basaltcross/internal/obs"
 )
 
-// sources are those of the configuration, the file first.
-func sources(cfg *config.Config, ring *keys.Ring, names directory.Names) (out []directory.Source, clients []*catalog.Client, err error) {
+// directorySources returns the endpoint sources that the configuration names: the
+// list file first, then the services of each Consul catalogue. It also returns the
+// Consul clients.
+func directorySources(cfg *config.Config, ring *keys.Ring, names directory.Names) (
+	out []directory.Source, clients []*catalog.Client, err error) {
 	if cfg.Directory.File != "" {
 		out = append(out, &directory.File{Path: cfg.Directory.File, Names: names, MaxBytes: cfg.Limits.ListBytes})
 	}
@@ -30,11 +33,11 @@
 			Namespace: k.Namespace, Partition: k.Partition, Consistency: k.Consistency, MaxStale: k.MaxStale.D(),
 			Wait: k.Wait.D(), MaxBytes: int64(cfg.Limits.ListBytes)}
 		if k.TLS != nil {
-			of, err := clientTLS(ring, k.TLS)
+			newTLSConfig, err := clientTLS(ring, k.TLS)
 			if err != nil {
 				return nil, nil, fmt.Errorf("consul %s: %w", k.Name, err)
 			}
-			o.TLS = of()
+			o.TLS = newTLSConfig()
 			o.TLS.NextProtos = nil
 			o.TLS.MinVersion = tls.VersionTLS12
 		}
@@ -53,35 +56,39 @@
 	return out, clients, nil
 }
 
-// follower keeps the relay registered, and tells the core of the fleet.
-type follower struct {
-	client *catalog.Client
-	reg    catalog.Registration
-	tell   func(index, size int)
-	obs    *obs.Relay
-	epoch  time.Time
+// fleetMembership keeps the relay registered in the catalogue, watches the other
+// relays of the fleet and reports changes of the fleet's size and of this relay's
+// index in it.
+type fleetMembership struct {
+	client   *catalog.Client
+	reg      catalog.Registration
+	onChange func(index, size int)
+	obs      *obs.Relay
+	epoch    time.Time // origin of the times given to fleet
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards fleet, index and size
 	fleet *member.Fleet
 	index int
 	size  int
-	wake  chan struct{}
+	wake  chan struct{} // signals run that fleet has a new report
 }
 
-func newFollower(cfg *config.Config, c *catalog.Client, tell func(index, size int), o *obs.Relay) *follower {
-	var boot [4]byte
-	_, _ = rand.Read(boot[:])
-	self := member.Peer{Name: cfg.Relay.Name, RunID: hex.EncodeToString(boot[:]),
+func newFleetMembership(cfg *config.Config, c *catalog.Client, onChange func(index, size int),
+	o *obs.Relay) *fleetMembership {
+	var runID [4]byte
+	_, _ = rand.Read(runID[:])
+	self := member.Peer{Name: cfg.Relay.Name, RunID: hex.EncodeToString(runID[:]),
 		StartedMS: time.Now().UnixMilli(), Healthy: true}
-	return &follower{client: c, tell: tell, obs: o, epoch: time.Now(), wake: make(chan struct{}, 1),
+	return &fleetMembership{client: c, onChange: onChange, obs: o, epoch: time.Now(), wake: make(chan struct{}, 1),
 		reg: catalog.Registration{Service: cfg.Fleet.Service, Self: self, TTL: cfg.Fleet.TTL.D()},
 		fleet: member.NewFleet(member.FleetSettings{Self: self, Size: cfg.Relay.Fleet, LossDelay: cfg.Fleet.Late.D(),
 			MassLossDelay: cfg.Fleet.Hold.D()}),
 		index: cfg.Relay.Index, size: cfg.Relay.Fleet}
 }
 
-// run follows the fleet until ctx ends.
-func (f *follower) run(ctx context.Context, listen []string) {
+// run registers the relay under its first listen address and watches the fleet
+// until ctx ends.
+func (f *fleetMembership) run(ctx context.Context, listen []string) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	if len(listen) > 0 {
@@ -89,15 +96,15 @@
 		f.reg.Address = host
 		f.reg.Port, _ = strconv.Atoi(port)
 	}
-	failed := func(err error) { f.obs.Unlisted("fleet", err) }
-	wait.Go(func() { f.client.KeepRegistered(ctx, f.reg, failed) })
+	onError := func(err error) { f.obs.Unlisted("fleet", err) }
+	wait.Go(func() { f.client.KeepRegistered(ctx, f.reg, onError) })
 	wait.Go(func() {
 		f.client.WatchPeers(ctx, f.reg.Service, func(peers []member.Peer, fresh bool) {
 			f.mu.Lock()
 			f.fleet.Report(time.Since(f.epoch), peers, fresh)
 			f.mu.Unlock()
-			f.nudge()
-		}, failed)
+			f.wakeUp()
+		}, onError)
 	})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -108,7 +115,7 @@
 		case <-f.wake:
 		case <-timer.C:
 		}
-		next := f.look()
+		next := f.reportChanges()
 		sleep := time.Hour
 		if next >= 0 {
 			sleep = max(next-time.Since(f.epoch), time.Millisecond)
@@ -117,31 +124,34 @@
 	}
 }
 
-func (f *follower) nudge() {
+// wakeUp makes run check for changes without waiting for its timer.
+func (f *fleetMembership) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// look tells the core what changed.
-func (f *follower) look() (next time.Duration) {
+// reportChanges calls onChange if the fleet's size or the relay's index changed, and
+// logs relays that share a name. It returns when it is due again, as time since the
+// epoch; below 0 nothing is due.
+func (f *fleetMembership) reportChanges() (next time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	index, size, next, twice := f.fleet.View(time.Since(f.epoch))
+	index, size, next, duplicates := f.fleet.View(time.Since(f.epoch))
 	if index != f.index || size != f.size {
 		f.index, f.size = index, size
-		f.tell(index, size)
+		f.onChange(index, size)
 		f.obs.Fleet(size)
 		f.obs.Logf("the fleet has %d relays, this is number %d", size, index)
 	}
-	for _, name := range twice {
-		f.obs.Unlisted("fleet", fmt.Errorf("two running relays bear the name %s", name))
+	for _, name := range duplicates {
+		f.obs.Unlisted("fleet", fmt.Errorf("two running relays are both named %s", name))
 	}
 	return next
 }
 
-// Directory is the report on endpoints' sources and the fleet.
+// Directory is the status report on endpoint sources and fleet membership.
 type Directory struct {
 	Endpoints int                  `json:"endpoints"`
 	Sources   []member.SourceState `json:"sources"`
@@ -149,9 +159,9 @@
 	Index     int                  `json:"index"`
 }
 
-// Directory tells how the sources stand.
+// Directory returns the current state of the endpoint sources and of the fleet.
 func (r *Relay) Directory() Directory {
-	d := Directory{r.list.Endpoints(), r.list.Sources(), r.cfg.Relay.Fleet, r.cfg.Relay.Index}
+	d := Directory{r.directory.Endpoints(), r.directory.Sources(), r.cfg.Relay.Fleet, r.cfg.Relay.Index}
 	if f := r.fleet; f != nil {
 		f.mu.Lock()
 		defer f.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,10 @@
-// Package relay puts one relay together: fronts, core, partner calls, directory
-// and what operators see. Data goes front, core, partner, and back.
+// Package relay assembles a running relay from its components: the MQTT and Web Push
+// fronts, the core, the partner caller, the endpoint directory, the journal, and the
+// metrics and status pages. Messages pass from a front through the core to the partner
+// caller; answers take the same way back.
+//
+// The package holds the wiring, the order of start, restore and stop, and nothing of
+// the protocols or of the decisions about messages, which belong to the components.
 package relay
 
 import (
@@ -35,33 +40,35 @@
 	"basaltcross.example/basaltcross/internal/zone"
 )
 
-// Hooks let a test or an audit stand between the parts; nil ones do nothing.
+// Hooks wrap the interfaces between components, for tests and for the audit. A nil
+// hook is not called.
 type Hooks struct {
 	Caller func(core.Caller) core.Caller
 	Sink   func(directory.Sink) directory.Sink
 	Door   func(front.Door) front.Door
-	// Broken is told that the journal failed; the process should end then.
+	// Broken is called with the error when the journal fails; the process should
+	// then exit.
 	Broken func(error)
-	// Journal stands between core and journal.
+	// Journal wraps the journal that the core writes to.
 	Journal func(core.Journal) core.Journal
 }
 
 // Relay is a running relay.
 type Relay struct {
-	cfg    *config.Config
-	obs    *obs.Relay
-	core   *core.Core
-	caller *partner.Caller
-	front  *mqttfront.Front
-	push   *webpush.Front // nil where it is not configured
-	zones  *zone.Reporter
-	toll   *zone.Toll       // nil without a budget
-	log    *journal.Journal // nil where nothing is kept
-	names  *resolve.Refresher
-	list   *directory.Directory
-	fleet  *follower // nil where the fleet is a setting
+	cfg           *config.Config
+	obs           *obs.Relay
+	core          *core.Core
+	caller        *partner.Caller
+	front         *mqttfront.Front
+	push          *webpush.Front // nil if Web Push is not configured
+	zoneReporter  *zone.Reporter
+	zoneBudget    *zone.Toll       // nil without a budget or without a journal
+	journal       *journal.Journal // nil if no journal is configured
+	nameRefresher *resolve.Refresher
+	directory     *directory.Directory
+	fleet         *fleetMembership // nil if size and index are fixed by the configuration
 
-	// MetricsAddr is where the metrics are served, nil if nowhere.
+	// MetricsAddr is the address on which metrics are served, nil if they are not.
 	MetricsAddr net.Addr
 
 	stop context.CancelFunc
@@ -69,7 +76,8 @@
 	done sync.WaitGroup
 }
 
-func index[T any](list []T, name func(T) string) map[string]int {
+// indexByName maps the name of each element to its index in list.
+func indexByName[T any](list []T, name func(T) string) map[string]int {
 	m := make(map[string]int, len(list))
 	for i, e := range list {
 		m[name(e)] = i
@@ -77,11 +85,12 @@
 	return m
 }
 
-// names are those that an endpoint list may use.
-func names(cfg *config.Config) directory.Names {
-	n := directory.Names{Partners: index(cfg.Partners, func(p config.Partner) string { return p.Name }),
-		Zones: index(cfg.Zones, func(z config.Zone) string { return z.Name })}
-	kinds := index(cfg.Kinds, func(k config.Kind) string { return k.Name })
+// directoryNames returns the partners and zones that an endpoint list may refer to,
+// with each partner's kind and whether it is called over TLS.
+func directoryNames(cfg *config.Config) directory.Names {
+	n := directory.Names{Partners: indexByName(cfg.Partners, func(p config.Partner) string { return p.Name }),
+		Zones: indexByName(cfg.Zones, func(z config.Zone) string { return z.Name })}
+	kinds := indexByName(cfg.Kinds, func(k config.Kind) string { return k.Name })
 	for _, p := range cfg.Partners {
 		n.Kinds = append(n.Kinds, kinds[p.Kind])
 		n.Secure = append(n.Secure, p.TLS != nil)
@@ -89,26 +98,28 @@
 	return n
 }
 
-// CheckList reads the endpoint list of a configuration once and counts its endpoints.
+// CheckList reads the configured endpoint list file once and returns the number of its
+// endpoints, 0 if no file is configured.
 func CheckList(cfg *config.Config) (int, error) {
 	if cfg.Directory.File == "" {
 		return 0, nil
 	}
-	f := directory.File{Path: cfg.Directory.File, Names: names(cfg), MaxBytes: cfg.Limits.ListBytes}
+	f := directory.File{Path: cfg.Directory.File, Names: directoryNames(cfg), MaxBytes: cfg.Limits.ListBytes}
 	list, err := f.Load()
 	return len(list), err
 }
 
-// Start brings a relay up. It runs until Stop.
+// Start builds the components of a relay and starts them; the relay runs until Stop.
+// What the journal holds is restored before the core runs.
 func Start(cfg *config.Config, log zerolog.Logger, hooks Hooks) (_ *Relay, err error) {
 	r := &Relay{cfg: cfg}
 	var classes []string
-	var lives []time.Duration
+	var deadlines []time.Duration
 	for _, k := range cfg.Classes {
-		classes, lives = append(classes, k.Name), append(lives, k.Deadline.D())
+		classes, deadlines = append(classes, k.Name), append(deadlines, k.Deadline.D())
 	}
 	r.obs = obs.NewRelay(log, classes)
-	names := names(cfg)
+	names := directoryNames(cfg)
 	r.obs.Warn(cfg.TLS.Warn.D())
 	ring := &keys.Ring{Report: r.obs.Certificate}
 	slots := make(secure.Slots, cmp.Or(cfg.TLS.Handshakes, runtime.GOMAXPROCS(0)))
@@ -138,30 +149,31 @@
 	for _, p := range cfg.Partners {
 		partners = append(partners, p.Name)
 	}
-	own := max(0, slices.Index(zones, cfg.Relay.Zone))
+	ownZone := max(0, slices.Index(zones, cfg.Relay.Zone))
 	traffic := zone.NewTable(len(classes), len(partners), len(zones))
-	counted := traffic
+	accounted := traffic
 	if !cfg.Relay.Accounting {
-		counted = nil
+		accounted = nil
 	}
-	var toll *zone.Toll
+	var zoneBudget *zone.Toll
 	if b := cfg.Budget; b != nil {
-		set := budget.Settings{Bytes: b.Bytes, Window: b.Window.D(), Burst: b.Burst, Held: b.Held, First: b.First}
+		budgetSettings := budget.Settings{Bytes: b.Bytes, Window: b.Window.D(), Burst: b.Burst, Held: b.Held, First: b.First}
 		for _, k := range cfg.Classes {
-			set.Classes = append(set.Classes, budget.Class{Worth: k.Worth, Overdraft: k.Overdraft, Limit: k.Crossing})
+			budgetSettings.Classes = append(budgetSettings.Classes,
+				budget.Class{Worth: k.Worth, Overdraft: k.Overdraft, Limit: k.Crossing})
 		}
-		book, err := budget.New(set, cfg.Relay.Fleet)
+		book, err := budget.New(budgetSettings, cfg.Relay.Fleet)
 		if err != nil {
 			return nil, fmt.Errorf("relay: %w", err)
 		}
-		toll = zone.NewToll(book, own)
+		zoneBudget = zone.NewToll(book, ownZone)
 	}
 	r.caller, err = partner.New(partner.Options{Name: cfg.Relay.Name, Targets: targets, Classes: classes,
 		Limits: http1.Limits{Header: cfg.PartnerCalls.HeaderBytes, Body: cfg.PartnerCalls.BodyBytes},
 		Pool: addr.PoolSettings{IdleTimeout: cfg.Relay.ConnIdle.D(), MaxAge: cfg.PartnerCalls.ConnAge.D(),
 			MaxIdle: cfg.PartnerCalls.IdlePerHost, MaxSpare: cfg.PartnerCalls.Spares, MaxConnecting: cfg.PartnerCalls.Connecting},
 		TLSSessions: cfg.PartnerCalls.Sessions,
-		Traffic:     counted, PeerRefused: r.refusedOf,
+		Traffic:     accounted, PeerRefused: r.onPeerRefusal,
 		UnsolicitedWait: func(host string, at int, wait time.Duration) { r.core.ReportWait(host, at, wait) },
 		HandshakeFailed: r.obs.HandshakeOut,
 		Dialed:          r.obs.Dialed})
@@ -179,23 +191,23 @@
 	opt := core.Options{Settings: cfg.Settings(), Seed: seed,
 		InboxSize: cfg.Limits.Arrivals, Identities: cfg.Limits.Identities.Count,
 		Retention: cfg.Limits.Identities.Keep.D(), Caller: caller, Observer: r.obs}
-	if toll != nil {
-		opt.ZoneBudget = toll
+	if zoneBudget != nil {
+		opt.ZoneBudget = zoneBudget
 	}
-	var kept *journal.Contents
+	var journalContents *journal.Contents
 	if cfg.Journal != nil {
-		if r.log, kept, err = openJournal(cfg, r.obs, hooks.Broken); err != nil {
+		if r.journal, journalContents, err = openJournal(cfg, r.obs, hooks.Broken); err != nil {
 			r.caller.Close()
 			return nil, fmt.Errorf("relay: %w", err)
 		}
-		if r.toll = toll; toll != nil {
-			toll.Keep = r.log.RecordBudget
+		if r.zoneBudget = zoneBudget; zoneBudget != nil {
+			zoneBudget.Keep = r.journal.RecordBudget
 		}
-		opt.Journal, opt.Names = r.log, core.Names{Partner: func(i int) string { return partners[i] }, Zones: zones}
+		opt.Journal, opt.Names = r.journal, core.Names{Partner: func(i int) string { return partners[i] }, Zones: zones}
 		if hooks.Journal != nil {
 			opt.Journal = hooks.Journal(opt.Journal)
 		}
-		r.obs.Serves("/journal", func() any { return r.log.Stats() })
+		r.obs.Serves("/journal", func() any { return r.journal.Stats() })
 	}
 	r.core, err = core.New(opt)
 	if err != nil {
@@ -203,14 +215,14 @@
 		r.closeJournal()
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r.zones = &zone.Reporter{Relay: cfg.Relay.Name, Classes: classes, Partners: partners, Zones: zones, Own: own,
-		Table: traffic, Toll: toll, Now: r.core.Now, File: cfg.ZoneRecords,
+	r.zoneReporter = &zone.Reporter{Relay: cfg.Relay.Name, Classes: classes, Partners: partners, Zones: zones, Own: ownZone,
+		Table: traffic, Toll: zoneBudget, Now: r.core.Now, File: cfg.ZoneRecords,
 		Failed: func(err error) { r.obs.Logf("zone records: %v", err) }}
-	set := addr.DefaultNameCacheSettings
-	set.MaxStale, set.MaxAddresses = cfg.Resolver.Stale.D(), cfg.Resolver.Addresses
-	r.names = resolve.New(resolver(cfg), set, cfg.Resolver.Timeout.D(), r.caller, r.obs.Unresolved)
+	nameCacheSettings := addr.DefaultNameCacheSettings
+	nameCacheSettings.MaxStale, nameCacheSettings.MaxAddresses = cfg.Resolver.Stale.D(), cfg.Resolver.Addresses
+	r.nameRefresher = resolve.New(resolver(cfg), nameCacheSettings, cfg.Resolver.Timeout.D(), r.caller, r.obs.Unresolved)
 	r.obs.Serves("/addresses", func() any { return r.Addresses() })
-	r.obs.Zones(traffic, zones, func() any { return r.zones.Report() })
+	r.obs.Zones(traffic, zones, func() any { return r.zoneReporter.Report() })
 	var door front.Door = r.core
 	if hooks.Door != nil {
 		door = hooks.Door(door)
@@ -221,20 +233,20 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	sources, clients, err := sources(cfg, ring, names)
+	sources, clients, err := directorySources(cfg, ring, names)
 	if err != nil {
 		cancel()
 		r.caller.Close()
 		r.closeJournal()
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r.list = directory.New(directory.Options{Names: names, Sources: sources, SavedPath: cfg.Directory.Saved,
+	r.directory = directory.New(directory.Options{Names: names, Sources: sources, SavedPath: cfg.Directory.Saved,
 		Settings: member.Settings{RemoveAfter: cfg.Directory.Gone.D(), ConfirmAfter: cfg.Directory.Believe.D(),
 			SilenceLimit: cfg.Directory.Trust.D()},
-		MaxSavedBytes: cfg.Limits.ListBytes, Sink: sink, OnAddresses: r.names.Set, OnListed: r.obs.Listed,
+		MaxSavedBytes: cfg.Limits.ListBytes, Sink: sink, OnAddresses: r.nameRefresher.Set, OnListed: r.obs.Listed,
 		OnError: r.obs.Unlisted})
 	if cfg.Fleet != nil {
-		r.fleet = newFollower(cfg, clients[0], r.core.Fleet, r.obs)
+		r.fleet = newFleetMembership(cfg, clients[0], r.core.Fleet, r.obs)
 	}
 	r.obs.Serves("/directory", func() any { return r.Directory() })
 	fail := func(err error) (*Relay, error) {
@@ -252,11 +264,11 @@
 	r.done.Add(4)
 	go func() {
 		defer r.done.Done()
-		r.names.Run(ctx)
+		r.nameRefresher.Run(ctx)
 	}()
 	go func() {
 		defer r.done.Done()
-		r.zones.Run(ctx)
+		r.zoneReporter.Run(ctx)
 	}()
 	go func() {
 		defer r.done.Done()
@@ -264,16 +276,16 @@
 	}()
 	go func() {
 		defer r.done.Done()
-		r.list.Run(ctx)
+		r.directory.Run(ctx)
 	}()
 	users := map[string]string{}
 	for _, u := range cfg.MQTT.Users {
 		users[u.Name] = u.Bcrypt
 	}
 	m := &cfg.MQTT
-	doors := front.Names{Classes: index(cfg.Classes, func(k config.Class) string { return k.Name }),
-		Partners: names.Partners, Lives: lives}
-	run := func() {
+	frontNames := front.Names{Classes: indexByName(cfg.Classes, func(k config.Class) string { return k.Name }),
+		Partners: names.Partners, Lives: deadlines}
+	runCore := func() {
 		r.done.Add(1)
 		go func() {
 			defer r.done.Done()
@@ -281,11 +293,11 @@
 		}()
 	}
 	var keeper front.Keeper
-	if r.log != nil {
-		keeper = r.log
+	if r.journal != nil {
+		keeper = r.journal
 	}
 	if w := &cfg.WebPush; len(w.Listen)+len(w.TLSListen) > 0 {
-		o := webpush.Options{Listen: w.Listen, TLSListen: w.TLSListen, TLS: pushTLS, Slots: slots, Names: doors,
+		o := webpush.Options{Listen: w.Listen, TLSListen: w.TLSListen, TLS: pushTLS, Slots: slots, Names: frontNames,
 			Audience: w.Audience, Anyone: len(w.Keys) == 0, Body: cfg.Limits.Body, Header: w.HeaderBytes,
 			Connections: w.Connections, Streams: w.Streams, Messages: w.Messages, Boxes: w.Receipts, Pending: w.Pending,
 			Polls: w.Polls, Keep: cfg.Limits.Identities.Keep.D(), Poll: w.Poll.D(), Handshake: w.Handshake.D(),
@@ -302,12 +314,13 @@
 		r.push = webpush.New(o)
 	}
 	r.front, err = mqttfront.New(mqttfront.Options{Listen: m.Listen, Keeper: keeper, Before: func(f *mqttfront.Front) {
-		if kept != nil {
-			r.restore(kept, f, r.push, doors)
+		if journalContents != nil {
+			r.restore(journalContents, f, r.push, frontNames)
 		}
-		run()
+		runCore()
 	},
-		TLSListen: m.TLSListen, TLS: mqttTLS, Slots: slots, Names: doors, Body: cfg.Limits.Body, Connections: m.Connections, Sessions: m.Sessions,
+		TLSListen: m.TLSListen, TLS: mqttTLS, Slots: slots, Names: frontNames, Body: cfg.Limits.Body,
+		Connections: m.Connections, Sessions: m.Sessions,
 		ReceiveMaximum: m.ReceiveMaximum, TopicAliases: m.TopicAliases, Pending: m.Pending,
 		Partial: int64(m.PartialBytes), SessionExpiry: m.SessionExpiry.D(), KeepAlive: m.KeepAlive.D(),
 		Handshake: m.Handshake.D(), WriteBuffer: m.WriteBuffer, Users: users,
@@ -320,7 +333,7 @@
 			r.front.Close()
 			return fail(err)
 		}
-		r.obs.Info(fmt.Sprintf("Web Push on %v, with TLS on %v", r.push.Addrs(), r.push.TLSAddrs()))
+		r.obs.Info(fmt.Sprintf("Web Push is served on %v, over TLS on %v", r.push.Addrs(), r.push.TLSAddrs()))
 	}
 	if r.fleet != nil {
 		r.done.Add(1)
@@ -329,15 +342,17 @@
 			r.fleet.run(ctx, r.front.Addrs())
 		}()
 	}
-	r.obs.Info(fmt.Sprintf("relay %s takes messages on %v", cfg.Relay.Name, r.front.Addrs()))
+	r.obs.Info(fmt.Sprintf("relay %s accepts messages over MQTT on %v", cfg.Relay.Name, r.front.Addrs()))
 	return r, nil
 }
 
-// Addrs are the MQTT addresses listened on, TLSAddrs those with TLS.
-func (r *Relay) Addrs() []string    { return r.front.Addrs() }
+// Addrs returns the addresses on which MQTT is served without TLS.
+func (r *Relay) Addrs() []string { return r.front.Addrs() }
+
+// TLSAddrs returns the addresses on which MQTT is served over TLS.
 func (r *Relay) TLSAddrs() []string { return r.front.TLSAddrs() }
 
-// PushAddrs are the Web Push addresses listened on, without and with TLS.
+// PushAddrs returns the addresses on which Web Push is served, without and with TLS.
 func (r *Relay) PushAddrs() (plain, secured []string) {
 	if r.push == nil {
 		return nil, nil
@@ -345,21 +360,23 @@
 	return r.push.Addrs(), r.push.TLSAddrs()
 }
 
-// Addresses is the report on endpoints that have several addresses, and on the
-// names among them.
+// Addresses is the status report on endpoints with several addresses and on the DNS
+// names of endpoints.
 type Addresses struct {
 	Endpoints map[string][]addr.AddressStatus `json:"endpoints"`
 	Names     []addr.NameStatus               `json:"names,omitempty"`
-	// LeftOut are addresses that a name gave and another partner has.
+	// LeftOut lists addresses that a name resolved to and that are not used because
+	// they belong to another partner.
 	LeftOut []addr.Conflict `json:"left_out,omitempty"`
 }
 
-// Addresses tells what is known of them now.
+// Addresses returns the current state of endpoint addresses and DNS names.
 func (r *Relay) Addresses() Addresses {
-	names, out := r.names.Status()
+	names, out := r.nameRefresher.Status()
 	return Addresses{r.caller.AddressStatus(), names, out}
 }
 
+// resolver returns the configured DNS servers, or the system's resolver if there are none.
 func resolver(cfg *config.Config) resolve.Resolver {
 	if len(cfg.Resolver.Servers) == 0 {
 		return resolve.System{TTL: cfg.Resolver.TTL.D()}
@@ -367,6 +384,7 @@
 	return resolve.Servers{Addrs: cfg.Resolver.Servers, Timeout: cfg.Resolver.Timeout.D() / 2}
 }
 
+// serverTLS returns the TLS configuration of a listener, nil if t is nil.
 func serverTLS(ring *keys.Ring, t *config.TLS, protocols ...string) (*tls.Config, error) {
 	if t == nil {
 		return nil, nil
@@ -384,9 +402,10 @@
 	return keys.Server(pair, clients, t.RequireClient, protocols...), nil
 }
 
+// clientTLS returns a function that makes the TLS configuration for calls as t configures them.
 func clientTLS(ring *keys.Ring, t *config.PartnerTLS) (func() *tls.Config, error) {
 	var ca *keys.Pool
-	var own *keys.Pair
+	var clientPair *keys.Pair
 	var err error
 	if t.CA != "" {
 		if ca, err = ring.Pool(t.CA); err != nil {
@@ -394,14 +413,14 @@
 		}
 	}
 	if t.Cert != "" {
-		if own, err = ring.Pair(t.Cert, t.Key); err != nil {
+		if clientPair, err = ring.Pair(t.Cert, t.Key); err != nil {
 			return nil, err
 		}
 	}
-	return keys.Client(ca, own, t.Name), nil
+	return keys.Client(ca, clientPair, t.Name), nil
 }
 
-// CheckKeys reads the certificates of a configuration once.
+// CheckKeys loads the configured certificates and keys once and returns the first error.
 func CheckKeys(cfg *config.Config) error {
 	ring := &keys.Ring{}
 	for _, t := range []*config.TLS{cfg.MQTT.TLS, cfg.WebPush.TLS} {
@@ -419,8 +438,9 @@
 	return nil
 }
 
-// Stop takes nothing further, lets what is out finish within the configured
-// time, answers the rest, hands the answers over and closes everything.
+// Stop shuts the relay down gracefully: it accepts no further messages, lets calls in
+// flight finish within the configured shutdown time, answers the remaining messages,
+// delivers the answers and closes every component. Further calls have no effect.
 func (r *Relay) Stop() {
 	r.once.Do(func() {
 		r.front.Drain()
@@ -435,10 +455,10 @@
 	})
 }
 
-// Zones is the report on traffic between zones.
-func (r *Relay) Zones() zone.Report { return r.zones.Report() }
+// Zones returns the report on traffic between zones.
+func (r *Relay) Zones() zone.Report { return r.zoneReporter.Report() }
 
-// Inspect tells what the relay holds now.
+// Inspect returns the number of messages held and of messages in a call.
 func (r *Relay) Inspect(ctx context.Context) (held, out int, err error) {
 	err = r.core.Inspect(ctx, func(h, o int) { held, out = h, o })
 	return
@@ -448,8 +468,9 @@
 var _ front.Door = (*core.Core)(nil)
 var _ core.Caller = (*partner.Caller)(nil)
 
-// refusedOf counts and logs bytes that a partner sent without a request.
-func (r *Relay) refusedOf(refusal lifecycle.PeerRefusal) {
+// onPeerRefusal reports to the observer when a partner sent bytes without a request;
+// refusals for any other cause are not reported.
+func (r *Relay) onPeerRefusal(refusal lifecycle.PeerRefusal) {
 	if refusal.Breach == lifecycle.BytesUnasked {
 		r.obs.Unsolicited(refusal.Peer)
 	}
