--- a/internal/relay/addr_test.go
+++ b/internal/relay/addr_test.go
@@ -25,8 +25,8 @@
 	"basaltcross.example/basaltcross/internal/testutil/port"
 )
 
-// severalAddresses is a relay with one endpoint at the addresses given.
-func severalAddresses(t *testing.T, addrs ...string) *relay.Relay {
+// startWithAddresses starts a relay with a single endpoint that has the given addresses.
+func startWithAddresses(t *testing.T, addrs ...string) *relay.Relay {
 	t.Helper()
 	list := filepath.Join(t.TempDir(), "list.cue")
 	text := fmt.Sprintf("endpoints: [{addr: \"bank:1\", partner: \"p0\", addrs: [\"%s\"]}]\n", strings.Join(addrs, `", "`))
@@ -45,13 +45,13 @@
 	return r
 }
 
-// Addresses of each family, each broken in its way: no two attempts of one
-// message ever overlap, no charge goes out twice, and what can be delivered by a
-// good address is.
+// Guards against overlapping attempts of one message, charges sent twice and lost
+// messages when an endpoint has addresses of each family (Unix socket, IPv6, IPv4) and
+// these hang, reset, vanish or refuse connections while one address works.
 func TestAddressesBroken(t *testing.T) {
 	rec := standin.NewRecorder(1 << 20)
 	p := standin.NewPartner("p0", standin.Model{Service: 3 * ms, Window: 10 * time.Second}, 1)
-	var ends []*standin.Endpoint
+	var endpoints []*standin.Endpoint
 	sock := filepath.Join(t.TempDir(), "s")
 	for _, at := range []string{"unix:" + sock, "[::1]:0", "127.0.0.1:0", "127.0.0.2:0"} {
 		e, err := standin.Start(at, p, rec)
@@ -59,11 +59,11 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(e.Close)
-		ends = append(ends, e)
+		endpoints = append(endpoints, e)
 	}
-	r := severalAddresses(t, port.Refusing(t, "127.0.0.1"), ends[1].Addr, "unix:"+sock, ends[2].Addr, ends[3].Addr, ends[2].Addr)
+	r := startWithAddresses(t, port.Refusing(t, "127.0.0.1"), endpoints[1].Addr, "unix:"+sock, endpoints[2].Addr, endpoints[3].Addr, endpoints[2].Addr)
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.on})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.add})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,25 +71,25 @@
 	const n = 1500
 	for i := range n {
 		switch i {
-		case 200: // accepts and hangs
-			ends[0].Set(standin.Trouble{Hang: true})
-		case 400: // reads the request and resets
-			ends[0].Set(standin.Trouble{})
-			ends[1].Set(standin.Trouble{Reap: time.Nanosecond})
-			ends[0].Close()
-			_ = os.WriteFile(sock, nil, 0o600) // no socket any more
-		case 700: // gone
-			ends[1].Close()
+		case 200: // accepts connections and never answers
+			endpoints[0].Set(standin.Trouble{Hang: true})
+		case 400: // resets the connection after reading the request
+			endpoints[0].Set(standin.Trouble{})
+			endpoints[1].Set(standin.Trouble{Reap: time.Nanosecond})
+			endpoints[0].Close()
+			_ = os.WriteFile(sock, nil, 0o600) // a plain file in place of the socket
+		case 700: // refuses connections
+			endpoints[1].Close()
 		case 1000:
-			ends[1].Set(standin.Trouble{})
-			if err := ends[1].Reopen(); err != nil {
+			endpoints[1].Set(standin.Trouble{})
+			if err := endpoints[1].Reopen(); err != nil {
 				t.Fatal(err)
 			}
-			ends[2].Close()
+			endpoints[2].Close()
 		}
 		size := 100
 		if i%50 == 0 {
-			size = 200_000 // more than a Unix socket takes at once
+			size = 200_000 // more than one write to a Unix socket accepts
 		}
 		id := fmt.Sprintf("%d ", i)
 		if err := c.Send(testutil.Context(t), client.Message{ID: fmt.Sprint(i), Class: []string{"status", "order", "charge"}[i%3],
@@ -122,7 +122,7 @@
 				end = l[i-1].Left
 			}
 			if l[i].Start.Add(50 * ms).Before(end) {
-				t.Errorf("%s: two attempts at once, %v", id, end.Sub(l[i].Start))
+				t.Errorf("%s: two attempts overlap by %v", id, end.Sub(l[i].Start))
 			}
 		}
 	}
@@ -132,18 +132,19 @@
 	}
 }
 
-// A dead first address costs the connection-attempt delay at most, once; after
-// that nothing that can be seen.
-func TestDeadAddressCosts(t *testing.T) {
+// Guards against failed charges when the first addresses of an endpoint refuse
+// connections or don't exist. A dead first address delays only the first call, by at
+// most the connection-attempt delay.
+func TestDeliveryPastDeadAddresses(t *testing.T) {
 	rec := standin.NewRecorder(1 << 20)
 	e, err := standin.Start("127.0.0.1:0", standin.NewPartner("p0", standin.Model{Service: ms}, 1), rec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer e.Close()
-	r := severalAddresses(t, port.Refusing(t, "::1"), "unix:/nonexistent/socket", e.Addr)
+	r := startWithAddresses(t, port.Refusing(t, "::1"), "unix:/nonexistent/socket", e.Addr)
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.on})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.add})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,18 +161,20 @@
 	}
 }
 
-// attemptLog counts, by the body of the message, the attempts that went out and those that timed out or were
-// given up by the relay.
+// attemptLog counts, by message body, the attempts that were sent and those of them that
+// timed out or were aborted by the relay.
 type attemptLog struct {
 	core.Caller
-	mu          sync.Mutex
-	sent, ended map[string]int
+	mu              sync.Mutex
+	sent, abandoned map[string]int // by message body
 }
 
-func newAttemptLog() *attemptLog { return &attemptLog{sent: map[string]int{}, ended: map[string]int{}} }
+func newAttemptLog() *attemptLog {
+	return &attemptLog{sent: map[string]int{}, abandoned: map[string]int{}}
+}
 
-// over is a hook that puts the log between core and caller.
-func (l *attemptLog) over(c core.Caller) core.Caller {
+// wrap is a relay.Hooks.Caller that counts the attempts made through c.
+func (l *attemptLog) wrap(c core.Caller) core.Caller {
 	l.Caller = c
 	return l
 }
@@ -182,14 +185,14 @@
 	end := c.End
 	c.End = func(e core.Ending) {
 		if e.Outcome == choice.Timeout {
-			l.add(l.ended, body)
+			l.add(l.abandoned, body)
 		}
 		end(e)
 	}
 	return loggedAttempt{l.Caller.Send(c), l, body}
 }
 
-// loggedAttempt is an attempt that the relay may give up.
+// loggedAttempt is an attempt whose abort is counted.
 type loggedAttempt struct {
 	core.Attempt
 	log  *attemptLog
@@ -199,7 +202,7 @@
 func (a loggedAttempt) Abort() (started, ok bool) {
 	started, ok = a.Attempt.Abort()
 	if ok {
-		a.log.add(a.log.ended, a.body)
+		a.log.add(a.log.abandoned, a.body)
 	}
 	return started, ok
 }
@@ -210,18 +213,20 @@
 	to[body]++
 }
 
-// repeatsExplained tells whether each of a message's calls but one follows an attempt that the relay gave up.
-func (l *attemptLog) repeatsExplained(body string, calls int) bool {
+// retriesExplained reports whether each call of a message except the first follows an
+// attempt that timed out or was aborted.
+func (l *attemptLog) retriesExplained(body string, calls int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return calls <= l.sent[body] && l.sent[body] == l.ended[body]+1
+	return calls <= l.sent[body] && l.sent[body] == l.abandoned[body]+1
 }
 
-// A partner's name moves from one host to another, gives nothing, gives another
-// partner's address, and its server goes mute, while messages come: nothing goes
-// to a host after its time there is over, nothing to another's, no charge is sent twice,
-// and a status, which a repeat does not harm, again only after the relay gave up its attempt.
-func TestNameMoves(t *testing.T) {
+// Guards against calls to the wrong host when the DNS name of an endpoint changes under
+// load: it moves to another host, resolves to another partner's address, and its DNS
+// server stops answering. Once the relay knows the new address, no call may go to the old
+// one; none may ever go to the other partner. No charge is sent twice, and a status, which
+// is safe to repeat, only after the relay abandoned the previous attempt.
+func TestPartnerNameResolvesToOtherHosts(t *testing.T) {
 	dns, err := standin.StartDNS()
 	if err != nil {
 		t.Fatal(err)
@@ -263,13 +268,13 @@
 		t.Fatal(err)
 	}
 	attempts := newAttemptLog()
-	r, err := relay.Start(cfg, zerolog.Nop(), relay.Hooks{Caller: attempts.over})
+	r, err := relay.Start(cfg, zerolog.Nop(), relay.Hooks{Caller: attempts.wrap})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Stop()
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.on})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.add})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -301,16 +306,16 @@
 	}
 	send(100)
 	at("127.0.0.2")
-	known("moved", func(a relay.Addresses) bool { return first(a) == two.Addr })
+	known("name resolves to the second host", func(a relay.Addresses) bool { return first(a) == two.Addr })
 	moved := time.Now()
 	send(100)
-	at("127.0.0.3") // the other partner's
-	known("another's", func(a relay.Addresses) bool { return len(a.LeftOut) == 1 && first(a) == "" })
+	at("127.0.0.3") // an address of the other partner
+	known("address of another partner left out", func(a relay.Addresses) bool { return len(a.LeftOut) == 1 && first(a) == "" })
 	at("127.0.0.1", "127.0.0.3")
-	known("one of both", func(a relay.Addresses) bool { return first(a) == one.Addr })
+	known("only the own address used", func(a relay.Addresses) bool { return first(a) == one.Addr })
 	send(100)
 	dns.Set("bank.example", standin.Zone{Mute: true})
-	known("mute", func(a relay.Addresses) bool { return len(a.Names) == 1 && a.Names[0].Failures > 0 })
+	known("DNS server does not answer", func(a relay.Addresses) bool { return len(a.Names) == 1 && a.Names[0].Failures > 0 })
 	send(100)
 	seen := map[string]int{}
 	for _, k := range rec.Calls() {
@@ -324,9 +329,9 @@
 	}
 	for id, a := range in.wait(t, n) {
 		i, _ := strconv.Atoi(id)
-		once := i%2 == 1 // a charge
-		if a[0].Answer != "delivered" || seen[id] < 1 || once && seen[id] != 1 || !attempts.repeatsExplained(id, seen[id]) {
-			t.Errorf("%s: %s after %d calls, %d attempts, %d given up", id, a[0].Answer, seen[id], attempts.sent[id], attempts.ended[id])
+		once := i%2 == 1 // charges must be sent once
+		if a[0].Answer != "delivered" || seen[id] < 1 || once && seen[id] != 1 || !attempts.retriesExplained(id, seen[id]) {
+			t.Errorf("%s: %s after %d calls, %d attempts, %d abandoned", id, a[0].Answer, seen[id], attempts.sent[id], attempts.abandoned[id])
 		}
 	}
 }
--- a/internal/relay/consul_test.go
+++ b/internal/relay/consul_test.go
@@ -22,15 +22,15 @@
 	"basaltcross.example/basaltcross/internal/testutil"
 )
 
-// consulBed is partners with endpoints, all in a stand-in catalogue.
+// consulBed runs partners whose endpoints are listed in a simulated Consul catalogue.
 type consulBed struct {
 	*standin.Consul
-	t    *testing.T
-	rec  *standin.Recorder
-	ends []*standin.Endpoint
-	n    int // partners
-	dir  string
-	more string // configuration besides
+	t           *testing.T
+	rec         *standin.Recorder
+	endpoints   []*standin.Endpoint
+	partners    int // number of partners
+	dir         string
+	extraConfig string // appended to the configuration
 }
 
 func newConsulBed(t *testing.T, partners, each int, more string) *consulBed {
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	b := &consulBed{Consul: c, t: t, rec: standin.NewRecorder(1 << 20), n: partners, dir: t.TempDir(), more: more}
+	b := &consulBed{Consul: c, t: t, rec: standin.NewRecorder(1 << 20), partners: partners, dir: t.TempDir(), extraConfig: more}
 	for i := range partners {
 		p := standin.NewPartner(fmt.Sprint("p", i), standin.Model{Service: 2 * ms, Window: 10 * time.Second}, uint64(i))
 		for range each {
@@ -49,13 +49,14 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(e.Close)
-			b.ends = append(b.ends, e)
+			b.endpoints = append(b.endpoints, e)
 		}
 	}
-	b.put("", b.ends...)
+	b.put("", b.endpoints...)
 	return b
 }
 
+// put registers endpoints in the catalogue with the given state.
 func (b *consulBed) put(state string, ends ...*standin.Endpoint) {
 	var list []standin.Instance
 	for _, e := range ends {
@@ -67,16 +68,16 @@
 	b.Put(list...)
 }
 
-// start brings a relay up that follows the catalogue.
+// start starts a relay that takes its endpoints from the catalogue.
 func (b *consulBed) start(name string, hooks relay.Hooks) *relay.Relay {
 	b.t.Helper()
 	var services []string
-	for i := range b.n {
+	for i := range b.partners {
 		services = append(services, fmt.Sprintf("{service: \"p%d\", partner: \"p%d\"}", i, i))
 	}
-	text := testutil.Config("", b.n, fmt.Sprintf(`relay: {name: %q, workers: 64, held: 20000}
+	text := testutil.Config("", b.partners, fmt.Sprintf(`relay: {name: %q, workers: 64, held: 20000}
 directory: {saved: %q, believe: "30s", gone: "300ms", consul: [{address: %q, wait: "2s", services: [%s]}]}
-%s`, name, filepath.Join(b.dir, name+".list"), b.Addr, strings.Join(services, ", "), b.more))
+%s`, name, filepath.Join(b.dir, name+".list"), b.Addr, strings.Join(services, ", "), b.extraConfig))
 	cfg, err := config.Parse("test.cue", []byte(text))
 	if err != nil {
 		b.t.Fatal(err)
@@ -89,20 +90,21 @@
 	return r
 }
 
+// eventually waits up to 30 s until f returns true.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !f(); time.Sleep(2 * ms) {
 		if time.Now().After(end) {
-			t.Fatal("never came: ", what)
+			t.Fatal("not reached within 30 s: ", what)
 		}
 	}
 }
 
-// load hands in status messages to all partners until stop is closed; it returns
-// how many, once they are answered, and the answers.
+// load hands in status messages for all partners until stop is closed, waits until they
+// are answered, and returns their number and the answers.
 func (b *consulBed) load(r *relay.Relay, who string, pause time.Duration, stop <-chan struct{}) (n int, answers map[string]int) {
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(b.t), r.Addrs()[0], client.Options{ID: who, Expiry: 600, On: in.on})
+	c, err := client.Dial(testutil.Context(b.t), r.Addrs()[0], client.Options{ID: who, Expiry: 600, On: in.add})
 	if err != nil {
 		b.t.Error(err)
 		return
@@ -118,16 +120,17 @@
 			return n, answers
 		case <-time.After(pause):
 		}
-		if err := c.Send(testutil.Context(b.t), client.Message{ID: fmt.Sprint(n), Class: "status", Partner: fmt.Sprint("p", n%b.n)}); err != nil {
+		if err := c.Send(testutil.Context(b.t), client.Message{ID: fmt.Sprint(n), Class: "status", Partner: fmt.Sprint("p", n%b.partners)}); err != nil {
 			b.t.Error(err)
 			return
 		}
 	}
 }
 
-// Whatever the catalogue does, the last good list stands: every message is
-// delivered; it is not asked in a spin; and when it is well again a change arrives.
-func TestCatalogueTroubles(t *testing.T) {
+// Guards against losing endpoints or querying in a busy loop while the catalogue fails or
+// returns errors, partial, stale or empty lists. The last good list stays in force, every
+// message is delivered, and once the catalogue has recovered, changes arrive again.
+func TestCatalogueFaultsKeepTheLastList(t *testing.T) {
 	b := newConsulBed(t, 3, 4, "")
 	r := b.start("r", relay.Hooks{})
 	eventually(t, "the list", func() bool { return r.Directory().Endpoints == 12 })
@@ -138,7 +141,7 @@
 			t.Errorf("%d messages, answers %v", n, answers)
 		}
 	})
-	extra, err := standin.Start("127.0.0.1:0", b.ends[0].Partner, b.rec)
+	extra, err := standin.Start("127.0.0.1:0", b.endpoints[0].Partner, b.rec)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,40 +160,41 @@
 			t.Errorf("%s: %d queries in a quarter of a second", name, n)
 		}
 		b.Set(standin.CatalogTrouble{})
-		// Well again: what changes now comes through.
+		// The catalogue has recovered: changes must arrive.
 		b.put("", extra)
-		eventually(t, name+": an endpoint more", func() bool { return r.Directory().Endpoints == 13 })
+		eventually(t, name+": endpoint added", func() bool { return r.Directory().Endpoints == 13 })
 		b.Delete(extra.Addr)
-		eventually(t, name+": and one less", func() bool { return r.Directory().Endpoints == 12 })
+		eventually(t, name+": endpoint removed", func() bool { return r.Directory().Endpoints == 12 })
 	}
 	close(stop)
 	done.Wait()
 }
 
-// heard notes when the relay heard of each drain.
-type heard struct {
+// drainRecorder records when the relay received each drain.
+type drainRecorder struct {
 	directory.Sink
-	mu sync.Mutex
-	at map[string]time.Time
+	mu         sync.Mutex
+	receivedAt map[string]time.Time
 }
 
-func (h *heard) List(l choice.HostUpdate) {
+func (h *drainRecorder) List(l choice.HostUpdate) {
 	h.mu.Lock()
 	for _, e := range l.Hosts {
 		if e.State != choice.Ready {
-			h.at[e.Addr] = time.Now()
+			h.receivedAt[e.Addr] = time.Now()
 		}
 	}
 	h.mu.Unlock()
 	h.Sink.List(l)
 }
 
-// Thousands of drains under load: no first byte of a request at an endpoint
-// later than a second after the relay heard of its drain.
-func TestDrainsHeeded(t *testing.T) {
-	const partners, each, rounds = 10, 100, 4 // each endpoint twice: one that flaps more is held back
+// Guards against requests to draining endpoints. With many endpoints drained under load,
+// no request may start at an endpoint more than a second after the relay received the
+// list in which it drains.
+func TestNoRequestAfterDrain(t *testing.T) {
+	const partners, each, rounds = 10, 100, 4 // two drains per endpoint: more count as flapping and are held back
 	b := newConsulBed(t, partners, each, "")
-	h := &heard{at: map[string]time.Time{}}
+	h := &drainRecorder{receivedAt: map[string]time.Time{}}
 	r := b.start("r", relay.Hooks{Sink: func(s directory.Sink) directory.Sink { h.Sink = s; return h }})
 	eventually(t, "the list", func() bool { return r.Directory().Endpoints == partners*each })
 	stop := make(chan struct{})
@@ -198,26 +202,26 @@
 	for i := range 8 {
 		done.Go(func() { b.load(r, fmt.Sprint("c", i), 100*time.Microsecond, stop) })
 	}
-	var latest, hearing time.Duration
+	var maxRequestDelay, maxListDelay time.Duration
 	drains := 0
 	for round := range rounds {
 		var some []*standin.Endpoint
-		for i, e := range b.ends {
+		for i, e := range b.endpoints {
 			if i%2 == round%2 {
 				some = append(some, e)
 			}
 		}
 		h.mu.Lock()
-		clear(h.at)
+		clear(h.receivedAt)
 		h.mu.Unlock()
 		told := time.Now()
 		b.put("draining", some...)
-		eventually(t, "all heard", func() bool {
+		eventually(t, "all drains received", func() bool {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			n := 0
 			for _, e := range some {
-				if !h.at[e.Addr].IsZero() {
+				if !h.receivedAt[e.Addr].IsZero() {
 					n++
 				}
 			}
@@ -235,37 +239,38 @@
 		}
 		for _, e := range some {
 			drains++
-			hearing = max(hearing, h.at[e.Addr].Sub(told))
-			latest = max(latest, last[e.Addr].Sub(h.at[e.Addr]))
+			maxListDelay = max(maxListDelay, h.receivedAt[e.Addr].Sub(told))
+			maxRequestDelay = max(maxRequestDelay, last[e.Addr].Sub(h.receivedAt[e.Addr]))
 		}
 		h.mu.Unlock()
 	}
 	close(stop)
 	done.Wait()
-	t.Logf("%d drains under %d calls: heard within %v, last first byte %v after that", drains, len(b.rec.Calls()), hearing, latest)
-	if latest > time.Second {
-		t.Errorf("a request %v after its drain was heard", latest)
+	t.Logf("%d drains under %d calls: received within %v, last request %v after that", drains, len(b.rec.Calls()), maxListDelay, maxRequestDelay)
+	if maxRequestDelay > time.Second {
+		t.Errorf("a request started %v after its drain was received", maxRequestDelay)
 	}
 }
 
-// A relay starts with the list it had while the catalogue is away; not with a
-// damaged one, nor with one of another installation, and says so.
-func TestStartsWhileAway(t *testing.T) {
+// Guards against a relay without endpoints after a restart while the catalogue is down: it
+// starts with its saved list. A saved list that is truncated, altered, of another format or
+// from another catalogue must not be used.
+func TestStartWithoutCatalogue(t *testing.T) {
 	b := newConsulBed(t, 2, 3, "")
 	r := b.start("r", relay.Hooks{})
 	eventually(t, "the list", func() bool { return r.Directory().Endpoints == 6 })
 	r.Stop()
 	b.Set(standin.CatalogTrouble{Down: true})
 	r = b.start("r", relay.Hooks{})
-	eventually(t, "the old list", func() bool { return r.Directory().Endpoints == 6 })
+	eventually(t, "the saved list", func() bool { return r.Directory().Endpoints == 6 })
 	stop := make(chan struct{})
 	time.AfterFunc(300*ms, func() { close(stop) })
 	if n, answers := b.load(r, "c", ms, stop); n == 0 || answers["delivered"] != n {
 		t.Errorf("%d messages, answers %v", n, answers)
 	}
 	b.Set(standin.CatalogTrouble{})
-	b.Delete(b.ends[0].Addr)
-	eventually(t, "news again", func() bool { return r.Directory().Endpoints == 5 })
+	b.Delete(b.endpoints[0].Addr)
+	eventually(t, "changes from the catalogue", func() bool { return r.Directory().Endpoints == 5 })
 	r.Stop()
 	file := filepath.Join(b.dir, "r.list")
 	text, err := os.ReadFile(file)
@@ -291,9 +296,10 @@
 	}
 }
 
-// Relays find each other: one that joins counts at once, one that stops or is
-// cut off counts a while longer, and each has a number of its own.
-func TestFleetFollowed(t *testing.T) {
+// Guards against wrong fleet sizes and shared indexes. A relay that joins counts at once;
+// one that stops or is cut off counts until the loss delay has passed; each relay has an
+// index of its own.
+func TestFleetMembershipChanges(t *testing.T) {
 	b := newConsulBed(t, 1, 1, `fleet: {ttl: "300ms", late: "700ms", hold: "1m"}`)
 	var all []*relay.Relay
 	for i := range 4 {
@@ -317,7 +323,7 @@
 	all = all[1:]
 	eventually(t, "three", see(3))
 	if late := time.Since(stopped); late < 700*ms {
-		t.Errorf("told after %v", late)
+		t.Errorf("the stopped relay was removed after %v, before the loss delay of 700 ms", late)
 	}
 	all = append(all, b.start("r9", relay.Hooks{}))
 	eventually(t, "four again", see(4))
--- a/internal/relay/journal_test.go
+++ b/internal/relay/journal_test.go
@@ -22,8 +22,8 @@
 	"basaltcross.example/basaltcross/internal/testutil"
 )
 
-// journaled is a relay over one partner with the endpoints given.
-func journaled(t testing.TB, dir string, more string, ends ...string) *relay.Relay {
+// startWithJournal starts a relay with a journal in dir and one partner with the given endpoints.
+func startWithJournal(t testing.TB, dir string, more string, ends ...string) *relay.Relay {
 	t.Helper()
 	list := filepath.Join(t.TempDir(), "list.cue")
 	text := "endpoints: [\n"
@@ -45,8 +45,8 @@
 	return r
 }
 
-// left is what a relay leaves that is killed with messages in each state.
-func left(t testing.TB, dir string, fill func(j *journal.Journal)) {
+// writeJournal writes a journal as a killed relay leaves it behind.
+func writeJournal(t testing.TB, dir string, fill func(j *journal.Journal)) {
 	t.Helper()
 	j, _, err := journal.Open(journal.Options{Dir: dir, MaxQueued: 1 << 30})
 	if err != nil {
@@ -58,11 +58,12 @@
 	}
 }
 
-// After a crash: a charge that may have run is answered failed without another
-// send, one that surely did not run is delivered, one whose time passed is refused;
-// a client that comes again with each gets exactly those answers, as does one that
-// had its answer before; an endpoint's told wait is heeded.
-func TestAfterACrash(t *testing.T) {
+// Guards against wrong answers and repeated charges after a crash. A charge that may have
+// run is answered failed and not sent again, one that certainly did not run is delivered,
+// one whose deadline has passed is refused. A client that hands each of them in again gets
+// these answers, also for a message that had ended before the crash. An endpoint gets no
+// call until the wait that it asked for is over.
+func TestRestartAfterCrash(t *testing.T) {
 	rec := standin.NewRecorder(1000)
 	e, err := standin.Start("127.0.0.1:0", standin.NewPartner("p0", standin.Model{Service: ms}, 1), rec)
 	if err != nil {
@@ -71,7 +72,7 @@
 	defer e.Close()
 	dir := t.TempDir()
 	identity := func(id string) string { return fmt.Sprintf("c0:1:c%d:%s", len(id), id) }
-	left(t, dir, func(j *journal.Journal) {
+	writeJournal(t, dir, func(j *journal.Journal) {
 		m := func(seq uint64, id string, left time.Duration) {
 			j.RecordMessage(journal.Message{Seq: seq, Identity: identity(id), Source: "c", Class: "charge", Partner: "p0",
 				At: j.Stamp(), Remaining: int64(left), Body: []byte(id)})
@@ -86,9 +87,9 @@
 		j.RecordWait(journal.Wait{Host: e.Addr, At: j.Stamp(), Remaining: int64(time.Second)})
 	})
 	started := time.Now()
-	r := journaled(t, dir, "", e.Addr)
+	r := startWithJournal(t, dir, "", e.Addr)
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.on})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.add})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +101,7 @@
 		}
 	}
 	for id, a := range in.wait(t, len(want)) {
-		// A refused one that comes again is tried anew: either is right.
+		// A refused message that is handed in again is a new message: both answers are correct.
 		if a[0].Answer != want[id] && !(id == "late" && a[0].Answer == "delivered") {
 			t.Errorf("%s: %s, want %s", id, a[0].Answer, want[id])
 		}
@@ -110,17 +111,17 @@
 			t.Errorf("%s was sent", k.Body)
 		}
 		if k.Start.Sub(started) < 900*ms {
-			t.Errorf("%s was sent %v after the start, within the told wait", k.Body, k.Start.Sub(started))
+			t.Errorf("%s was sent %v after the start, within the wait that the endpoint asked for", k.Body, k.Start.Sub(started))
 		}
 	}
 }
 
-// 100,000 messages held by a relay that was killed: until the next one has them
-// again, and serves.
+// BenchmarkRestart measures how long a relay takes to restore 100,000 messages from the
+// journal of a killed one: until it listens and until the core serves.
 func BenchmarkRestart(b *testing.B) {
 	const n = 100_000
 	dir := b.TempDir()
-	left(b, dir, func(j *journal.Journal) {
+	writeJournal(b, dir, func(j *journal.Journal) {
 		for i := range uint64(n) {
 			j.RecordMessage(journal.Message{Seq: i + 1, Identity: fmt.Sprint("c0:1:c", i), Class: "order", Partner: "p0",
 				At: j.Stamp(), Remaining: int64(6 * time.Second), Body: make([]byte, 256)})
@@ -133,7 +134,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	began := time.Now()
-	r := journaled(b, dir, `relay: held: 200000
+	r := startWithJournal(b, dir, `relay: held: 200000
 limits: identities: count: 300000`)
 	took := time.Since(began)
 	held, _, err := r.Inspect(testutil.Context(b))
@@ -148,10 +149,10 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/n, "B/message")
 }
 
-// 8,000 sessions that come back at once to a relay that was restarted: how many
-// were kept, and how long until the last one is greeted.
+// BenchmarkSessionsReturn measures how many of 8,000 sessions are present when all clients
+// reconnect at once to a restarted relay, and how long until the last CONNACK.
 func BenchmarkSessionsReturn(b *testing.B) {
-	const n = 8_000 // twice as many descriptors in this process
+	const n = 8_000 // each takes two file descriptors, as client and relay share this process
 	dir := b.TempDir()
 	all := func(addr string) (present int) {
 		var mu sync.Mutex
@@ -190,79 +191,80 @@
 		wait.Wait()
 		return present
 	}
-	r := journaled(b, dir, `mqtt: {connections: 20000, sessions: 20000}`)
+	r := startWithJournal(b, dir, `mqtt: {connections: 20000, sessions: 20000}`)
 	if all(r.Addrs()[0]) != 0 {
-		b.Fatal("sessions before the first connection")
+		b.Fatal("sessions present before the first connection")
 	}
 	r.Stop()
 	began := time.Now()
-	r = journaled(b, dir, `mqtt: {connections: 20000, sessions: 20000}`)
+	r = startWithJournal(b, dir, `mqtt: {connections: 20000, sessions: 20000}`)
 	up := time.Since(began)
 	present := all(r.Addrs()[0])
 	b.ReportMetric(float64(present), "kept")
 	b.ReportMetric(up.Seconds()*1000, "ms-listening")
 	b.ReportMetric((time.Since(began)-up).Seconds()*1000, "ms-all-greeted")
 	if present != n {
-		b.Errorf("%d of %d sessions were kept", present, n)
+		b.Errorf("%d of %d sessions are present after the restart", present, n)
 	}
 }
 
-// owedBed is a relay with a journal, and a client that hands the message "a" in and reads
-// its answers by hand.
-type owedBed struct {
-	t    *testing.T
-	rec  *standin.Recorder
-	addr string // of the endpoint
-	dir  string
-	r    *relay.Relay
-	conn net.Conn
-	next uint16 // packet id
+// restartBed is a relay with a journal, and an MQTT client that hands in the message "a"
+// and reads and acknowledges its answers packet by packet.
+type restartBed struct {
+	t        *testing.T
+	rec      *standin.Recorder
+	addr     string // address of the endpoint
+	dir      string
+	relay    *relay.Relay
+	conn     net.Conn
+	packetID uint16 // of the last hand-in
 }
 
-func newOwedBed(t *testing.T) *owedBed {
+func newRestartBed(t *testing.T) *restartBed {
 	t.Helper()
-	b := &owedBed{t: t, rec: standin.NewRecorder(1000), dir: t.TempDir()}
+	b := &restartBed{t: t, rec: standin.NewRecorder(1000), dir: t.TempDir()}
 	e, err := standin.Start("127.0.0.1:0", standin.NewPartner("p0", standin.Model{Service: ms}, 1), b.rec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
 	b.addr = e.Addr
-	b.r = journaled(t, b.dir, "", b.addr)
+	b.relay = startWithJournal(t, b.dir, "", b.addr)
 	b.connect(false)
 	return b
 }
 
-// connect resumes the client's session, or begins a clean one.
-func (b *owedBed) connect(clean bool) {
+// connect reconnects the client, resuming its session or starting a clean one.
+func (b *restartBed) connect(clean bool) {
 	b.t.Helper()
 	if b.conn != nil {
 		_ = b.conn.Close()
 	}
-	b.conn = rawConnectAs(b.t, b.r.Addrs()[0], &mqtt.Connect{Version: mqtt.V5, ClientID: "c", Clean: clean, Props: mqtt.Props{SessionExpiry: 60}})
+	b.conn = rawConnectAs(b.t, b.relay.Addrs()[0], &mqtt.Connect{Version: mqtt.V5, ClientID: "c", Clean: clean, Props: mqtt.Props{SessionExpiry: 60}})
 }
 
-func (b *owedBed) restart() {
+// restart stops the relay, starts another one on its journal and resumes the session.
+func (b *restartBed) restart() {
 	b.t.Helper()
-	b.r.Stop()
-	b.r = journaled(b.t, b.dir, "", b.addr)
+	b.relay.Stop()
+	b.relay = startWithJournal(b.t, b.dir, "", b.addr)
 	b.connect(false)
 }
 
-func (b *owedBed) subscribe() {
+func (b *restartBed) subscribe() {
 	b.t.Helper()
 	write(b.t, b.conn, mqtt.AppendSubscribe(nil, mqtt.V5, 9, mqtt.Filter{Topic: "answers/c", QoS: 1}))
 }
 
-func (b *owedBed) handIn() {
+func (b *restartBed) handIn() {
 	b.t.Helper()
-	b.next++
-	p := mqtt.Publish{QoS: 1, ID: b.next, Topic: "send/charge/p0", Payload: []byte("x"), Props: mqtt.Props{Correlation: []byte("a")}}
+	b.packetID++
+	p := mqtt.Publish{QoS: 1, ID: b.packetID, Topic: "send/charge/p0", Payload: []byte("x"), Props: mqtt.Props{Correlation: []byte("a")}}
 	write(b.t, b.conn, mqtt.AppendPublish(nil, mqtt.V5, &p))
 }
 
-// answer reads the next answer, which must be delivered.
-func (b *owedBed) answer() mqtt.Publish {
+// answer reads packets up to the next answer and fails the test unless it is "delivered".
+func (b *restartBed) answer() mqtt.Publish {
 	b.t.Helper()
 	for {
 		first, body := read(b.t, b.conn)
@@ -277,28 +279,30 @@
 	}
 }
 
-// acknowledge acknowledges an answer, and returns once the relay has taken that in.
-func (b *owedBed) acknowledge(answer mqtt.Publish) {
+// acknowledge acknowledges an answer and returns once the relay has processed that: a
+// PINGREQ sent after the PUBACK has been answered.
+func (b *restartBed) acknowledge(answer mqtt.Publish) {
 	b.t.Helper()
 	write(b.t, b.conn, mqtt.AppendAck(nil, mqtt.V5, mqtt.PUBACK, answer.ID, mqtt.Success, ""))
 	write(b.t, b.conn, mqtt.AppendEmpty(nil, mqtt.PINGREQ))
 	if first, _ := read(b.t, b.conn); first>>4 != mqtt.PINGRESP {
-		b.t.Fatalf("packet type %d after the acknowledgement", first>>4)
+		b.t.Fatalf("packet type %d after the PUBACK, want PINGRESP", first>>4)
 	}
 }
 
-// oneCall checks that the message was delivered once.
-func (b *owedBed) oneCall() {
+// checkOneCall checks that the partner got exactly one call.
+func (b *restartBed) checkOneCall() {
 	b.t.Helper()
 	if n := len(b.rec.Calls()); n != 1 {
 		b.t.Errorf("%d calls", n)
 	}
 }
 
-// A client hands a message in again, gets its answer again, and acknowledges only the first
-// of the two: the second is still owed after a restart.
+// Guards against the loss of an unacknowledged answer at a restart. The client hands a
+// message in twice, gets two answers and acknowledges only the first: the second must be
+// sent again after the restart.
 func TestLaterHandInIsOwedAfterARestart(t *testing.T) {
-	b := newOwedBed(t)
+	b := newRestartBed(t)
 	b.subscribe()
 	b.handIn()
 	first := b.answer()
@@ -307,12 +311,13 @@
 	b.acknowledge(first)
 	b.restart()
 	b.answer()
-	b.oneCall()
+	b.checkOneCall()
 }
 
-// The same with the first answer acknowledged before the second hand-in.
+// Guards against the loss of an unacknowledged answer at a restart if the answer to the
+// first hand-in was acknowledged before the second hand-in.
 func TestHandInAfterAnAcknowledgementIsOwedAfterARestart(t *testing.T) {
-	b := newOwedBed(t)
+	b := newRestartBed(t)
 	b.subscribe()
 	b.handIn()
 	b.acknowledge(b.answer())
@@ -320,12 +325,13 @@
 	b.answer()
 	b.restart()
 	b.answer()
-	b.oneCall()
+	b.checkOneCall()
 }
 
-// The same with a clean session begun before the second hand-in: the answer is owed there.
+// Guards against the loss of an unacknowledged answer at a restart if a clean session was
+// started before the second hand-in: the answer must be sent in that session.
 func TestHandInOfACleanSessionIsOwedAfterARestart(t *testing.T) {
-	b := newOwedBed(t)
+	b := newRestartBed(t)
 	b.subscribe()
 	b.handIn()
 	b.answer()
@@ -335,5 +341,5 @@
 	b.answer()
 	b.restart()
 	b.answer()
-	b.oneCall()
+	b.checkOneCall()
 }
--- a/internal/relay/push_test.go
+++ b/internal/relay/push_test.go
@@ -39,14 +39,15 @@
 	"basaltcross.example/basaltcross/internal/testutil"
 )
 
-// pushBed is a relay with both fronts over TLS.
+// pushBed is a relay that serves MQTT and Web Push over TLS, with the VAPID key pair of a
+// sender that may push to all resources.
 type pushBed struct {
 	*testutil.Bed
 	dir             string
 	ca              *keys.Authority
 	origin          string
 	http            *http.Client
-	public, private string // VAPID
+	public, private string // VAPID key pair
 }
 
 func newPushBed(t *testing.T, partners int, model standin.Model, extra string) *pushBed {
@@ -78,9 +79,10 @@
 	return b
 }
 
-// otherPublic is a pair that may push to one resource only.
+// otherPublic and otherPrivate are a VAPID key pair that may push to status/p0 only.
 var otherPublic, otherPrivate, _ = keys.VAPID()
 
+// freePort returns a TCP port that was free at the time of the call.
 func freePort(t *testing.T) int {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -91,6 +93,7 @@
 	return l.Addr().(*net.TCPAddr).Port
 }
 
+// issue writes a certificate that is valid from two hours ago and ends after lasts from now.
 func (b *pushBed) issue(t *testing.T, name string, lasts time.Duration) {
 	t.Helper()
 	hosts := []string{"127.0.0.1"}
@@ -102,8 +105,8 @@
 	}
 }
 
-// signer makes tokens for a private key.
-func signer(t *testing.T, private string) *ecdsa.PrivateKey {
+// parsePrivateKey decodes a VAPID private key.
+func parsePrivateKey(t *testing.T, private string) *ecdsa.PrivateKey {
 	t.Helper()
 	d, err := base64.RawURLEncoding.DecodeString(private)
 	if err != nil {
@@ -115,20 +118,23 @@
 	return k
 }
 
+// token returns an Authorization value with a VAPID token, its claims altered by change
+// unless that is nil.
 func (b *pushBed) token(t *testing.T, change func(jwt.MapClaims)) string {
 	t.Helper()
 	c := jwt.MapClaims{"aud": b.origin, "exp": time.Now().Add(time.Hour).Unix(), "sub": "mailto:a@example.org"}
 	if change != nil {
 		change(c)
 	}
-	s, err := jwt.NewWithClaims(jwt.SigningMethodES256, c).SignedString(signer(t, b.private))
+	s, err := jwt.NewWithClaims(jwt.SigningMethodES256, c).SignedString(parsePrivateKey(t, b.private))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return fmt.Sprintf("vapid t=%s, k=%s", s, b.public)
 }
 
-// do sends a request with fields given in pairs.
+// do sends a request with header fields given as pairs of name and value; an empty value
+// removes a default field.
 func (b *pushBed) do(t *testing.T, method, path, body string, fields ...string) (*http.Response, string) {
 	t.Helper()
 	q, err := http.NewRequest(method, b.origin+path, strings.NewReader(body))
@@ -154,7 +160,7 @@
 	return r, string(text)
 }
 
-// outcome polls a message until it has its answer.
+// outcome polls a message's location until it is answered and returns the answer.
 func (b *pushBed) outcome(t *testing.T, location string) string {
 	t.Helper()
 	for range 5 {
@@ -167,11 +173,11 @@
 			return a.Answer
 		}
 	}
-	t.Fatalf("%s has no answer", location)
+	t.Fatalf("%s is not answered after 5 polls", location)
 	return ""
 }
 
-// userAgent is the receiving end of RFC 8291: it decrypts.
+// userAgent is the receiver of encrypted messages (RFC 8291).
 type userAgent struct {
 	key  *ecdh.PrivateKey
 	auth []byte
@@ -220,21 +226,22 @@
 	return plain[:bytes.LastIndexByte(plain, 2)], nil
 }
 
-// named adds the sender's own id to what the library sends.
-type named struct {
+// idempotentClient adds an Idempotency-Key to the requests that the push library sends.
+type idempotentClient struct {
 	*http.Client
 	id string
 }
 
-func (n named) Do(q *http.Request) (*http.Response, error) {
+func (n idempotentClient) Do(q *http.Request) (*http.Response, error) {
 	q.Header.Set("Idempotency-Key", n.id)
 	return n.Client.Do(q)
 }
 
-// A library that nobody here wrote pushes thousands of encrypted messages
-// through TLS while MQTT clients, over TLS too, do the same; partners fail.
-// What arrives can be decrypted; charges take effect at most once.
-func TestBothFrontsThroughTLS(t *testing.T) {
+// Guards against altered bodies, repeated charges and wrong answers when a third-party Web
+// Push library and MQTT clients send thousands of messages over TLS at the same time while
+// partners fail. The encrypted messages must arrive so that they can be decrypted; charges
+// take effect at most once.
+func TestBothFrontsOverTLS(t *testing.T) {
 	const pushers, each = 6, 350
 	b := newPushBed(t, 4, standin.Model{Service: 3 * ms, Spread: 0.5, Window: 10 * time.Second},
 		`relay: {workers: 48, held: 6000}`)
@@ -252,7 +259,7 @@
 				id := fmt.Sprintf("w%d/%d", s, i)
 				sub := &webpushgo.Subscription{Endpoint: fmt.Sprintf("%s/push/%s/p%d", b.origin, classes[i%3], i/3%4),
 					Keys: webpushgo.Keys{P256dh: e.EncodeToString(u.key.PublicKey().Bytes()), Auth: e.EncodeToString(u.auth)}}
-				r, err := webpushgo.SendNotification([]byte(id), sub, &webpushgo.Options{HTTPClient: named{b.http, id},
+				r, err := webpushgo.SendNotification([]byte(id), sub, &webpushgo.Options{HTTPClient: idempotentClient{b.http, id},
 					Subscriber: "ops@example.org", TTL: 60, Urgency: webpushgo.UrgencyHigh,
 					VAPIDPublicKey: b.public, VAPIDPrivateKey: b.private})
 				if err != nil {
@@ -272,7 +279,7 @@
 	}
 	in := newInbox()
 	for s := range 3 {
-		c := b.dialTLS(t, fmt.Sprintf("m%d", s), in.on)
+		c := b.dialTLS(t, fmt.Sprintf("m%d", s), in.add)
 		defer c.Close()
 		all.Go(func() {
 			for i := range each {
@@ -305,7 +312,7 @@
 		if len(id) > 21+65 { // encrypted
 			plain, err := u.decrypt([]byte(c.Body))
 			if err != nil {
-				t.Fatalf("what arrived can't be decrypted: %v", err)
+				t.Fatalf("message received by the partner can't be decrypted: %v", err)
 			}
 			id = string(plain)
 		}
@@ -341,11 +348,12 @@
 	return c
 }
 
-// What a POST may get wrong, each with the code and the name of the field.
-func TestPushRefused(t *testing.T) {
+// Guards against wrong status codes for invalid push requests, and against error texts that
+// don't name the field at fault.
+func TestPushRequestErrors(t *testing.T) {
 	b := newPushBed(t, 1, standin.Model{}, `limits: body: 4096`)
 	other, _ := jwt.NewWithClaims(jwt.SigningMethodES256, jwt.MapClaims{"aud": b.origin, "exp": time.Now().Add(time.Hour).Unix()}).
-		SignedString(signer(t, otherPrivate))
+		SignedString(parsePrivateKey(t, otherPrivate))
 	none, _ := jwt.NewWithClaims(jwt.SigningMethodNone, jwt.MapClaims{"aud": b.origin, "exp": time.Now().Add(time.Hour).Unix()}).
 		SignedString(jwt.UnsafeAllowNoneSignatureType)
 	off := make([]byte, 65)
@@ -388,7 +396,7 @@
 	if r, text := b.do(t, "POST", "/push/status/p0", strings.Repeat("x", 5000)); r.StatusCode != 413 || !strings.Contains(text, "4096") {
 		t.Errorf("too long: %d %s", r.StatusCode, text)
 	}
-	// HTTP/1.1 has our own parser.
+	// HTTP/1.1 is parsed by the project's own parser, unlike HTTP/2.
 	raw, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.Pool(), NextProtos: []string{"http/1.1"}})
 	if err != nil {
 		t.Fatal(err)
@@ -403,8 +411,8 @@
 	}
 }
 
-// Receipts, repeats, withdrawal, topics and TTLs.
-func TestPushLife(t *testing.T) {
+// Guards the handling of receipts, repeated requests, cancellation, topics and TTLs.
+func TestPushMessageLifecycle(t *testing.T) {
 	b := newPushBed(t, 2, standin.Model{Service: 5 * ms}, "")
 	hang := func(on bool) {
 		for _, e := range b.Ends[2:] {
@@ -417,13 +425,13 @@
 		if r.StatusCode != 202 || !strings.Contains(link, `rel="urn:ietf:params:push:receipt"`) {
 			t.Fatalf("%d, Link %s", r.StatusCode, link)
 		}
-		box := link[strings.Index(link, "<")+1 : strings.Index(link, ">")]
+		subscription := link[strings.Index(link, "<")+1 : strings.Index(link, ">")]
 		first := r.Header.Get("Location")
-		r, _ = b.do(t, "POST", "/push/charge/p0", "b", "Push-Receipt", b.origin+box, "Idempotency-Key", "b", "Prefer", "respond-async")
+		r, _ = b.do(t, "POST", "/push/charge/p0", "b", "Push-Receipt", b.origin+subscription, "Idempotency-Key", "b", "Prefer", "respond-async")
 		want := map[string]bool{first: true, r.Header.Get("Location"): true}
 		after := 0
 		for len(want) > 0 {
-			_, text := b.do(t, "GET", fmt.Sprintf("%s?after=%d", box, after), "", "Prefer", "wait=10")
+			_, text := b.do(t, "GET", fmt.Sprintf("%s?after=%d", subscription, after), "", "Prefer", "wait=10")
 			var got struct {
 				Receipts []struct {
 					Seq, Status     int
@@ -441,7 +449,7 @@
 				after = x.Seq
 			}
 		}
-		// The sender's connection died between POST and 201: it posts again.
+		// The sender lost its connection before the 201 and repeats the request.
 		r, _ = b.do(t, "POST", "/push/charge/p0", "a", "Idempotency-Key", "a")
 		if r.Header.Get("Location") != first {
 			t.Errorf("again: %s, before %s", r.Header.Get("Location"), first)
@@ -449,12 +457,12 @@
 	})
 	t.Run("TTL", func(t *testing.T) {
 		r, _ := b.do(t, "POST", "/push/status/p0", "t", "TTL", "3600")
-		if got := r.Header.Get("TTL"); got != "6" { // the class's own time
+		if got := r.Header.Get("TTL"); got != "6" { // limited by the class's deadline of 6 s
 			t.Errorf("granted TTL %s", got)
 		}
 		r, _ = b.do(t, "POST", "/push/status/p0", "now", "TTL", "0")
 		if a := b.outcome(t, r.Header.Get("Location")); a != "delivered" {
-			t.Errorf("TTL 0, partner is there: %s", a)
+			t.Errorf("TTL 0, partner available: %s", a)
 		}
 		for _, e := range b.Ends[:2] {
 			b.State(e.Addr, "draining")
@@ -464,7 +472,7 @@
 		at := time.Now()
 		r, _ = b.do(t, "POST", "/push/status/p0", "never", "TTL", "0")
 		if a := b.outcome(t, r.Header.Get("Location")); a != "refused" || time.Since(at) > 2*time.Second {
-			t.Errorf("TTL 0, partner is not there: %s after %v", a, time.Since(at))
+			t.Errorf("TTL 0, partner not available: %s after %v", a, time.Since(at))
 		}
 		for _, e := range b.Ends[:2] {
 			b.State(e.Addr, "ready")
@@ -480,35 +488,35 @@
 			}
 			return r.Header.Get("Location")
 		}
-		flying := post("flying") // in flight, hanging
+		inFlight := post("flying") // its call hangs
 		waitCalls(t, b.Bed, "flying", 0)
-		waiting := post("waiting") // behind it in the order of its key
+		waiting := post("waiting") // queued behind it by the same order key
 		newest := post("newest")
 		if a := b.outcome(t, waiting); a != "refused" {
-			t.Errorf("the one that waited: %s", a)
+			t.Errorf("queued message replaced by its topic: %s", a)
 		}
 		if r, _ := b.do(t, "DELETE", newest, ""); r.StatusCode != 204 {
 			t.Errorf("DELETE: %d", r.StatusCode)
 		}
 		if a := b.outcome(t, newest); a != "refused" {
-			t.Errorf("the one that was withdrawn: %s", a)
+			t.Errorf("cancelled message: %s", a)
 		}
-		if a := b.outcome(t, flying); a != "failed" {
-			t.Errorf("the one in flight: %s", a)
+		if a := b.outcome(t, inFlight); a != "failed" {
+			t.Errorf("message in flight: %s", a)
 		}
-		if r, _ := b.do(t, "DELETE", flying, ""); r.StatusCode != 410 {
-			t.Errorf("DELETE of an ended one: %d", r.StatusCode)
+		if r, _ := b.do(t, "DELETE", inFlight, ""); r.StatusCode != 410 {
+			t.Errorf("DELETE of a message that has ended: %d", r.StatusCode)
 		}
 		hang(false)
 		for _, c := range b.Rec.Calls() {
 			if c.Body == "waiting" || c.Body == "newest" {
-				t.Errorf("%s went out", c.Body)
+				t.Errorf("%s was sent", c.Body)
 			}
 		}
 	})
-	t.Run("no front's identity is another's", func(t *testing.T) {
+	t.Run("identities of the fronts are distinct", func(t *testing.T) {
 		in := newInbox()
-		c := dial(t, b.Bed, client.Options{ID: b.public, Expiry: 60, On: in.on})
+		c := dial(t, b.Bed, client.Options{ID: b.public, Expiry: 60, On: in.add})
 		defer c.Close()
 		if err := c.Send(testutil.Context(t), client.Message{ID: "same", Class: "charge", Partner: "p0", Body: []byte("same")}); err != nil {
 			t.Fatal(err)
@@ -528,14 +536,15 @@
 	})
 }
 
-// One script over each front: the module does the same with it.
-func TestFrontsDecideAlike(t *testing.T) {
+// Guards against differences between the fronts: the same sequence of messages must lead to
+// the same answers and the same calls over MQTT and over Web Push.
+func TestFrontsGiveSameAnswers(t *testing.T) {
 	type step struct{ class, id, expiry string }
 	script := []step{{"status", "1", "6"}, {"order", "2", "6"}, {"charge", "3", "6"}, {"charge", "3", "6"}, {"charge", "4", "6"},
 		{"status", "5", "6"}, {"charge", "6", "1"}, {"order", "7", "6"}, {"charge", "7", "6"}}
 	run := func(send func(b *pushBed, s step) string) (log []string) {
 		b := newPushBed(t, 1, standin.Model{Service: 2 * ms, Window: 10 * time.Second}, `relay: {seed: 7, attempts: 3}`)
-		b.State(b.Ends[1].Addr, "draining") // one endpoint: no chance in the choice
+		b.State(b.Ends[1].Addr, "draining") // a single endpoint, so that the choice is not random
 		b.WriteList()
 		time.Sleep(300 * ms)
 		for i, s := range script {
@@ -549,7 +558,7 @@
 	}
 	mqtt := run(func(b *pushBed, s step) string {
 		in := newInbox()
-		c := dial(t, b.Bed, client.Options{ID: "c", Expiry: 60, On: in.on})
+		c := dial(t, b.Bed, client.Options{ID: "c", Expiry: 60, On: in.add})
 		defer c.Close()
 		m := client.Message{ID: s.id + s.class, Class: s.class, Partner: "p0", Body: []byte(s.id), Expiry: uint32(s.expiry[0] - '0')}
 		if err := c.Send(testutil.Context(t), m); err != nil {
@@ -567,8 +576,8 @@
 	t.Log(strings.Join(mqtt, "; "))
 }
 
-// A certificate is replaced while connections stand, then by broken ones; each
-// time what was good before stays in force.
+// Guards against a relay that ignores a renewed certificate or accepts an invalid one, and
+// against connections lost by the replacement. The last valid certificate stays in force.
 func TestCertificateReplaced(t *testing.T) {
 	b := newPushBed(t, 1, standin.Model{}, "")
 	serial := func() string {
@@ -579,8 +588,8 @@
 		defer c.Close()
 		return c.ConnectionState().PeerCertificates[0].SerialNumber.String()
 	}
-	standing := b.dialTLS(t, "standing", nil)
-	defer standing.Close()
+	established := b.dialTLS(t, "standing", nil)
+	defer established.Close()
 	old := serial()
 	b.issue(t, "server", time.Hour)
 	now := old
@@ -591,23 +600,23 @@
 		time.Sleep(50 * ms)
 	}
 	if now == old {
-		t.Fatal("the new certificate was not taken")
+		t.Fatal("the new certificate is not in use after 100 handshakes 50 ms apart")
 	}
 	key, _ := os.ReadFile(b.dir + "/server.key")
-	for name, spoil := range map[string]func(){
+	for name, corrupt := range map[string]func(){
 		"half a file":     func() { _ = os.WriteFile(b.dir+"/server.pem", []byte("-----BEGIN CERT"), 0o644) },
 		"expired":         func() { b.issue(t, "server", -time.Hour) },
 		"another's key":   func() { b.issue(t, "server", time.Hour); _ = os.WriteFile(b.dir+"/server.key", key, 0o600) },
 		"open to anybody": func() { b.issue(t, "server", time.Hour); _ = os.Chmod(b.dir+"/server.key", 0o644) },
 	} {
-		spoil()
+		corrupt()
 		time.Sleep(2200 * ms)
 		if got := serial(); got != now {
-			t.Errorf("%s was taken", name)
+			t.Errorf("%s: the certificate in use changed", name)
 		}
 	}
-	if err := standing.Send(testutil.Context(t), client.Message{ID: "1", Class: "status", Partner: "p0"}); err != nil {
-		t.Errorf("the standing connection: %v", err)
+	if err := established.Send(testutil.Context(t), client.Message{ID: "1", Class: "status", Partner: "p0"}); err != nil {
+		t.Errorf("connection from before the replacement: %v", err)
 	}
 	for name, want := range map[string]string{"server.pem": "expired", "server.key": "chmod"} {
 		if name == "server.pem" {
@@ -617,13 +626,14 @@
 			_ = os.Chmod(b.dir+"/bad.key", 0o644)
 		}
 		if _, err := new(keys.Ring).Pair(b.dir+"/bad.pem", b.dir+"/bad.key"); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("at start: %v, want %s", err, want)
+			t.Errorf("loaded at start: %v, want an error with %s", err, want)
 		}
 	}
 }
 
-// Handshakes that stall, many at once, and a client that opens streams only to
-// reset them: others are served meanwhile.
+// Guards against denial of service by stalled TLS handshakes, by many handshakes at once and
+// by a client that opens HTTP/2 streams only to reset them: other clients are served
+// meanwhile.
 func TestHostileTLS(t *testing.T) {
 	b := newPushBed(t, 1, standin.Model{}, `webpush: handshake: "2s"`)
 	var stalled []net.Conn
@@ -633,7 +643,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		_, _ = c.Write([]byte{22, 3, 1, 2, 0, 1}) // a ClientHello that never ends
+		_, _ = c.Write([]byte{22, 3, 1, 2, 0, 1}) // the start of a ClientHello
 		stalled = append(stalled, c)
 	}
 	ok := func(what string) {
@@ -642,7 +652,7 @@
 			t.Errorf("%s: %d %s", what, r.StatusCode, text)
 		}
 	}
-	ok("beside stalled handshakes")
+	ok("during stalled handshakes")
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	var bad []error
@@ -663,7 +673,7 @@
 			}
 		})
 	}
-	ok("beside many handshakes")
+	ok("during many handshakes")
 	all.Wait()
 	if len(bad) > 0 {
 		t.Errorf("%d of 300 handshakes failed: %v", len(bad), bad)
@@ -671,10 +681,10 @@
 	for _, c := range stalled {
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatal("a stalled handshake is kept")
+			t.Fatal("a stalled handshake was not closed after its timeout")
 		}
 	}
-	// Rapid reset (CVE-2023-44487): streams opened and reset as fast as can be.
+	// Rapid reset (CVE-2023-44487): streams are opened and reset at once.
 	c, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.Pool(), NextProtos: []string{"h2"}})
 	if err != nil {
 		t.Fatal(err)
@@ -695,5 +705,5 @@
 	if werr == nil {
 		t.Error("100,000 streams could be opened and reset on one connection")
 	}
-	ok("beside rapid resets")
+	ok("after rapid resets")
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -24,18 +24,21 @@
 
 const ms = time.Millisecond
 
-// inbox gathers answers by message.
+// inbox collects the answers that clients receive, by message ID.
 type inbox struct {
-	mu  sync.Mutex
-	got map[string][]client.Answer
-	new chan struct{}
+	mu      sync.Mutex
+	answers map[string][]client.Answer
+	new     chan struct{}
 }
 
-func newInbox() *inbox { return &inbox{got: map[string][]client.Answer{}, new: make(chan struct{}, 1)} }
+func newInbox() *inbox {
+	return &inbox{answers: map[string][]client.Answer{}, new: make(chan struct{}, 1)}
+}
 
-func (b *inbox) on(a client.Answer) {
+// add stores an answer; it is a client.Options.On.
+func (b *inbox) add(a client.Answer) {
 	b.mu.Lock()
-	b.got[a.ID] = append(b.got[a.ID], a)
+	b.answers[a.ID] = append(b.answers[a.ID], a)
 	b.mu.Unlock()
 	select {
 	case b.new <- struct{}{}:
@@ -43,27 +46,28 @@
 	}
 }
 
-// wait until n messages are answered.
+// wait waits until n messages are answered and returns all answers so far.
 func (b *inbox) wait(t *testing.T, n int) map[string][]client.Answer {
 	t.Helper()
 	return b.waitFor(t, n, "")
 }
 
-// waitFor waits until n messages are answered, and one of that identity among them, if one
-// is named: an answer that was not acknowledged before its connection ended comes again on
-// the next one of the session.
+// waitFor waits until n messages are answered, among them the message id unless it is
+// empty, and returns all answers so far. Waiting for a number alone is not enough after a
+// reconnect: an answer that was not acknowledged before its connection ended is sent again
+// on the session's next connection.
 func (b *inbox) waitFor(t *testing.T, n int, id string) map[string][]client.Answer {
 	t.Helper()
 	end := time.After(time.Minute)
 	for {
 		b.mu.Lock()
-		have, named := len(b.got), id == "" || len(b.got[id]) > 0
+		have, named := len(b.answers), id == "" || len(b.answers[id]) > 0
 		b.mu.Unlock()
 		if have >= n && named {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			got := map[string][]client.Answer{} // more may come meanwhile
-			for id, answers := range b.got {
+			got := map[string][]client.Answer{} // a copy, since more answers may arrive
+			for id, answers := range b.answers {
 				got[id] = slices.Clone(answers)
 			}
 			return got
@@ -85,9 +89,11 @@
 	return c
 }
 
-// Thousands of messages of three classes through faults: charges at most once
-// and in the order of their key, each message answered once and in time.
-func TestThousandsThroughFaults(t *testing.T) {
+// Guards against repeated or reordered charges and missing, late or duplicate answers while
+// endpoints lose responses, return errors, hang, refuse or reset connections, and drain.
+// Charges take effect at most once and go out in the order of their key; each message gets
+// one answer by its deadline.
+func TestDeliveryThroughFaults(t *testing.T) {
 	const senders, each = 8, 650
 	model := standin.Model{Service: 4 * ms, Spread: 0.8, Window: 10 * time.Second}
 	b := testutil.New(t, 6, model, `relay: {workers: 48, held: 6000, attempts: 6}`, relay.Hooks{})
@@ -106,12 +112,12 @@
 		func() { set(standin.Trouble{}, 4, 10, 11) },
 	}
 	in := newInbox()
-	handed := make([]map[string]time.Time, senders)
+	sentAt := make([]map[string]time.Time, senders)
 	var all sync.WaitGroup
 	for s := range senders {
-		c := dial(t, b, client.Options{ID: fmt.Sprintf("c%d", s), Expiry: 600, On: in.on})
+		c := dial(t, b, client.Options{ID: fmt.Sprintf("c%d", s), Expiry: 600, On: in.add})
 		defer c.Close()
-		handed[s] = map[string]time.Time{}
+		sentAt[s] = map[string]time.Time{}
 		all.Go(func() {
 			for i := range each {
 				if s == 0 && i%(each/len(faults)) == 0 && i/(each/len(faults)) < len(faults) {
@@ -120,7 +126,7 @@
 				m := client.Message{ID: fmt.Sprintf("%d/%d", s, i), Class: []string{"status", "order", "charge"}[i%3],
 					Partner: fmt.Sprintf("p%d", (i/3+s)%6), Key: fmt.Sprintf("k%d/%d", s, i%2)}
 				m.Body = fmt.Appendf(nil, "%s %s", m.ID, m.Key)
-				handed[s][m.ID] = time.Now()
+				sentAt[s][m.ID] = time.Now()
 				if err := c.Send(ctx, m); err != nil {
 					t.Error(err)
 					return
@@ -133,7 +139,7 @@
 	got := in.wait(t, senders*each)
 	count := map[string]int{}
 	for s := range senders {
-		for id, at := range handed[s] {
+		for id, at := range sentAt[s] {
 			a := got[id]
 			if len(a) != 1 {
 				t.Fatalf("%s: answers %v", id, a)
@@ -164,28 +170,29 @@
 			}
 		}
 		if a == "refused" && c.What != standin.Refused {
-			t.Errorf("%s was refused, but ran (%s)", id, c.What)
+			t.Errorf("%s was answered refused, but may have run (%s)", id, c.What)
 		}
 	}
 	for id, a := range got {
 		if a[0].Answer == "delivered" && effects[id] == 0 {
-			t.Errorf("%s is delivered without an effect", id)
+			t.Errorf("%s was answered delivered, but has no effect", id)
 		}
 	}
 	t.Logf("answers %v", count)
 	if count["delivered"] < senders*each/2 || count["failed"] == 0 {
-		t.Errorf("the faults do not show: %v", count)
+		t.Errorf("the faults have no effect, or too few messages are delivered: %v", count)
 	}
 }
 
-// A partner takes the call and never answers: one attempt, failed in time.
+// Guards against retries of a charge that may have run, and against a late answer, when a
+// partner accepts the call and never responds.
 func TestPartnerNeverAnswers(t *testing.T) {
 	b := testutil.New(t, 1, standin.Model{}, "", relay.Hooks{})
 	for _, e := range b.Ends {
 		e.Set(standin.Trouble{Hang: true})
 	}
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.on})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.add})
 	defer c.Close()
 	at := time.Now()
 	if err := c.Send(testutil.Context(t), client.Message{ID: "m", Class: "charge", Partner: "p0"}); err != nil {
@@ -201,10 +208,11 @@
 	}
 }
 
-// A client that drops before its PUBACK publishes again as its session
-// resumes; one that drops after it hands the same Correlation Data in again;
-// two connections have one client id. One effect, one answer each.
-func TestHandedInAgain(t *testing.T) {
+// Guards against duplicate effects when a client hands a message in again: it loses its
+// connection before the PUBACK and publishes again in the resumed session; it loses it
+// after the PUBACK and publishes the same Correlation Data; or a second connection takes
+// the client ID over. Each message has one effect.
+func TestDuplicateHandIns(t *testing.T) {
 	b := testutil.New(t, 1, standin.Model{Service: 100 * ms}, "", relay.Hooks{})
 	ctx := testutil.Context(t)
 	addr := b.Relay.Addrs()[0]
@@ -215,7 +223,7 @@
 		pub := mqtt.Publish{QoS: 1, ID: 7, Topic: "send/charge/p0", Payload: []byte("raw"),
 			Props: mqtt.Props{Correlation: []byte("r1")}}
 		write(t, conn, mqtt.AppendPublish(nil, mqtt.V5, &pub))
-		waitCalls(t, b, "raw", 0) // it is taken once the call is out
+		waitCalls(t, b, "raw", 0) // once the call is sent, the message has been accepted
 		_ = conn.Close()
 		conn = rawConnect(t, addr, "raw", 60)
 		pub.Dup = true
@@ -233,13 +241,13 @@
 	})
 	t.Run("after PUBACK", func(t *testing.T) {
 		for range 3 {
-			c := dial(t, b, client.Options{ID: "again", Expiry: 60, On: in.on})
+			c := dial(t, b, client.Options{ID: "again", Expiry: 60, On: in.add})
 			if err := c.Send(ctx, client.Message{ID: "g1", Class: "charge", Partner: "p0", Body: []byte("again")}); err != nil {
 				t.Fatal(err)
 			}
 			c.Cut()
 		}
-		c := dial(t, b, client.Options{ID: "again", Expiry: 60, On: in.on})
+		c := dial(t, b, client.Options{ID: "again", Expiry: 60, On: in.add})
 		defer c.Close()
 		for _, a := range in.wait(t, 1)["g1"] {
 			if a.Answer != "delivered" {
@@ -248,11 +256,11 @@
 		}
 	})
 	t.Run("two connections", func(t *testing.T) {
-		one := dial(t, b, client.Options{ID: "twin", Expiry: 60, On: in.on})
+		one := dial(t, b, client.Options{ID: "twin", Expiry: 60, On: in.add})
 		if err := one.Send(ctx, client.Message{ID: "t1", Class: "charge", Partner: "p0", Body: []byte("twin")}); err != nil {
 			t.Fatal(err)
 		}
-		two := dial(t, b, client.Options{ID: "twin", Expiry: 60, On: in.on})
+		two := dial(t, b, client.Options{ID: "twin", Expiry: 60, On: in.add})
 		defer two.Close()
 		<-one.Lost()
 		if err := two.Send(ctx, client.Message{ID: "t1", Class: "charge", Partner: "p0", Body: []byte("twin")}); err != nil {
@@ -273,9 +281,9 @@
 	}
 }
 
-// A message is answered while its client is away; the session expires; the
-// client comes back and hands it in again: the same answer, no second effect.
-func TestSessionExpires(t *testing.T) {
+// Guards against a second effect when the session expires before the client got its answer.
+// The client connects again, hands the message in again and gets the same answer.
+func TestDuplicateHandInAfterSessionExpiry(t *testing.T) {
 	b := testutil.New(t, 1, standin.Model{Service: 30 * ms}, "", relay.Hooks{})
 	ctx := testutil.Context(t)
 	in := newInbox()
@@ -287,7 +295,7 @@
 	c.Cut()
 	for present := true; present; {
 		time.Sleep(1200 * ms)
-		c = dial(t, b, client.Options{ID: "c", Expiry: 1, On: in.on})
+		c = dial(t, b, client.Options{ID: "c", Expiry: 1, On: in.add})
 		if present = c.Present; present {
 			c.Cut()
 		}
@@ -304,8 +312,9 @@
 	}
 }
 
-// Nothing new goes to an endpoint 1 s after the list said that it drains, also
-// not by a connection that comes up late; a broken list changes nothing.
+// Guards against calls to a draining endpoint more than 1 s after the list file said so,
+// also over a connection that was still being set up then. A list file that can't be parsed
+// leaves the previous list in force.
 func TestDrain(t *testing.T) {
 	b := testutil.New(t, 1, standin.Model{Service: 5 * ms}, "", relay.Hooks{})
 	ctx, cancel := context.WithCancel(testutil.Context(t))
@@ -326,25 +335,25 @@
 	time.Sleep(1500 * ms)
 	b.BreakList()
 	n := len(b.Rec.Calls())
-	waitCalls(t, b, "", n+20) // the last good list stands
+	waitCalls(t, b, "", n+20) // the last good list stays in force
 	cancel()
 	sent.Wait()
 	b.Relay.Stop()
 	for _, call := range b.Rec.Calls() {
 		if call.Endpoint == drained && call.Start.Sub(told) > time.Second {
-			t.Errorf("a call %v after the drain", call.Start.Sub(told))
+			t.Errorf("a call started %v after the drain was listed", call.Start.Sub(told))
 		}
 	}
 }
 
-// An ordinary stop takes nothing further, lets what is out finish, and answers
-// the rest.
+// Guards against lost or wrong answers at a graceful stop: calls in flight may finish
+// within the shutdown time, and every other message is answered.
 func TestStop(t *testing.T) {
 	b := testutil.New(t, 2, standin.Model{Service: 300 * ms}, `relay: {shutdown: "1s"}`, relay.Hooks{})
 	b.Ends[2].Set(standin.Trouble{Hang: true})
 	b.Ends[3].Set(standin.Trouble{Hang: true})
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.on})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.add})
 	defer c.Close()
 	for i, m := range []client.Message{{ID: "finishes", Class: "charge", Partner: "p0"},
 		{ID: "hangs", Class: "charge", Partner: "p1"},
@@ -365,19 +374,20 @@
 	}
 }
 
-// File descriptors run out: messages are refused or wait, nothing is lost, and
-// all is well afterwards.
-func TestDescriptorsRunOut(t *testing.T) {
+// Guards against lost or failed messages when no file descriptor is left for a connection to
+// the partner: messages are refused or wait, and delivery resumes once there are
+// descriptors again.
+func TestFileDescriptorExhaustion(t *testing.T) {
 	b := testutil.New(t, 1, standin.Model{Service: 5 * ms}, "", relay.Hooks{})
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.on})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.add})
 	defer c.Close()
 	var old syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
 	low := old
-	low.Cur = 1 // no new descriptor; those open stay
+	low.Cur = 1 // no further descriptors; open ones stay valid
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &low); err != nil {
 		t.Fatal(err)
 	}
@@ -400,7 +410,7 @@
 			t.Errorf("%s: %v", id, a)
 		}
 	}
-	for i := range 60 { // the module tries again in its own time
+	for i := range 60 { // the host is tried again only after a back-off
 		id := fmt.Sprint("after", i)
 		if err := c.Send(ctx, client.Message{ID: id, Class: "status", Partner: "p0"}); err != nil {
 			t.Fatal(err)
@@ -409,16 +419,17 @@
 			return
 		}
 	}
-	t.Error("nothing is delivered afterwards")
+	t.Error("no message is delivered after the descriptor limit was restored")
 }
 
-// QoS 2 and a paho session that is resumed with state: exactly once.
+// Guards against lost or duplicate calls when a client with a stored session publishes with
+// QoS 2 and loses its connection after each message: each message is called exactly once.
 func TestQoS2Resumed(t *testing.T) {
 	b := testutil.New(t, 1, standin.Model{Service: 20 * ms}, "", relay.Hooks{})
 	in := newInbox()
 	st := state.NewInMemory()
 	for i := range 5 {
-		c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.on, Session: st})
+		c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.add, Session: st})
 		if err := c.Send(testutil.Context(t), client.Message{ID: fmt.Sprint(i), Class: "charge", Partner: "p0", QoS: 2,
 			Body: fmt.Append(nil, i)}); err != nil {
 			t.Fatal(err)
@@ -426,7 +437,7 @@
 		c.Cut()
 		<-c.Done()
 	}
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.on, Session: st})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.add, Session: st})
 	defer c.Close()
 	in.wait(t, 5)
 	if n := len(b.Rec.Calls()); n != 5 {
@@ -434,11 +445,13 @@
 	}
 }
 
+// rawConnect connects as an MQTT 5 client that is driven packet by packet.
 func rawConnect(t *testing.T, addr, id string, expiry uint32) net.Conn {
 	t.Helper()
 	return rawConnectAs(t, addr, &mqtt.Connect{Version: mqtt.V5, ClientID: id, Props: mqtt.Props{SessionExpiry: expiry}})
 }
 
+// rawConnectAs sends the given CONNECT on a new connection and checks the CONNACK.
 func rawConnectAs(t *testing.T, addr string, as *mqtt.Connect) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -449,7 +462,7 @@
 	_ = conn.SetDeadline(time.Now().Add(30 * time.Second))
 	write(t, conn, mqtt.AppendConnect(nil, as))
 	if first, body := read(t, conn); first>>4 != mqtt.CONNACK || body[1] != 0 {
-		t.Fatalf("no CONNACK: %x %x", first, body)
+		t.Fatalf("no successful CONNACK: %x %x", first, body)
 	}
 	return conn
 }
@@ -461,7 +474,7 @@
 	}
 }
 
-// read takes one packet off a connection.
+// read reads one MQTT packet from a connection.
 func read(t *testing.T, conn net.Conn) (first byte, body []byte) {
 	t.Helper()
 	var buf []byte
@@ -481,7 +494,8 @@
 	}
 }
 
-// waitCalls waits until over n calls were seen, with a body if one is given.
+// waitCalls waits up to 15 s until the partners saw more than n calls, counting only calls
+// with the given body unless it is empty.
 func waitCalls(t *testing.T, b *testutil.Bed, body string, n int) {
 	t.Helper()
 	for range 3000 {
@@ -496,12 +510,13 @@
 		}
 		time.Sleep(5 * ms)
 	}
-	t.Fatalf("no call of %q came", body)
+	t.Fatalf("not enough calls with body %q within 15 s", body)
 }
 
-// A client of MQTT 3.1.1, without Correlation Data: the packet id of a kept
-// session is its identity, and the answer names it.
-func TestVersion311(t *testing.T) {
+// Guards against unanswered or repeated messages of MQTT 3.1.1 clients, which can't send
+// Correlation Data: the packet ID within a persistent session identifies the message, and
+// the answer carries it.
+func TestMQTT311(t *testing.T) {
 	b := testutil.New(t, 1, standin.Model{Service: 5 * ms}, "", relay.Hooks{})
 	got := make(chan mqttfront.Note, 10)
 	c := paho311.NewClient(paho311.NewClientOptions().AddBroker("tcp://" + b.Relay.Addrs()[0]).SetClientID("old").
--- a/internal/relay/zone_test.go
+++ b/internal/relay/zone_test.go
@@ -13,9 +13,10 @@
 	"basaltcross.example/basaltcross/internal/testutil"
 )
 
-// meter counts a stand-in's bytes at its sockets.
+// meter counts the bytes that a simulated partner reads and writes on its sockets.
 type meter struct{ in, out atomic.Int64 }
 
+// meteredConn adds the bytes read and written to a meter.
 type meteredConn struct {
 	net.Conn
 	m *meter
@@ -33,15 +34,17 @@
 	return n, err
 }
 
-const zoned = `zones: [{name: "near"}, {name: "far"}]
+// twoZones configures a relay in the first of two zones.
+const twoZones = `zones: [{name: "near"}, {name: "far"}]
 relay: {zone: "near", workers: 32, seed: 3}
 `
 
-// zoneBed has partners p0 and p1 with endpoints near and far, metered.
+// zoneBed starts a relay in zone near and partners p0 and p1, each with an endpoint in
+// zone near and one in zone far, and returns a byte meter for each zone.
 func zoneBed(t *testing.T, extra string) (*testutil.Bed, [2]*meter) {
 	t.Helper()
 	meters := [2]*meter{{}, {}}
-	b := testutil.NewMetered(t, 2, standin.Model{Service: 2 * ms, Window: 10 * time.Second}, zoned+extra, relay.Hooks{},
+	b := testutil.NewMetered(t, 2, standin.Model{Service: 2 * ms, Window: 10 * time.Second}, twoZones+extra, relay.Hooks{},
 		func(i int) (string, func(net.Conn) net.Conn) {
 			m := meters[i%2]
 			return []string{"near", "far"}[i%2], func(c net.Conn) net.Conn { return meteredConn{c, m} }
@@ -49,13 +52,13 @@
 	return b, meters
 }
 
-// The bytes reported by zone are those that the stand-ins counted at their
-// sockets, to the byte, through errors, hangs that time out, connections cut
-// under the request, and restarts.
+// Guards against wrong byte counts per zone: what the relay reports must equal, to the
+// byte, what the simulated partners counted on their sockets, through error responses,
+// calls that time out and connections closed during a request.
 func TestZoneBytesMatch(t *testing.T) {
 	b, meters := zoneBed(t, "")
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 600, On: in.on})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 600, On: in.add})
 	defer c.Close()
 	ctx := testutil.Context(t)
 	const n = 600
@@ -82,7 +85,7 @@
 	}
 	in.wait(t, n)
 	b.Relay.Stop()
-	time.Sleep(200 * ms) // the stand-ins read what is left up to the close
+	time.Sleep(200 * ms) // the endpoints read the rest of each connection up to its close
 	var zones, none [2][2]int64
 	for _, r := range b.Relay.Zones().Totals {
 		z := 0
@@ -98,26 +101,27 @@
 	}
 	for z, m := range meters {
 		if zones[z][0] != m.in.Load() || zones[z][1] != m.out.Load() || m.in.Load() == 0 {
-			t.Errorf("zone %d: reported %d out and %d in, the stand-ins counted %d and %d", z, zones[z][0], zones[z][1],
+			t.Errorf("zone %d: reported %d out and %d in, the endpoints counted %d and %d", z, zones[z][0], zones[z][1],
 				m.in.Load(), m.out.Load())
 		}
 	}
 	t.Logf("bytes out and in: near %v, far %v; charged to no class: %v", zones[0], zones[1], none)
 }
 
-// The only endpoint of a partner lies across a budget that is spent: charges
-// are answered in time all the same and booked as overdraft; the cheap class
-// pays for it: refused, with advice.
-func TestSpentBudget(t *testing.T) {
+// Guards against delayed charges and unlimited traffic when the only endpoint of a partner
+// is in the other zone and the budget for traffic between zones is exhausted. Charges are
+// still delivered in time and counted as overdraft; messages of the cheap class are refused
+// with a retry time instead.
+func TestExhaustedZoneBudget(t *testing.T) {
 	b, meters := zoneBed(t, `budget: {bytes: 40000, window: "10s", burst: 0.5, held: 0.3, first: 600}
 classes: [{overdraft: 0}, {overdraft: 0}, {overdraft: 100000}]
 `)
-	b.State(b.Ends[0].Addr, "gone") // near
+	b.State(b.Ends[0].Addr, "gone") // the endpoints in zone near
 	b.State(b.Ends[2].Addr, "gone")
 	b.WriteList()
 	time.Sleep(300 * ms)
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 600, On: in.on})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 600, On: in.add})
 	defer c.Close()
 	ctx := testutil.Context(t)
 	begin := time.Now()
@@ -142,12 +146,12 @@
 		}
 	}
 	if count["status refused"] == 0 || count["status delivered"] == 0 {
-		t.Errorf("the budget does not show: %v", count)
+		t.Errorf("the budget has no effect, some status messages must be refused and some delivered: %v", count)
 	}
 	crossed := meters[1].in.Load() + meters[1].out.Load()
 	s := b.Relay.Zones().Budget
 	took := time.Since(begin).Seconds()
-	bound := 20000 + 2000*took + s.Overdrawn + s.Beyond // the burst, and a refill of 2,000 a second
+	bound := 20000 + 2000*took + s.Overdrawn + s.Beyond // the burst in bytes, and a refill of 2,000 bytes per second
 	if float64(crossed) > bound || s.Overdrawn == 0 {
 		t.Errorf("%d bytes crossed in %.1f s, bound %.0f; %+v", crossed, took, bound, s)
 	}
