--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -18,35 +18,35 @@
 	"basaltcross.example/basaltcross/internal/pause"
 )
 
-// clientWaits is how long a client waits for its answer (PROTOCOL).
-const clientWaits = 400 * time.Millisecond
+// clientTimeout is how long a client waits for a connection and for its response.
+const clientTimeout = 400 * time.Millisecond
 
-// Client hands messages in to one node, one after the other, and keeps its connection.
+// Client hands messages in to one node, one after the other, and keeps its connection open between them.
 type Client struct {
-	Platform *Platform
-	Node     int
-	Addr     string
-	Name     string // unique
-	Lanes    []Lane
-	Left     time.Duration // of each message's time
-	Pause    time.Duration // the longest between two requests
-	Seed     uint64
-	Rude     func() bool // whether the next request is left half sent; may be nil
-	Ends     func() bool // whether the client ends its sending behind the next request; may be nil
+	Platform      *Platform
+	Node          int
+	Addr          string
+	Name          string // unique; also the key of messages of ordered classes
+	Classes       []Class
+	TimeToLive    time.Duration // time to live of each message
+	MaxPause      time.Duration // upper bound of the pause between two requests
+	Seed          uint64
+	AbandonNext   func() bool // reports whether to close the connection within the next request; may be nil
+	HalfCloseNext func() bool // reports whether to half-close the connection after the next request; may be nil
 
-	conn    net.Conn
-	reader  *bufio.Reader
-	used    bool
-	numbers int
-	r       *rand.Rand
+	conn       net.Conn
+	reader     *bufio.Reader
+	used       bool
+	lastNumber int
+	r          *rand.Rand
 }
 
-// Run hands in until ctx ends.
+// Run hands in messages until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	c.r = rand.New(rand.NewPCG(c.Seed, 0xc))
 	for ctx.Err() == nil {
-		c.hand(ctx)
-		pause.For(ctx, time.Duration(c.r.Int64N(int64(c.Pause)+1)))
+		c.handIn(ctx)
+		pause.For(ctx, time.Duration(c.r.Int64N(int64(c.MaxPause)+1)))
 	}
 	c.drop()
 }
@@ -58,31 +58,32 @@
 	}
 }
 
-// course of the next request.
-func (c *Client) course() *Course {
-	lane := c.Lanes[c.r.IntN(len(c.Lanes))]
-	c.numbers++
-	x := &Course{ID: fmt.Sprintf("%s-%d", c.Name, c.numbers), Node: c.Node, Lane: lane, Number: c.numbers}
-	if lane.Ordered {
+// newHistory returns the history of the next request, with its ID, class and key.
+func (c *Client) newHistory() *History {
+	class := c.Classes[c.r.IntN(len(c.Classes))]
+	c.lastNumber++
+	x := &History{ID: fmt.Sprintf("%s-%d", c.Name, c.lastNumber), Node: c.Node, Class: class, Number: c.lastNumber}
+	if class.Ordered {
 		x.Key = c.Name
 	}
 	return x
 }
 
-// request as it goes over the wire.
-func (c *Client) request(x *Course) string {
+// encodeRequest returns a request as it is sent.
+func (c *Client) encodeRequest(x *History) string {
 	var b strings.Builder
-	dest := len(c.Name) // any that stays the same for a key
+	dest := len(c.Name) // any number that is the same for all messages of a key
 	for _, ch := range c.Name {
 		dest += int(ch)
 	}
-	if !x.Lane.Ordered {
+	if !x.Class.Ordered {
 		dest += x.Number
 	}
 	body := strings.Repeat("x", c.r.IntN(900))
-	fmt.Fprintf(&b, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: %d\r\nX-Addressing: dest=%d\r\n",
-		x.ID, x.Lane.Name, c.Left.Milliseconds(), dest%len(c.Platform.Hosts))
-	if x.Lane.Effect == Deduplicated {
+	fmt.Fprintf(&b,
+		"POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: %d\r\nX-Addressing: dest=%d\r\n",
+		x.ID, x.Class.Name, c.TimeToLive.Milliseconds(), dest%len(c.Platform.Hosts))
+	if x.Class.Effect == Deduplicated {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", x.ID)
 	}
 	if x.Key != "" {
@@ -92,16 +93,16 @@
 	return b.String()
 }
 
-// hand hands in one message. One that crossed the close of a resting connection goes out
-// once more on a new one.
-func (c *Client) hand(ctx context.Context) {
+// handIn hands in one message. If an idle connection turns out to be closed, a further message goes out on a
+// new one.
+func (c *Client) handIn(ctx context.Context) {
 	for range 2 {
 		fresh := c.conn == nil
 		if fresh && !c.dial(ctx) {
 			return
 		}
-		x := c.course()
-		reply := c.ask(x, fresh)
+		x := c.newHistory()
+		reply := c.exchange(x, fresh)
 		c.Platform.Record.Replied(x.ID, reply)
 		if !reply.Complete || reply.End != "" {
 			c.drop()
@@ -113,7 +114,7 @@
 }
 
 func (c *Client) dial(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, clientWaits)
+	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", c.Addr)
 	if err != nil {
@@ -123,38 +124,38 @@
 	return true
 }
 
-// ask sends a request and reads its response.
-func (c *Client) ask(x *Course, fresh bool) Reply {
-	text := c.request(x)
+// exchange sends a request and reads its response. fresh is whether it is the first on its connection.
+func (c *Client) exchange(x *History, fresh bool) Reply {
+	text := c.encodeRequest(x)
 	x.Sent = time.Now()
-	x.Due = x.Sent.Add(c.Left)
+	x.Deadline = x.Sent.Add(c.TimeToLive)
 	c.Platform.Record.Sent(x)
-	rude := c.Rude != nil && c.Rude()
-	if rude {
+	abandon := c.AbandonNext != nil && c.AbandonNext()
+	if abandon {
 		text = text[:len(text)/2]
 	}
 	_, err := io.WriteString(c.conn, text)
-	if rude {
+	if abandon {
 		c.drop()
 		return Reply{At: time.Now(), End: "left", Fresh: fresh}
 	}
 	if err != nil {
-		return Reply{At: time.Now(), End: endOf(err), Fresh: fresh}
+		return Reply{At: time.Now(), End: connectionEnd(err), Fresh: fresh}
 	}
-	ends := c.Ends != nil && c.Ends()
-	if tcp, ok := c.conn.(*net.TCPConn); ok && ends {
+	halfClose := c.HalfCloseNext != nil && c.HalfCloseNext()
+	if tcp, ok := c.conn.(*net.TCPConn); ok && halfClose {
 		_ = tcp.CloseWrite()
 	}
-	_ = c.conn.SetReadDeadline(time.Now().Add(clientWaits))
+	_ = c.conn.SetReadDeadline(time.Now().Add(clientTimeout))
 	reply := c.read()
-	if ends {
+	if halfClose {
 		c.drop()
 	}
 	reply.Fresh = fresh
 	return reply
 }
 
-// read reads one response, byte by byte as it comes.
+// read reads one response, and keeps what was read of it.
 func (c *Client) read() Reply {
 	var got strings.Builder
 	tee := bufio.NewReaderSize(io.TeeReader(c.reader, &got), 16)
@@ -165,7 +166,7 @@
 	}
 	reply := Reply{At: time.Now(), Text: got.String()}
 	if err != nil {
-		reply.End = endOf(err)
+		reply.End = connectionEnd(err)
 		return reply
 	}
 	reply.Status, reply.Complete = r.StatusCode, true
@@ -177,8 +178,8 @@
 	return reply
 }
 
-// endOf tells how a connection ended.
-func endOf(err error) string {
+// connectionEnd returns how a connection ended, as Reply.End names it.
+func connectionEnd(err error) string {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return "timeout"
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -18,11 +18,11 @@
 	"basaltcross.example/basaltcross/internal/pause"
 )
 
-// Platform is agents, hosts and the record of what passes.
+// Platform is a set of agents and hosts, with a record of the traffic.
 type Platform struct {
 	Record *Record
 	Hosts  []*Host
-	IP     string // on which all of it listens, apart from other platforms on this machine
+	IP     string // loopback address all servers listen on; other platforms on this machine use others
 	seed   uint64
 
 	mu      sync.Mutex
@@ -32,10 +32,11 @@
 	servers []*server
 }
 
-// New starts a platform with a host for each kind; destinations count from 0.
+// New starts a platform with one host for each of kinds. Destinations are numbered from 0.
 func New(seed uint64, kinds ...string) (*Platform, error) {
 	ip := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
-	p := &Platform{IP: ip, seed: seed, Record: NewRecord(), changed: make(chan struct{}), list: agent.List{Rev: 1, All: true}}
+	p := &Platform{IP: ip, seed: seed, Record: NewRecord(), changed: make(chan struct{}),
+		list: agent.List{Rev: 1, All: true}}
 	for i, kind := range kinds {
 		h := &Host{platform: p, UID: fmt.Sprint("s-", i), r: rand.New(rand.NewPCG(seed, uint64(i))),
 			Network: &Network{r: rand.New(rand.NewPCG(seed, uint64(i+1000)))}}
@@ -44,11 +45,13 @@
 			return nil, err
 		}
 		p.Hosts = append(p.Hosts, h)
-		p.list.Targets = append(p.list.Targets, agent.Target{UID: h.UID, Endpoint: s.addr(), Zone: "z", Kind: kind, Dest: i, State: "up", Rate: 1})
+		p.list.Targets = append(p.list.Targets, agent.Target{UID: h.UID, Endpoint: s.addr(), Zone: "z",
+			Kind: kind, Dest: i, State: "up", Rate: 1})
 	}
 	return p, nil
 }
 
+// serve starts an HTTP server at an address of its own, behind a network.
 func (p *Platform) serve(h http.Handler, network *Network) (*server, error) {
 	l, err := net.Listen("tcp", p.IP+":0")
 	if err != nil {
@@ -62,14 +65,15 @@
 	return s, nil
 }
 
-// connKey is that of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
+// withConn adds the connection to the context of its requests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// server is one address that is served.
+// server is an HTTP server on one address.
 type server struct {
 	http     *http.Server
 	listener net.Listener
@@ -77,7 +81,7 @@
 
 func (s *server) addr() string { return s.listener.Addr().String() }
 
-// Close ends all servers.
+// Close closes all servers.
 func (p *Platform) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +90,7 @@
 	}
 }
 
-// List is the list as it stands.
+// List returns a copy of the current list of hosts.
 func (p *Platform) List() agent.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +99,7 @@
 	return l
 }
 
-// Change changes the list, and tells all agents.
+// Change modifies the list of hosts, increments its revision and wakes the open watches of all agents.
 func (p *Platform) Change(f func(l *agent.List)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,21 +110,22 @@
 	p.changed = make(chan struct{})
 }
 
-// Agent is the platform's agent on one relay's machine.
+// Agent is the platform's agent for one relay: it serves the list of hosts and takes notices.
 type Agent struct {
 	Network  *Network
 	node     int
 	platform *Platform
 	mu       sync.Mutex
-	now      *server // the address that counts
-	silent   bool    // lists do not come, open watches stand still
-	mute     bool    // notices are not answered
+	current  *server // server at the current address
+	silent   bool    // watches bring nothing
+	mute     bool    // notices stay unanswered
 }
 
-// Agent opens one, at an address of its own.
+// Agent starts an agent at an address of its own.
 func (p *Platform) Agent() (*Agent, error) {
-	a := &Agent{platform: p, node: len(p.agents), Network: &Network{r: rand.New(rand.NewPCG(p.seed, uint64(2000+len(p.agents))))}}
-	if err := a.Move(); err != nil {
+	a := &Agent{platform: p, node: len(p.agents),
+		Network: &Network{r: rand.New(rand.NewPCG(p.seed, uint64(2000+len(p.agents))))}}
+	if err := a.ChangeAddress(); err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
@@ -129,12 +134,12 @@
 	return a, nil
 }
 
-// oldAddress is how long an agent's old address keeps its connections (DAYS).
-const oldAddress = 1500 * time.Millisecond
+// oldAddressGrace is how long connections to an agent's old address stay open after a move.
+const oldAddressGrace = 1500 * time.Millisecond
 
-// Move opens a further address, which counts from now on; the old one takes no new
-// connection and ends those it has after a while.
-func (a *Agent) Move() error {
+// ChangeAddress moves the agent to a new address. The old one accepts no new connections and closes those it has
+// after oldAddressGrace.
+func (a *Agent) ChangeAddress() error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", a.watch)
 	mux.HandleFunc("/v1/notices", a.notices)
@@ -143,42 +148,46 @@
 		return err
 	}
 	a.mu.Lock()
-	old := a.now
-	a.now = s
+	old := a.current
+	a.current = s
 	a.mu.Unlock()
 	if old != nil {
 		_ = old.listener.Close()
-		time.AfterFunc(oldAddress, func() { _ = old.http.Close() })
+		time.AfterFunc(oldAddressGrace, func() { _ = old.http.Close() })
 	}
 	return nil
 }
 
-// Addr is the address that counts.
+// Addr returns the current address.
 func (a *Agent) Addr() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.now.addr()
+	return a.current.addr()
 }
 
-// Silent has the watch bring nothing, Mute has notices stay without an answer.
-func (a *Agent) Silent(on bool) { a.set(&a.silent, on) }
-func (a *Agent) Mute(on bool)   { a.set(&a.mute, on) }
+// SetSilent makes watches bring nothing.
+func (a *Agent) SetSilent(on bool) { a.setFlag(&a.silent, on) }
 
-func (a *Agent) set(what *bool, on bool) {
+// SetMute leaves notices unanswered. They are recorded all the same.
+func (a *Agent) SetMute(on bool) { a.setFlag(&a.mute, on) }
+
+func (a *Agent) setFlag(what *bool, on bool) {
 	a.mu.Lock()
 	*what = on
 	a.mu.Unlock()
 }
 
-func (a *Agent) is(what *bool) bool {
+func (a *Agent) flag(what *bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return *what
 }
 
-// alive is how often an unchanged watch brings an empty line.
-const alive = 2 * time.Second
+// keepAliveTime is the time within which a watch writes a line: while the list is unchanged, it writes an empty
+// line every eighth of it.
+const keepAliveTime = 2 * time.Second
 
+// watch serves the list of hosts, as a stream of its revisions.
 func (a *Agent) watch(w http.ResponseWriter, r *http.Request) {
 	last := int64(-1)
 	for r.Context().Err() == nil {
@@ -191,15 +200,15 @@
 			line, _ = json.Marshal(list)
 			line = append(line, '\n')
 		}
-		if !a.is(&a.silent) {
+		if !a.flag(&a.silent) {
 			last = list.Rev
-			at := time.Now() // the relay may act on it before the write returns
+			at := time.Now() // taken before the write: the relay may act on the list before the write returns
 			_, err := w.Write(line)
 			if errors.Join(err, http.NewResponseController(w).Flush()) == nil {
-				a.told(r.Context(), at, list.Targets)
+				a.recordList(r.Context(), at, list.Targets)
 			}
 		}
-		timer := time.NewTimer(alive / 8)
+		timer := time.NewTimer(keepAliveTime / 8)
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -209,21 +218,22 @@
 	}
 }
 
-// stands is how long a watch has to stand after a list was written for the relay to have it
-// for sure: a write to a connection that the relay has left succeeds as well.
-const stands = 100 * time.Millisecond
+// listReceivedAfter is how long a watch must stay open after a list was written until the relay certainly has
+// the list: a write to a connection that the relay has closed succeeds too.
+const listReceivedAfter = 100 * time.Millisecond
 
-// told notes that a list was written to the relay: hosts that want work at once, those that
-// want none once it is sure that the relay knows.
-func (a *Agent) told(watch context.Context, at time.Time, targets []agent.Target) {
+// recordList records that a list was written to the relay: hosts that accept work at once, draining ones only
+// once the relay certainly has the list.
+func (a *Agent) recordList(watch context.Context, at time.Time, targets []agent.Target) {
 	a.platform.Record.Listed(a.node, at, targets, true)
-	time.AfterFunc(stands, func() {
+	time.AfterFunc(listReceivedAfter, func() {
 		if watch.Err() == nil {
 			a.platform.Record.Listed(a.node, at, targets, false)
 		}
 	})
 }
 
+// notices records the notices of a request, and answers it unless the agent is mute.
 func (a *Agent) notices(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -241,107 +251,109 @@
 	for _, n := range all {
 		a.platform.Record.Noticed(n.Ref, n.Result)
 	}
-	if a.is(&a.mute) {
+	if a.flag(&a.mute) {
 		<-r.Context().Done()
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Mood is how a host behaves.
-type Mood int
+// Behaviour is the behaviour of a host.
+type Behaviour int
 
-// The moods.
+// The behaviours of a host.
 const (
-	Well    Mood = iota // answers, fails and refuses a few by chance
-	Failing             // 500 to most
-	Full                // 429 with a wait to all
-	Hanging             // reads and does not answer
-	Cutting             // ends half of the connections under a request, with an answer begun or not
-	Forget              // closes every connection behind an answer, which does not say so
-	Blank               // answers some calls with a header that has no status
+	Healthy            Behaviour = iota // answers; fails 3 and refuses 5 of 100 messages at random
+	Failing                             // answers 500 to 80 of 100 messages
+	Overloaded                          // answers 429 with a wait to all messages
+	Hanging                             // reads calls and does not answer
+	Disconnecting                       // closes half of the connections during a call, some within the answer
+	ClosingAfterAnswer                  // closes every connection after an answer that does not announce it
+	NoStatus                            // answers some calls with a status line without a status
 )
 
-// Host is one host. Refused messages never run.
+// Host is one host of a partner. A message that it refuses never takes effect.
 type Host struct {
 	UID      string
 	Network  *Network
 	platform *Platform
 
-	mu   sync.Mutex
-	mood Mood
-	r    *rand.Rand
+	mu        sync.Mutex
+	behaviour Behaviour
+	r         *rand.Rand
 }
 
-// Set changes the mood.
-func (h *Host) Set(m Mood) {
+// SetBehaviour sets the host's behaviour.
+func (h *Host) SetBehaviour(m Behaviour) {
 	h.mu.Lock()
-	h.mood = m
+	h.behaviour = m
 	h.mu.Unlock()
 }
 
-// fate is what becomes of one call.
-type fate struct {
-	status int // 0: no answer
-	ran    bool
-	cut    bool // the connection ends: without an answer, or within it
-	pause  time.Duration
-	wait   time.Duration
-	forget bool
-	blank  bool
+// outcome is the drawn result of one message in a call.
+type outcome struct {
+	status int           // 0 for no answer
+	ran    bool          // the message takes effect
+	cut    bool          // the connection is closed: before the answer, or within it if there is a status
+	pause  time.Duration // before the answer
+	wait   time.Duration // that the answer asks the relay to keep
+	forget bool          // the connection is closed after the answer
+	blank  bool          // the answer has no status
 }
 
-// hostTime is the longest that a host which is well takes.
-const hostTime = 20 * time.Millisecond
+// maxHostDelay bounds the time that a host takes for an answer.
+const maxHostDelay = 20 * time.Millisecond
 
-func (h *Host) draw() fate {
+// drawOutcome draws the outcome of one message by the host's behaviour.
+func (h *Host) drawOutcome() outcome {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	f := fate{status: 200, ran: true, pause: time.Duration(h.r.Int64N(int64(hostTime)))}
+	f := outcome{status: 200, ran: true, pause: time.Duration(h.r.Int64N(int64(maxHostDelay)))}
 	x := h.r.Float64()
-	switch h.mood {
+	switch h.behaviour {
 	case Failing:
 		if x < 0.8 {
 			f.status, f.ran = 500, x < 0.3
 		}
-	case Full:
+	case Overloaded:
 		f.status, f.ran, f.wait = 429, false, 300*time.Millisecond
 	case Hanging:
 		f.status, f.ran = 0, x < 0.5
-	case Cutting:
+	case Disconnecting:
 		if x < 0.5 {
 			f.cut, f.ran = true, x < 0.3
 			if f.status = 0; x < 0.15 {
 				f.status = 200
 			}
 		}
-	case Forget:
+	case ClosingAfterAnswer:
 		f.forget = true
-	case Blank:
+	case NoStatus:
 		f.blank, f.ran = x < 0.1, x < 0.05 || x >= 0.1
 		if f.blank {
 			f.status = 0
 		}
 	}
-	if h.mood == Well && x < 0.05 {
+	if h.behaviour == Healthy && x < 0.05 {
 		f.status, f.ran = 503, false
-	} else if h.mood == Well && x < 0.08 {
+	} else if h.behaviour == Healthy && x < 0.08 {
 		f.status, f.ran = 500, x < 0.065
 	}
 	return f
 }
 
-// item is one message of a call.
+// item is one message in a call.
 type item struct {
-	ID     string `json:"id"`
-	number int
-	fate   fate
+	ID        string `json:"id"`
+	callIndex int
+	outcome   outcome
 }
 
+// serve handles one call: it records the call and acts out the drawn outcomes of its messages.
 func (h *Host) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // not read whole: no call
+		return // not read to its last byte, so not a call
 	}
 	items := []*item{{ID: r.Header.Get("X-Txn")}}
 	several := r.URL.Path == "/hook/batch"
@@ -353,28 +365,29 @@
 		}
 	}
 	rec := h.platform.Record
-	waited, _ := strconv.ParseInt(r.Header.Get("X-Remaining-Ms"), 10, 32) // 0 where nothing is said
-	conn, _ := r.Context().Value(connKey{}).(*faulty)
+	waited, _ := strconv.ParseInt(r.Header.Get("X-Remaining-Ms"), 10, 32) // 0 without the header
+	conn, _ := r.Context().Value(connKey{}).(*faultyConn)
 	for _, x := range items {
-		x.number = rec.Called(x.ID, Call{At: time.Now(), Host: h.UID, Waited: time.Duration(waited) * time.Millisecond, conn: conn})
-		x.fate = h.draw()
+		x.callIndex = rec.Called(x.ID, Call{At: time.Now(), Host: h.UID,
+			Timeout: time.Duration(waited) * time.Millisecond, conn: conn})
+		x.outcome = h.drawOutcome()
 	}
 	defer func() {
 		for _, x := range items {
-			rec.Over(x.ID, x.number)
+			rec.CallEnded(x.ID, x.callIndex)
 		}
 	}()
-	first := items[0].fate
+	first := items[0].outcome
 	if !pause.For(r.Context(), first.pause) && !first.ran {
-		return // called off before it ran
+		return // cancelled before it took effect
 	}
 	for _, x := range items {
-		if x.fate.ran {
-			rec.Ran(x.ID, x.number)
+		if x.outcome.ran {
+			rec.Ran(x.ID, x.callIndex)
 		}
 	}
 	if first.blank {
-		h.blank(w)
+		h.answerBlank(w)
 		return
 	}
 	if first.status == 0 && !first.cut {
@@ -382,11 +395,11 @@
 		return
 	}
 	if first.cut {
-		h.end(w, first.status)
+		h.disconnect(w, first.status)
 		return
 	}
 	if first.forget {
-		defer h.forget(w)
+		defer h.closeAfterAnswer(w)
 	}
 	if several {
 		h.answerAll(w, items)
@@ -399,14 +412,14 @@
 		w.Header().Set("X-RateLimit-Wait-Ms", strconv.FormatInt(first.wait.Milliseconds(), 10))
 	}
 	w.Header().Set("Content-Length", "0")
-	rec.Answers(items[0].ID, items[0].number, first.status, first.wait)
+	rec.AnswerStarted(items[0].ID, items[0].callIndex, first.status, first.wait)
 	w.WriteHeader(first.status)
 	if http.NewResponseController(w).Flush() == nil {
-		rec.Answered(items[0].ID, items[0].number)
+		rec.AnswerCompleted(items[0].ID, items[0].callIndex)
 	}
 }
 
-// answerAll answers a call that carries several messages.
+// answerAll answers a call that carries several messages, each with a state of its own.
 func (h *Host) answerAll(w http.ResponseWriter, items []*item) {
 	type end struct {
 		ID    string `json:"id"`
@@ -415,18 +428,18 @@
 	var ends []end
 	wait := time.Duration(0)
 	for _, x := range items {
-		wait = max(wait, x.fate.wait)
+		wait = max(wait, x.outcome.wait)
 	}
 	if wait > 0 {
 		w.Header().Set("X-RateLimit-Wait-Ms", strconv.FormatInt(wait.Milliseconds(), 10))
 	}
 	for _, x := range items {
-		if x.fate.status == 0 {
-			x.fate.status = 500
+		if x.outcome.status == 0 {
+			x.outcome.status = 500
 		}
-		state := map[int]string{200: "delivered", 500: "failed", 429: "refused", 503: "refused"}[x.fate.status]
+		state := map[int]string{200: "delivered", 500: "failed", 429: "refused", 503: "refused"}[x.outcome.status]
 		ends = append(ends, end{x.ID, state})
-		h.platform.Record.Answers(x.ID, x.number, x.fate.status, x.fate.wait)
+		h.platform.Record.AnswerStarted(x.ID, x.callIndex, x.outcome.status, x.outcome.wait)
 	}
 	text, _ := json.Marshal(ends)
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -434,37 +447,37 @@
 		return
 	}
 	for _, x := range items {
-		h.platform.Record.Answered(x.ID, x.number)
+		h.platform.Record.AnswerCompleted(x.ID, x.callIndex)
 	}
 }
 
-// end ends a connection under its request, within a begun answer if there is one to be.
-func (h *Host) end(w http.ResponseWriter, status int) {
+// disconnect closes a connection during a call: within the answer if there is a status, by a reset otherwise.
+func (h *Host) disconnect(w http.ResponseWriter, status int) {
 	conn, buf, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	if f, ok := conn.(*faulty); ok {
-		f.breaks()
+	if f, ok := conn.(*faultyConn); ok {
+		f.markBroken()
 	}
 	if status != 0 {
 		_, _ = buf.WriteString("HTTP/1.1 2")
 		_ = buf.Flush()
 		return
 	}
-	if f, ok := conn.(*faulty); ok {
+	if f, ok := conn.(*faultyConn); ok {
 		if tcp, ok := f.Conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a reset
+			_ = tcp.SetLinger(0) // close by a reset
 		}
 	}
 }
 
-// blank answers with a header that has no status.
-func (h *Host) blank(w http.ResponseWriter) {
+// answerBlank answers with a status line that has no status, and closes the connection.
+func (h *Host) answerBlank(w http.ResponseWriter) {
 	if conn, buf, err := http.NewResponseController(w).Hijack(); err == nil {
-		if f, ok := conn.(*faulty); ok {
-			f.breaks()
+		if f, ok := conn.(*faultyConn); ok {
+			f.markBroken()
 		}
 		_, _ = buf.WriteString("HTTP/1.1 \r\n\r\n")
 		_ = buf.Flush()
@@ -472,12 +485,12 @@
 	}
 }
 
-// forget closes the connection behind its answer.
-func (h *Host) forget(w http.ResponseWriter) {
+// closeAfterAnswer closes the connection once the answer is flushed.
+func (h *Host) closeAfterAnswer(w http.ResponseWriter) {
 	_ = http.NewResponseController(w).Flush()
 	if conn, _, err := http.NewResponseController(w).Hijack(); err == nil {
-		if f, ok := conn.(*faulty); ok {
-			f.breaks()
+		if f, ok := conn.(*faultyConn); ok {
+			f.markBroken()
 		}
 		_ = conn.Close()
 	}
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -23,7 +23,7 @@
 // directorySources returns the endpoint sources that the configuration names: the
 // list file first, then the services of each Consul catalogue. It also returns the
 // Consul clients.
-func directorySources(cfg *config.Config, ring *keys.Ring, names directory.Names) (
+func directorySources(cfg *config.Config, ring *keys.CertStore, names directory.Names) (
 	out []directory.Source, clients []*catalog.Client, err error) {
 	if cfg.Directory.File != "" {
 		out = append(out, &directory.File{Path: cfg.Directory.File, Names: names, MaxBytes: cfg.Limits.ListBytes})
--- a/internal/relay/journal_test.go
+++ b/internal/relay/journal_test.go
@@ -240,7 +240,8 @@
 	if b.conn != nil {
 		_ = b.conn.Close()
 	}
-	b.conn = rawConnectAs(b.t, b.relay.Addrs()[0], &mqtt.Connect{Version: mqtt.V5, ClientID: "c", Clean: clean, Props: mqtt.Props{SessionExpiry: 60}})
+	b.conn = rawConnectAs(b.t, b.relay.Addrs()[0], &mqtt.Connect{Version: mqtt.V5, ClientID: "c", CleanStart: clean,
+		Props: mqtt.Props{SessionExpiry: 60}})
 }
 
 // restart stops the relay, starts another one on its journal and resumes the session.
@@ -272,7 +273,7 @@
 			continue
 		}
 		p, err := mqtt.ParsePublish(mqtt.V5, first, body)
-		if err != nil || string(p.Props.Correlation) != "a" || p.Props.Get("answer") != "delivered" {
+		if err != nil || string(p.Props.Correlation) != "a" || p.Props.UserValue("answer") != "delivered" {
 			b.t.Fatalf("%+v, %v", p, err)
 		}
 		return p
--- a/internal/relay/push_test.go
+++ b/internal/relay/push_test.go
@@ -62,7 +62,7 @@
 	}
 	b.issue(t, "server", time.Hour)
 	b.issue(t, "client", time.Hour)
-	if b.public, b.private, err = keys.VAPID(); err != nil {
+	if b.public, b.private, err = keys.NewVAPIDKeys(); err != nil {
 		t.Fatal(err)
 	}
 	port := freePort(t)
@@ -74,13 +74,13 @@
 %[6]s`, b.dir, port, b.origin, b.public, otherPublic, extra)
 	b.Bed = testutil.New(t, partners, model, cfg, relay.Hooks{})
 	b.http = &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{ForceAttemptHTTP2: true,
-		TLSClientConfig: &tls.Config{RootCAs: b.ca.Pool()}}}
+		TLSClientConfig: &tls.Config{RootCAs: b.ca.CertPool()}}}
 	t.Cleanup(b.http.CloseIdleConnections)
 	return b
 }
 
 // otherPublic and otherPrivate are a VAPID key pair that may push to status/p0 only.
-var otherPublic, otherPrivate, _ = keys.VAPID()
+var otherPublic, otherPrivate, _ = keys.NewVAPIDKeys()
 
 // freePort returns a TCP port that was free at the time of the call.
 func freePort(t *testing.T) int {
@@ -341,7 +341,7 @@
 		t.Fatal(err)
 	}
 	c, err := client.Dial(testutil.Context(t), b.Relay.TLSAddrs()[0], client.Options{ID: id, Expiry: 60, On: on,
-		TLS: &tls.Config{RootCAs: b.ca.Pool(), ServerName: "127.0.0.1", Certificates: []tls.Certificate{cert}}})
+		TLS: &tls.Config{RootCAs: b.ca.CertPool(), ServerName: "127.0.0.1", Certificates: []tls.Certificate{cert}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -397,7 +397,7 @@
 		t.Errorf("too long: %d %s", r.StatusCode, text)
 	}
 	// HTTP/1.1 is parsed by the project's own parser, unlike HTTP/2.
-	raw, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.Pool(), NextProtos: []string{"http/1.1"}})
+	raw, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.CertPool(), NextProtos: []string{"http/1.1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -581,7 +581,7 @@
 func TestCertificateReplaced(t *testing.T) {
 	b := newPushBed(t, 1, standin.Model{}, "")
 	serial := func() string {
-		c, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.Pool(), ServerName: "127.0.0.1"})
+		c, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.CertPool(), ServerName: "127.0.0.1"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -625,7 +625,8 @@
 			b.issue(t, "bad", time.Hour)
 			_ = os.Chmod(b.dir+"/bad.key", 0o644)
 		}
-		if _, err := new(keys.Ring).Pair(b.dir+"/bad.pem", b.dir+"/bad.key"); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := new(keys.CertStore).LoadPair(b.dir+"/bad.pem", b.dir+"/bad.key"); err == nil ||
+			!strings.Contains(err.Error(), want) {
 			t.Errorf("loaded at start: %v, want an error with %s", err, want)
 		}
 	}
@@ -659,7 +660,7 @@
 	for range 20 {
 		all.Go(func() {
 			for range 15 {
-				d := tls.Dialer{Config: &tls.Config{RootCAs: b.ca.Pool(), ServerName: "127.0.0.1"}}
+				d := tls.Dialer{Config: &tls.Config{RootCAs: b.ca.CertPool(), ServerName: "127.0.0.1"}}
 				ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 				c, err := d.DialContext(ctx, "tcp", b.origin[8:])
 				cancel()
@@ -685,7 +686,7 @@
 		}
 	}
 	// Rapid reset (CVE-2023-44487): streams are opened and reset at once.
-	c, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.Pool(), NextProtos: []string{"h2"}})
+	c, err := tls.Dial("tcp", b.origin[8:], &tls.Config{RootCAs: b.ca.CertPool(), NextProtos: []string{"h2"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -70,9 +70,9 @@
 	restoreReply := func(name string, o front.Owed) core.Reply {
 		switch {
 		case name == mqttfront.Name:
-			return mqttFront.Owe(o)
+			return mqttFront.RestoreMessage(o)
 		case name == webpush.Name && push != nil:
-			return push.Owe(o)
+			return push.RestoreMessage(o)
 		}
 		return front.Nobody{}
 	}
