--- a/cmd/basaltcross/relay.go
+++ b/cmd/basaltcross/relay.go
@@ -36,7 +36,7 @@
 			if err != nil {
 				return err
 			}
-			hooks.Broken = func(error) { os.Exit(3) } // to recover from what is on disk for certain
+			hooks.OnJournalFailure = func(error) { os.Exit(3) } // to recover from what is on disk for certain
 			r, err := relay.Start(cfg, log, hooks)
 			if err != nil {
 				return err
--- a/internal/relay/addr_test.go
+++ b/internal/relay/addr_test.go
@@ -29,7 +29,8 @@
 func startWithAddresses(t *testing.T, addrs ...string) *relay.Relay {
 	t.Helper()
 	list := filepath.Join(t.TempDir(), "list.cue")
-	text := fmt.Sprintf("endpoints: [{addr: \"bank:1\", partner: \"p0\", addrs: [\"%s\"]}]\n", strings.Join(addrs, `", "`))
+	text := fmt.Sprintf("endpoints: [{addr: \"bank:1\", partner: \"p0\", addrs: [\"%s\"]}]\n",
+		strings.Join(addrs, `", "`))
 	if err := os.WriteFile(list, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -61,9 +62,10 @@
 		t.Cleanup(e.Close)
 		endpoints = append(endpoints, e)
 	}
-	r := startWithAddresses(t, port.Refusing(t, "127.0.0.1"), endpoints[1].Addr, "unix:"+sock, endpoints[2].Addr, endpoints[3].Addr, endpoints[2].Addr)
+	r := startWithAddresses(t, port.Refusing(t, "127.0.0.1"), endpoints[1].Addr,
+		"unix:"+sock, endpoints[2].Addr, endpoints[3].Addr, endpoints[2].Addr)
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.add})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.receive})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +94,8 @@
 			size = 200_000 // more than one write to a Unix socket accepts
 		}
 		id := fmt.Sprintf("%d ", i)
-		if err := c.Send(testutil.Context(t), client.Message{ID: fmt.Sprint(i), Class: []string{"status", "order", "charge"}[i%3],
+		if err := c.Send(testutil.Context(t), client.Message{ID: fmt.Sprint(i),
+			Class:   []string{"status", "order", "charge"}[i%3],
 			Partner: "p0", Body: append([]byte(id), make([]byte, size)...)}); err != nil {
 			t.Fatal(err)
 		}
@@ -144,13 +147,14 @@
 	defer e.Close()
 	r := startWithAddresses(t, port.Refusing(t, "::1"), "unix:/nonexistent/socket", e.Addr)
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.add})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.receive})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	for i := range 20 {
-		if err := c.Send(testutil.Context(t), client.Message{ID: fmt.Sprint(i), Class: "charge", Partner: "p0"}); err != nil {
+		if err := c.Send(testutil.Context(t), client.Message{ID: fmt.Sprint(i), Class: "charge",
+			Partner: "p0"}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -259,11 +263,13 @@
 	}
 	at("127.0.0.1")
 	list := filepath.Join(t.TempDir(), "list.cue")
-	text := fmt.Sprintf("endpoints: [{addr: \"bank.example:%s\", partner: \"p0\"}, {addr: %q, partner: \"p1\"}]\n", port, other.Addr)
+	text := fmt.Sprintf("endpoints: [{addr: \"bank.example:%s\", partner: \"p0\"}, {addr: %q, partner: \"p1\"}]\n",
+		port, other.Addr)
 	if err := os.WriteFile(list, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.Parse("test.cue", []byte(testutil.Config(list, 2, fmt.Sprintf("resolver: {servers: [%q], timeout: \"200ms\"}", dns.Addr))))
+	cfg, err := config.Parse("test.cue", []byte(testutil.Config(list, 2,
+		fmt.Sprintf("resolver: {servers: [%q], timeout: \"200ms\"}", dns.Addr))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -274,7 +280,7 @@
 	}
 	defer r.Stop()
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.add})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.receive})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -282,7 +288,8 @@
 	n := 0
 	send := func(many int) {
 		for range many {
-			if err := c.Send(testutil.Context(t), client.Message{ID: fmt.Sprint(n), Class: []string{"status", "charge"}[n%2], Partner: "p0",
+			if err := c.Send(testutil.Context(t), client.Message{ID: fmt.Sprint(n),
+				Class: []string{"status", "charge"}[n%2], Partner: "p0",
 				Body: fmt.Appendf(nil, "%d", n)}); err != nil {
 				t.Fatal(err)
 			}
@@ -310,12 +317,14 @@
 	moved := time.Now()
 	send(100)
 	at("127.0.0.3") // an address of the other partner
-	known("address of another partner left out", func(a relay.Addresses) bool { return len(a.LeftOut) == 1 && first(a) == "" })
+	known("address of another partner left out",
+		func(a relay.Addresses) bool { return len(a.LeftOut) == 1 && first(a) == "" })
 	at("127.0.0.1", "127.0.0.3")
 	known("only the own address used", func(a relay.Addresses) bool { return first(a) == one.Addr })
 	send(100)
 	dns.Set("bank.example", standin.Zone{Mute: true})
-	known("DNS server does not answer", func(a relay.Addresses) bool { return len(a.Names) == 1 && a.Names[0].Failures > 0 })
+	known("DNS server does not answer",
+		func(a relay.Addresses) bool { return len(a.Names) == 1 && a.Names[0].Failures > 0 })
 	send(100)
 	seen := map[string]int{}
 	for _, k := range rec.Calls() {
@@ -331,7 +340,8 @@
 		i, _ := strconv.Atoi(id)
 		once := i%2 == 1 // charges must be sent once
 		if a[0].Answer != "delivered" || seen[id] < 1 || once && seen[id] != 1 || !attempts.retriesExplained(id, seen[id]) {
-			t.Errorf("%s: %s after %d calls, %d attempts, %d abandoned", id, a[0].Answer, seen[id], attempts.sent[id], attempts.abandoned[id])
+			t.Errorf("%s: %s after %d calls, %d attempts, %d abandoned", id, a[0].Answer, seen[id],
+				attempts.sent[id], attempts.abandoned[id])
 		}
 	}
 }
--- a/internal/relay/consul_test.go
+++ b/internal/relay/consul_test.go
@@ -40,7 +40,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	b := &consulBed{Consul: c, t: t, rec: standin.NewRecorder(1 << 20), partners: partners, dir: t.TempDir(), extraConfig: more}
+	b := &consulBed{Consul: c, t: t, rec: standin.NewRecorder(1 << 20), partners: partners,
+		dir: t.TempDir(), extraConfig: more}
 	for i := range partners {
 		p := standin.NewPartner(fmt.Sprint("p", i), standin.Model{Service: 2 * ms, Window: 10 * time.Second}, uint64(i))
 		for range each {
@@ -102,9 +103,10 @@
 
 // load hands in status messages for all partners until stop is closed, waits until they
 // are answered, and returns their number and the answers.
-func (b *consulBed) load(r *relay.Relay, who string, pause time.Duration, stop <-chan struct{}) (n int, answers map[string]int) {
+func (b *consulBed) load(r *relay.Relay, who string, pause time.Duration, stop <-chan struct{}) (
+	n int, answers map[string]int) {
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(b.t), r.Addrs()[0], client.Options{ID: who, Expiry: 600, On: in.add})
+	c, err := client.Dial(testutil.Context(b.t), r.Addrs()[0], client.Options{ID: who, Expiry: 600, On: in.receive})
 	if err != nil {
 		b.t.Error(err)
 		return
@@ -120,7 +122,8 @@
 			return n, answers
 		case <-time.After(pause):
 		}
-		if err := c.Send(testutil.Context(b.t), client.Message{ID: fmt.Sprint(n), Class: "status", Partner: fmt.Sprint("p", n%b.partners)}); err != nil {
+		if err := c.Send(testutil.Context(b.t), client.Message{ID: fmt.Sprint(n), Class: "status",
+			Partner: fmt.Sprint("p", n%b.partners)}); err != nil {
 			b.t.Error(err)
 			return
 		}
@@ -149,7 +152,8 @@
 	for name, trouble := range map[string]standin.CatalogTrouble{"down": {Down: true}, "500": {Status: 500},
 		"429": {Status: 429}, "403": {Status: 403}, "hang": {Hang: true}, "cut": {Cut: true}, "slow": {Slow: 100 * ms},
 		"empty": {Empty: true}, "half": {Half: true}, "instant": {Instant: true}, "no leader": {NoLeader: true, Empty: true},
-		"stale": {Contact: time.Hour, Empty: true}, "index back": {Index: 1, Half: true}, "index none": {Index: 0, Instant: true, Half: true}} {
+		"stale": {Contact: time.Hour, Empty: true}, "index back": {Index: 1, Half: true},
+		"index none": {Index: 0, Instant: true, Half: true}} {
 		asked := b.Asked()
 		b.Set(trouble)
 		time.Sleep(250 * ms)
@@ -246,7 +250,8 @@
 	}
 	close(stop)
 	done.Wait()
-	t.Logf("%d drains under %d calls: received within %v, last request %v after that", drains, len(b.rec.Calls()), maxListDelay, maxRequestDelay)
+	t.Logf("%d drains under %d calls: received within %v, last request %v after that",
+		drains, len(b.rec.Calls()), maxListDelay, maxRequestDelay)
 	if maxRequestDelay > time.Second {
 		t.Errorf("a request started %v after its drain was received", maxRequestDelay)
 	}
@@ -278,7 +283,8 @@
 		t.Fatal(err)
 	}
 	b.Set(standin.CatalogTrouble{Down: true})
-	for name, broken := range map[string]string{"cut": string(text[:len(text)-9]), "flipped": strings.Replace(string(text), "p1", "p0", 1),
+	for name, broken := range map[string]string{"cut": string(text[:len(text)-9]),
+		"flipped": strings.Replace(string(text), "p1", "p0", 1),
 		"foreign": "{\"format\": \"x\"}\n", "other installation": ""} {
 		if broken == "" {
 			broken = string(text)
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -23,7 +23,7 @@
 // directorySources returns the endpoint sources that the configuration names: the
 // list file first, then the services of each Consul catalogue. It also returns the
 // Consul clients.
-func directorySources(cfg *config.Config, ring *keys.CertStore, names directory.Names) (
+func directorySources(cfg *config.Config, certStore *keys.CertStore, names directory.Names) (
 	out []directory.Source, clients []*catalog.Client, err error) {
 	if cfg.Directory.File != "" {
 		out = append(out, &directory.File{Path: cfg.Directory.File, Names: names, MaxBytes: cfg.Limits.ListBytes})
@@ -33,7 +33,7 @@
 			Namespace: k.Namespace, Partition: k.Partition, Consistency: k.Consistency, MaxStale: k.MaxStale.D(),
 			Wait: k.Wait.D(), MaxBytes: int64(cfg.Limits.ListBytes)}
 		if k.TLS != nil {
-			newTLSConfig, err := clientTLS(ring, k.TLS)
+			newTLSConfig, err := clientTLS(certStore, k.TLS)
 			if err != nil {
 				return nil, nil, fmt.Errorf("consul %s: %w", k.Name, err)
 			}
--- a/internal/relay/journal_test.go
+++ b/internal/relay/journal_test.go
@@ -89,14 +89,15 @@
 	started := time.Now()
 	r := startWithJournal(t, dir, "", e.Addr)
 	in := newInbox()
-	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.add})
+	c, err := client.Dial(testutil.Context(t), r.Addrs()[0], client.Options{ID: "c", Expiry: 600, On: in.receive})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	want := map[string]string{"doubt": "failed", "clear": "delivered", "late": "refused", "ended": "failed"}
 	for id := range want {
-		if err := c.Send(testutil.Context(t), client.Message{ID: id, Class: "charge", Partner: "p0", Body: []byte(id)}); err != nil {
+		if err := c.Send(testutil.Context(t), client.Message{ID: id, Class: "charge",
+			Partner: "p0", Body: []byte(id)}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -111,7 +112,8 @@
 			t.Errorf("%s was sent", k.Body)
 		}
 		if k.Start.Sub(started) < 900*ms {
-			t.Errorf("%s was sent %v after the start, within the wait that the endpoint asked for", k.Body, k.Start.Sub(started))
+			t.Errorf("%s was sent %v after the start, within the wait that the endpoint asked for", k.Body,
+				k.Start.Sub(started))
 		}
 	}
 }
@@ -260,7 +262,8 @@
 func (b *restartBed) handIn() {
 	b.t.Helper()
 	b.packetID++
-	p := mqtt.Publish{QoS: 1, ID: b.packetID, Topic: "send/charge/p0", Payload: []byte("x"), Props: mqtt.Props{Correlation: []byte("a")}}
+	p := mqtt.Publish{QoS: 1, ID: b.packetID, Topic: "send/charge/p0", Payload: []byte("x"),
+		Props: mqtt.Props{Correlation: []byte("a")}}
 	write(b.t, b.conn, mqtt.AppendPublish(nil, mqtt.V5, &p))
 }
 
--- a/internal/relay/push_test.go
+++ b/internal/relay/push_test.go
@@ -279,7 +279,7 @@
 	}
 	in := newInbox()
 	for s := range 3 {
-		c := b.dialTLS(t, fmt.Sprintf("m%d", s), in.add)
+		c := b.dialTLS(t, fmt.Sprintf("m%d", s), in.receive)
 		defer c.Close()
 		all.Go(func() {
 			for i := range each {
@@ -352,9 +352,11 @@
 // don't name the field at fault.
 func TestPushRequestErrors(t *testing.T) {
 	b := newPushBed(t, 1, standin.Model{}, `limits: body: 4096`)
-	other, _ := jwt.NewWithClaims(jwt.SigningMethodES256, jwt.MapClaims{"aud": b.origin, "exp": time.Now().Add(time.Hour).Unix()}).
+	other, _ := jwt.NewWithClaims(jwt.SigningMethodES256, jwt.MapClaims{"aud": b.origin,
+		"exp": time.Now().Add(time.Hour).Unix()}).
 		SignedString(parsePrivateKey(t, otherPrivate))
-	none, _ := jwt.NewWithClaims(jwt.SigningMethodNone, jwt.MapClaims{"aud": b.origin, "exp": time.Now().Add(time.Hour).Unix()}).
+	none, _ := jwt.NewWithClaims(jwt.SigningMethodNone, jwt.MapClaims{"aud": b.origin,
+		"exp": time.Now().Add(time.Hour).Unix()}).
 		SignedString(jwt.UnsafeAllowNoneSignatureType)
 	off := make([]byte, 65)
 	off[0], off[5] = 4, 9
@@ -374,17 +376,22 @@
 		{"no id for a charge", "/push/charge/p0", "", "", 400, "Idempotency-Key"},
 		{"receipt subscription", "/push/status/p0", "Push-Receipt", "/receipts/nobodys", 400, "Push-Receipt"},
 		{"no token", "/push/status/p0", "Authorization", "", 401, "VAPID token"},
-		{"audience", "/push/status/p0", "Authorization", tok(func(c jwt.MapClaims) { c["aud"] = "https://else.example" }), 401, "audience"},
-		{"expired", "/push/status/p0", "Authorization", tok(func(c jwt.MapClaims) { c["exp"] = time.Now().Add(-time.Minute).Unix() }), 401, "expired"},
-		{"never ends", "/push/status/p0", "Authorization", tok(func(c jwt.MapClaims) { c["exp"] = time.Now().Add(48 * time.Hour).Unix() }), 401, "24 h"},
+		{"audience", "/push/status/p0", "Authorization",
+			tok(func(c jwt.MapClaims) { c["aud"] = "https://else.example" }), 401, "audience"},
+		{"expired", "/push/status/p0", "Authorization",
+			tok(func(c jwt.MapClaims) { c["exp"] = time.Now().Add(-time.Minute).Unix() }), 401, "expired"},
+		{"never ends", "/push/status/p0", "Authorization",
+			tok(func(c jwt.MapClaims) { c["exp"] = time.Now().Add(48 * time.Hour).Unix() }), 401, "24 h"},
 		{"no end", "/push/status/p0", "Authorization", tok(func(c jwt.MapClaims) { delete(c, "exp") }), 401, "exp"},
 		{"subject", "/push/status/p0", "Authorization", tok(func(c jwt.MapClaims) { c["sub"] = "gopher:x" }), 401, "sub"},
 		{"alg none", "/push/status/p0", "Authorization", "vapid t=" + none + ", k=" + b.public, 401, "signing method"},
-		{"another's signature", "/push/status/p0", "Authorization", "vapid t=" + other + ", k=" + b.public, 401, "signature"},
+		{"another's signature", "/push/status/p0", "Authorization",
+			"vapid t=" + other + ", k=" + b.public, 401, "signature"},
 		{"key off the curve", "/push/status/p0", "Authorization",
 			good[:strings.Index(good, ", k=")] + ", k=" + base64.RawURLEncoding.EncodeToString(off), 401, "P-256"},
 		{"key's own resource", "/push/status/p0", "Authorization", "vapid t=" + other + ", k=" + otherPublic, 201, ""},
-		{"not the key's resource", "/push/order/p0", "Authorization", "vapid t=" + other + ", k=" + otherPublic, 403, "may not"},
+		{"not the key's resource", "/push/order/p0", "Authorization",
+			"vapid t=" + other + ", k=" + otherPublic, 403, "may not"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, text := b.do(t, "POST", c.path, "x", c.field, c.value)
@@ -393,7 +400,8 @@
 			}
 		})
 	}
-	if r, text := b.do(t, "POST", "/push/status/p0", strings.Repeat("x", 5000)); r.StatusCode != 413 || !strings.Contains(text, "4096") {
+	if r, text := b.do(t, "POST", "/push/status/p0", strings.Repeat("x", 5000)); r.StatusCode != 413 ||
+		!strings.Contains(text, "4096") {
 		t.Errorf("too long: %d %s", r.StatusCode, text)
 	}
 	// HTTP/1.1 is parsed by the project's own parser, unlike HTTP/2.
@@ -427,7 +435,8 @@
 		}
 		subscription := link[strings.Index(link, "<")+1 : strings.Index(link, ">")]
 		first := r.Header.Get("Location")
-		r, _ = b.do(t, "POST", "/push/charge/p0", "b", "Push-Receipt", b.origin+subscription, "Idempotency-Key", "b", "Prefer", "respond-async")
+		r, _ = b.do(t, "POST", "/push/charge/p0", "b", "Push-Receipt", b.origin+subscription,
+			"Idempotency-Key", "b", "Prefer", "respond-async")
 		want := map[string]bool{first: true, r.Header.Get("Location"): true}
 		after := 0
 		for len(want) > 0 {
@@ -516,9 +525,10 @@
 	})
 	t.Run("identities of the fronts are distinct", func(t *testing.T) {
 		in := newInbox()
-		c := dial(t, b.Bed, client.Options{ID: b.public, Expiry: 60, On: in.add})
+		c := dial(t, b.Bed, client.Options{ID: b.public, Expiry: 60, On: in.receive})
 		defer c.Close()
-		if err := c.Send(testutil.Context(t), client.Message{ID: "same", Class: "charge", Partner: "p0", Body: []byte("same")}); err != nil {
+		if err := c.Send(testutil.Context(t), client.Message{ID: "same", Class: "charge",
+			Partner: "p0", Body: []byte("same")}); err != nil {
 			t.Fatal(err)
 		}
 		in.wait(t, 1)
@@ -540,7 +550,8 @@
 // the same answers and the same calls over MQTT and over Web Push.
 func TestFrontsGiveSameAnswers(t *testing.T) {
 	type step struct{ class, id, expiry string }
-	script := []step{{"status", "1", "6"}, {"order", "2", "6"}, {"charge", "3", "6"}, {"charge", "3", "6"}, {"charge", "4", "6"},
+	script := []step{{"status", "1", "6"}, {"order", "2", "6"},
+		{"charge", "3", "6"}, {"charge", "3", "6"}, {"charge", "4", "6"},
 		{"status", "5", "6"}, {"charge", "6", "1"}, {"order", "7", "6"}, {"charge", "7", "6"}}
 	run := func(send func(b *pushBed, s step) string) (log []string) {
 		b := newPushBed(t, 1, standin.Model{Service: 2 * ms, Window: 10 * time.Second}, `relay: {seed: 7, attempts: 3}`)
@@ -558,9 +569,10 @@
 	}
 	mqtt := run(func(b *pushBed, s step) string {
 		in := newInbox()
-		c := dial(t, b.Bed, client.Options{ID: "c", Expiry: 60, On: in.add})
+		c := dial(t, b.Bed, client.Options{ID: "c", Expiry: 60, On: in.receive})
 		defer c.Close()
-		m := client.Message{ID: s.id + s.class, Class: s.class, Partner: "p0", Body: []byte(s.id), Expiry: uint32(s.expiry[0] - '0')}
+		m := client.Message{ID: s.id + s.class, Class: s.class, Partner: "p0", Body: []byte(s.id),
+			Expiry: uint32(s.expiry[0] - '0')}
 		if err := c.Send(testutil.Context(t), m); err != nil {
 			t.Fatal(err)
 		}
@@ -699,7 +711,8 @@
 	head := []byte{0x82, 0x87, 0x84, 0x41, 1, 'x'}
 	var werr error
 	for id := uint32(1); id < 200001 && werr == nil; id += 2 {
-		if werr = f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: head, EndHeaders: true, EndStream: true}); werr == nil {
+		if werr = f.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: head,
+			EndHeaders: true, EndStream: true}); werr == nil {
 			werr = f.WriteRSTStream(id, http2.ErrCodeCancel)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -46,9 +46,9 @@
 	Caller func(core.Caller) core.Caller
 	Sink   func(directory.Sink) directory.Sink
 	Door   func(front.Door) front.Door
-	// Broken is called with the error when the journal fails; the process should
+	// OnJournalFailure is called with the error when the journal fails; the process should
 	// then exit.
-	Broken func(error)
+	OnJournalFailure func(error)
 	// Journal wraps the journal that the core writes to.
 	Journal func(core.Journal) core.Journal
 }
@@ -121,24 +121,24 @@
 	r.obs = obs.NewRelay(log, classes)
 	names := directoryNames(cfg)
 	r.obs.Warn(cfg.TLS.Warn.D())
-	ring := &keys.CertStore{Report: r.obs.Certificate}
+	certStore := &keys.CertStore{Report: r.obs.Certificate}
 	slots := make(secure.HandshakeSlots, cmp.Or(cfg.TLS.Handshakes, runtime.GOMAXPROCS(0)))
 	var targets []partner.Target
 	for i, p := range cfg.Partners {
 		k := cfg.Kinds[names.Kinds[i]]
 		t := partner.Target{Path: p.Path, Host: p.Host, RefusalNeverRan: k.RefusalNeverRan}
 		if p.TLS != nil {
-			if t.TLS, err = clientTLS(ring, p.TLS); err != nil {
+			if t.TLS, err = clientTLS(certStore, p.TLS); err != nil {
 				return nil, fmt.Errorf("relay: partner %s: %w", p.Name, err)
 			}
 		}
 		targets = append(targets, t)
 	}
-	mqttTLS, err := serverTLS(ring, cfg.MQTT.TLS)
+	mqttTLS, err := serverTLS(certStore, cfg.MQTT.TLS)
 	if err != nil {
 		return nil, fmt.Errorf("relay: mqtt: %w", err)
 	}
-	pushTLS, err := serverTLS(ring, cfg.WebPush.TLS, "h2", "http/1.1")
+	pushTLS, err := serverTLS(certStore, cfg.WebPush.TLS, "h2", "http/1.1")
 	if err != nil {
 		return nil, fmt.Errorf("relay: webpush: %w", err)
 	}
@@ -171,7 +171,8 @@
 	r.caller, err = partner.New(partner.Options{Name: cfg.Relay.Name, Targets: targets, Classes: classes,
 		Limits: http1.Limits{Header: cfg.PartnerCalls.HeaderBytes, Body: cfg.PartnerCalls.BodyBytes},
 		Pool: addr.PoolSettings{IdleTimeout: cfg.Relay.ConnIdle.D(), MaxAge: cfg.PartnerCalls.ConnAge.D(),
-			MaxIdle: cfg.PartnerCalls.IdlePerHost, MaxSpare: cfg.PartnerCalls.Spares, MaxConnecting: cfg.PartnerCalls.Connecting},
+			MaxIdle:  cfg.PartnerCalls.IdlePerHost,
+			MaxSpare: cfg.PartnerCalls.Spares, MaxConnecting: cfg.PartnerCalls.Connecting},
 		TLSSessions: cfg.PartnerCalls.Sessions,
 		Traffic:     accounted, PeerRefused: r.onPeerRefusal,
 		UnsolicitedWait: func(host string, at int, wait time.Duration) { r.core.ReportWait(host, at, wait) },
@@ -196,7 +197,7 @@
 	}
 	var journalContents *journal.Contents
 	if cfg.Journal != nil {
-		if r.journal, journalContents, err = openJournal(cfg, r.obs, hooks.Broken); err != nil {
+		if r.journal, journalContents, err = openJournal(cfg, r.obs, hooks.OnJournalFailure); err != nil {
 			r.caller.Close()
 			return nil, fmt.Errorf("relay: %w", err)
 		}
@@ -215,7 +216,8 @@
 		r.closeJournal()
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r.zoneReporter = &zone.Reporter{Relay: cfg.Relay.Name, Classes: classes, Partners: partners, Zones: zones, Own: ownZone,
+	r.zoneReporter = &zone.Reporter{Relay: cfg.Relay.Name, Classes: classes,
+		Partners: partners, Zones: zones, Own: ownZone,
 		Table: traffic, Toll: zoneBudget, Now: r.core.Now, File: cfg.ZoneRecords,
 		Failed: func(err error) { r.obs.Logf("zone records: %v", err) }}
 	nameCacheSettings := addr.DefaultNameCacheSettings
@@ -233,7 +235,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	sources, clients, err := directorySources(cfg, ring, names)
+	sources, clients, err := directorySources(cfg, certStore, names)
 	if err != nil {
 		cancel()
 		r.caller.Close()
@@ -272,7 +274,7 @@
 	}()
 	go func() {
 		defer r.done.Done()
-		ring.Run(ctx)
+		certStore.Run(ctx)
 	}()
 	go func() {
 		defer r.done.Done()
@@ -297,11 +299,12 @@
 		keeper = r.journal
 	}
 	if w := &cfg.WebPush; len(w.Listen)+len(w.TLSListen) > 0 {
-		o := webpush.Options{Listen: w.Listen, TLSListen: w.TLSListen, TLS: pushTLS, HandshakeSlots: slots, Names: frontNames,
-			Audience: w.Audience, AllowAnonymous: len(w.Keys) == 0, Body: cfg.Limits.Body, Header: w.HeaderBytes,
+		o := webpush.Options{Listen: w.Listen, TLSListen: w.TLSListen, TLS: pushTLS, HandshakeSlots: slots,
+			Names: frontNames, Audience: w.Audience, AllowAnonymous: len(w.Keys) == 0, Body: cfg.Limits.Body, Header: w.HeaderBytes,
 			Connections: w.Connections, Streams: w.Streams, Messages: w.Messages, Subscriptions: w.Receipts,
 			Pending: w.Pending, Polls: w.Polls, Retention: cfg.Limits.Identities.Keep.D(), MaxPollWait: w.Poll.D(),
-			Handshake: w.Handshake.D(), Idle: w.Idle.D(), WriteBuffer: w.WriteBuffer, Door: door, Observer: r.obs, Keeper: keeper}
+			Handshake: w.Handshake.D(), Idle: w.Idle.D(), WriteBuffer: w.WriteBuffer,
+			Door: door, Observer: r.obs, Keeper: keeper}
 		for _, k := range cfg.Classes {
 			o.RequireIdempotencyKey = append(o.RequireIdempotencyKey, k.Effect == "unsafe")
 		}
@@ -313,12 +316,13 @@
 		}
 		r.push = webpush.New(o)
 	}
-	r.front, err = mqttfront.New(mqttfront.Options{Listen: m.Listen, Keeper: keeper, BeforeListen: func(f *mqttfront.Front) {
-		if journalContents != nil {
-			r.restore(journalContents, f, r.push, frontNames)
-		}
-		runCore()
-	},
+	r.front, err = mqttfront.New(mqttfront.Options{Listen: m.Listen, Keeper: keeper,
+		BeforeListen: func(f *mqttfront.Front) {
+			if journalContents != nil {
+				r.restore(journalContents, f, r.push, frontNames)
+			}
+			runCore()
+		},
 		TLSListen: m.TLSListen, TLS: mqttTLS, HandshakeSlots: slots, Names: frontNames, Body: cfg.Limits.Body,
 		Connections: m.Connections, Sessions: m.Sessions,
 		ReceiveMaximum: m.ReceiveMaximum, TopicAliases: m.TopicAliases, Pending: m.Pending,
@@ -385,17 +389,17 @@
 }
 
 // serverTLS returns the TLS configuration of a listener, nil if t is nil.
-func serverTLS(ring *keys.CertStore, t *config.TLS, protocols ...string) (*tls.Config, error) {
+func serverTLS(certStore *keys.CertStore, t *config.TLS, protocols ...string) (*tls.Config, error) {
 	if t == nil {
 		return nil, nil
 	}
-	pair, err := ring.LoadPair(t.Cert, t.Key)
+	pair, err := certStore.LoadPair(t.Cert, t.Key)
 	if err != nil {
 		return nil, err
 	}
 	var clients *keys.CAPool
 	if t.ClientCA != "" {
-		if clients, err = ring.LoadPool(t.ClientCA); err != nil {
+		if clients, err = certStore.LoadPool(t.ClientCA); err != nil {
 			return nil, err
 		}
 	}
@@ -403,17 +407,17 @@
 }
 
 // clientTLS returns a function that makes the TLS configuration for calls as t configures them.
-func clientTLS(ring *keys.CertStore, t *config.PartnerTLS) (func() *tls.Config, error) {
+func clientTLS(certStore *keys.CertStore, t *config.PartnerTLS) (func() *tls.Config, error) {
 	var ca *keys.CAPool
 	var clientPair *keys.KeyPair
 	var err error
 	if t.CA != "" {
-		if ca, err = ring.LoadPool(t.CA); err != nil {
+		if ca, err = certStore.LoadPool(t.CA); err != nil {
 			return nil, err
 		}
 	}
 	if t.Cert != "" {
-		if clientPair, err = ring.LoadPair(t.Cert, t.Key); err != nil {
+		if clientPair, err = certStore.LoadPair(t.Cert, t.Key); err != nil {
 			return nil, err
 		}
 	}
@@ -422,15 +426,15 @@
 
 // CheckKeys loads the configured certificates and keys once and returns the first error.
 func CheckKeys(cfg *config.Config) error {
-	ring := &keys.CertStore{}
+	certStore := &keys.CertStore{}
 	for _, t := range []*config.TLS{cfg.MQTT.TLS, cfg.WebPush.TLS} {
-		if _, err := serverTLS(ring, t); err != nil {
+		if _, err := serverTLS(certStore, t); err != nil {
 			return err
 		}
 	}
 	for _, p := range cfg.Partners {
 		if p.TLS != nil {
-			if _, err := clientTLS(ring, p.TLS); err != nil {
+			if _, err := clientTLS(certStore, p.TLS); err != nil {
 				return fmt.Errorf("partner %s: %w", p.Name, err)
 			}
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -35,8 +35,8 @@
 	return &inbox{answers: map[string][]client.Answer{}, new: make(chan struct{}, 1)}
 }
 
-// add stores an answer; it is a client.Options.On.
-func (b *inbox) add(a client.Answer) {
+// receive stores an answer; it is passed to clients as client.Options.On.
+func (b *inbox) receive(a client.Answer) {
 	b.mu.Lock()
 	b.answers[a.ID] = append(b.answers[a.ID], a)
 	b.mu.Unlock()
@@ -115,7 +115,7 @@
 	sentAt := make([]map[string]time.Time, senders)
 	var all sync.WaitGroup
 	for s := range senders {
-		c := dial(t, b, client.Options{ID: fmt.Sprintf("c%d", s), Expiry: 600, On: in.add})
+		c := dial(t, b, client.Options{ID: fmt.Sprintf("c%d", s), Expiry: 600, On: in.receive})
 		defer c.Close()
 		sentAt[s] = map[string]time.Time{}
 		all.Go(func() {
@@ -192,7 +192,7 @@
 		e.Set(standin.Trouble{Hang: true})
 	}
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.add})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.receive})
 	defer c.Close()
 	at := time.Now()
 	if err := c.Send(testutil.Context(t), client.Message{ID: "m", Class: "charge", Partner: "p0"}); err != nil {
@@ -241,13 +241,13 @@
 	})
 	t.Run("after PUBACK", func(t *testing.T) {
 		for range 3 {
-			c := dial(t, b, client.Options{ID: "again", Expiry: 60, On: in.add})
+			c := dial(t, b, client.Options{ID: "again", Expiry: 60, On: in.receive})
 			if err := c.Send(ctx, client.Message{ID: "g1", Class: "charge", Partner: "p0", Body: []byte("again")}); err != nil {
 				t.Fatal(err)
 			}
 			c.Cut()
 		}
-		c := dial(t, b, client.Options{ID: "again", Expiry: 60, On: in.add})
+		c := dial(t, b, client.Options{ID: "again", Expiry: 60, On: in.receive})
 		defer c.Close()
 		for _, a := range in.wait(t, 1)["g1"] {
 			if a.Answer != "delivered" {
@@ -256,11 +256,11 @@
 		}
 	})
 	t.Run("two connections", func(t *testing.T) {
-		one := dial(t, b, client.Options{ID: "twin", Expiry: 60, On: in.add})
+		one := dial(t, b, client.Options{ID: "twin", Expiry: 60, On: in.receive})
 		if err := one.Send(ctx, client.Message{ID: "t1", Class: "charge", Partner: "p0", Body: []byte("twin")}); err != nil {
 			t.Fatal(err)
 		}
-		two := dial(t, b, client.Options{ID: "twin", Expiry: 60, On: in.add})
+		two := dial(t, b, client.Options{ID: "twin", Expiry: 60, On: in.receive})
 		defer two.Close()
 		<-one.Lost()
 		if err := two.Send(ctx, client.Message{ID: "t1", Class: "charge", Partner: "p0", Body: []byte("twin")}); err != nil {
@@ -295,7 +295,7 @@
 	c.Cut()
 	for present := true; present; {
 		time.Sleep(1200 * ms)
-		c = dial(t, b, client.Options{ID: "c", Expiry: 1, On: in.add})
+		c = dial(t, b, client.Options{ID: "c", Expiry: 1, On: in.receive})
 		if present = c.Present; present {
 			c.Cut()
 		}
@@ -353,7 +353,7 @@
 	b.Ends[2].Set(standin.Trouble{Hang: true})
 	b.Ends[3].Set(standin.Trouble{Hang: true})
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.add})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.receive})
 	defer c.Close()
 	for i, m := range []client.Message{{ID: "finishes", Class: "charge", Partner: "p0"},
 		{ID: "hangs", Class: "charge", Partner: "p1"},
@@ -380,7 +380,7 @@
 func TestFileDescriptorExhaustion(t *testing.T) {
 	b := testutil.New(t, 1, standin.Model{Service: 5 * ms}, "", relay.Hooks{})
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.add})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.receive})
 	defer c.Close()
 	var old syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
@@ -429,7 +429,7 @@
 	in := newInbox()
 	st := state.NewInMemory()
 	for i := range 5 {
-		c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.add, Session: st})
+		c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.receive, Session: st})
 		if err := c.Send(testutil.Context(t), client.Message{ID: fmt.Sprint(i), Class: "charge", Partner: "p0", QoS: 2,
 			Body: fmt.Append(nil, i)}); err != nil {
 			t.Fatal(err)
@@ -437,7 +437,7 @@
 		c.Cut()
 		<-c.Done()
 	}
-	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.add, Session: st})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 60, On: in.receive, Session: st})
 	defer c.Close()
 	in.wait(t, 5)
 	if n := len(b.Rec.Calls()); n != 5 {
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -19,7 +19,8 @@
 
 // openJournal opens the configured journal. If the journal fails later, the failure is
 // logged and onFailure is called with it, unless nil.
-func openJournal(cfg *config.Config, o *obs.Relay, onFailure func(error)) (*journal.Journal, *journal.Contents, error) {
+func openJournal(cfg *config.Config, o *obs.Relay, onFailure func(error)) (
+	*journal.Journal, *journal.Contents, error) {
 	return journal.Open(journal.Options{Dir: cfg.Journal.Dir, MaxBytes: cfg.Journal.Bytes,
 		MaxQueued: cfg.Journal.Queue, NoSync: !cfg.Journal.Sync, OnFailure: func(err error) {
 			o.Unlisted("journal", fmt.Errorf("journal failed, no further message is accepted or answered: %w", err))
@@ -46,7 +47,8 @@
 // Answers that a client did not acknowledge are handed to its front for delivery. A
 // message whose verdict follows from the journal is recorded as ended and answered once
 // that record is written; all others go back to the core.
-func (r *Relay) restore(contents *journal.Contents, mqttFront *mqttfront.Front, push *webpush.Front, names front.Names) {
+func (r *Relay) restore(contents *journal.Contents, mqttFront *mqttfront.Front,
+	push *webpush.Front, names front.Names) {
 	start := time.Now()
 	classes := map[string]recover.Class{}
 	for _, c := range r.cfg.Classes {
@@ -114,6 +116,7 @@
 		r.zoneBudget.Resume(plan.BudgetLevels, plan.LevelsAge)
 	}
 	r.core.Restore(messages, ended, waits, contents.LastSeq)
-	r.obs.Info(fmt.Sprintf("journal: %d messages, %d ended identities, %d sessions, %d waits restored in %v", len(messages),
+	r.obs.Info(fmt.Sprintf("journal: %d messages, %d ended identities, %d sessions, %d waits restored in %v",
+		len(messages),
 		len(ended), len(contents.Sessions), len(waits), time.Since(start).Round(time.Millisecond)))
 }
--- a/internal/relay/zone_test.go
+++ b/internal/relay/zone_test.go
@@ -44,7 +44,8 @@
 func zoneBed(t *testing.T, extra string) (*testutil.Bed, [2]*meter) {
 	t.Helper()
 	meters := [2]*meter{{}, {}}
-	b := testutil.NewMetered(t, 2, standin.Model{Service: 2 * ms, Window: 10 * time.Second}, twoZones+extra, relay.Hooks{},
+	b := testutil.NewMetered(t, 2, standin.Model{Service: 2 * ms, Window: 10 * time.Second},
+		twoZones+extra, relay.Hooks{},
 		func(i int) (string, func(net.Conn) net.Conn) {
 			m := meters[i%2]
 			return []string{"near", "far"}[i%2], func(c net.Conn) net.Conn { return meteredConn{c, m} }
@@ -58,7 +59,7 @@
 func TestZoneBytesMatch(t *testing.T) {
 	b, meters := zoneBed(t, "")
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 600, On: in.add})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 600, On: in.receive})
 	defer c.Close()
 	ctx := testutil.Context(t)
 	const n = 600
@@ -121,7 +122,7 @@
 	b.WriteList()
 	time.Sleep(300 * ms)
 	in := newInbox()
-	c := dial(t, b, client.Options{ID: "c", Expiry: 600, On: in.add})
+	c := dial(t, b, client.Options{ID: "c", Expiry: 600, On: in.receive})
 	defer c.Close()
 	ctx := testutil.Context(t)
 	begin := time.Now()
