--- a/internal/relay/addr_test.go
+++ b/internal/relay/addr_test.go
@@ -254,14 +254,14 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	at := func(ips ...string) {
+	setAddresses := func(ips ...string) {
 		z := standin.Zone{TTL: 1}
 		for _, ip := range ips {
 			z.Addrs = append(z.Addrs, netip.MustParseAddr(ip))
 		}
 		dns.Set("bank.example", z)
 	}
-	at("127.0.0.1")
+	setAddresses("127.0.0.1")
 	list := filepath.Join(t.TempDir(), "list.cue")
 	text := fmt.Sprintf("endpoints: [{addr: \"bank.example:%s\", partner: \"p0\"}, {addr: %q, partner: \"p1\"}]\n",
 		port, other.Addr)
@@ -297,7 +297,7 @@
 		}
 		in.wait(t, n)
 	}
-	known := func(what string, want func(relay.Addresses) bool) {
+	waitForAddresses := func(what string, want func(relay.Addresses) bool) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); !want(r.Addresses()); time.Sleep(5 * ms) {
 			if time.Now().After(end) {
@@ -305,25 +305,25 @@
 			}
 		}
 	}
-	first := func(a relay.Addresses) string {
+	firstAddress := func(a relay.Addresses) string {
 		if l := a.Endpoints["bank.example:"+port]; len(l) > 0 {
 			return l[0].Address
 		}
 		return ""
 	}
 	send(100)
-	at("127.0.0.2")
-	known("name resolves to the second host", func(a relay.Addresses) bool { return first(a) == two.Addr })
+	setAddresses("127.0.0.2")
+	waitForAddresses("name resolves to the second host", func(a relay.Addresses) bool { return firstAddress(a) == two.Addr })
 	moved := time.Now()
 	send(100)
-	at("127.0.0.3") // an address of the other partner
-	known("address of another partner left out",
-		func(a relay.Addresses) bool { return len(a.LeftOut) == 1 && first(a) == "" })
-	at("127.0.0.1", "127.0.0.3")
-	known("only the own address used", func(a relay.Addresses) bool { return first(a) == one.Addr })
+	setAddresses("127.0.0.3") // an address of the other partner
+	waitForAddresses("address of another partner left out",
+		func(a relay.Addresses) bool { return len(a.LeftOut) == 1 && firstAddress(a) == "" })
+	setAddresses("127.0.0.1", "127.0.0.3")
+	waitForAddresses("only the own address used", func(a relay.Addresses) bool { return firstAddress(a) == one.Addr })
 	send(100)
 	dns.Set("bank.example", standin.Zone{Mute: true})
-	known("DNS server does not answer",
+	waitForAddresses("DNS server does not answer",
 		func(a relay.Addresses) bool { return len(a.Names) == 1 && a.Names[0].Failures > 0 })
 	send(100)
 	seen := map[string]int{}
--- a/internal/relay/consul_test.go
+++ b/internal/relay/consul_test.go
@@ -198,8 +198,8 @@
 func TestNoRequestAfterDrain(t *testing.T) {
 	const partners, each, rounds = 10, 100, 4 // two drains per endpoint: more count as flapping and are held back
 	b := newConsulBed(t, partners, each, "")
-	h := &drainRecorder{receivedAt: map[string]time.Time{}}
-	r := b.start("r", relay.Hooks{Sink: func(s directory.Sink) directory.Sink { h.Sink = s; return h }})
+	recorder := &drainRecorder{receivedAt: map[string]time.Time{}}
+	r := b.start("r", relay.Hooks{Sink: func(s directory.Sink) directory.Sink { recorder.Sink = s; return recorder }})
 	eventually(t, "the list", func() bool { return r.Directory().Endpoints == partners*each })
 	stop := make(chan struct{})
 	var done sync.WaitGroup
@@ -209,44 +209,44 @@
 	var maxRequestDelay, maxListDelay time.Duration
 	drains := 0
 	for round := range rounds {
-		var some []*standin.Endpoint
+		var drained []*standin.Endpoint
 		for i, e := range b.endpoints {
 			if i%2 == round%2 {
-				some = append(some, e)
+				drained = append(drained, e)
 			}
 		}
-		h.mu.Lock()
-		clear(h.receivedAt)
-		h.mu.Unlock()
-		told := time.Now()
-		b.put("draining", some...)
+		recorder.mu.Lock()
+		clear(recorder.receivedAt)
+		recorder.mu.Unlock()
+		updatedAt := time.Now()
+		b.put("draining", drained...)
 		eventually(t, "all drains received", func() bool {
-			h.mu.Lock()
-			defer h.mu.Unlock()
+			recorder.mu.Lock()
+			defer recorder.mu.Unlock()
 			n := 0
-			for _, e := range some {
-				if !h.receivedAt[e.Addr].IsZero() {
+			for _, e := range drained {
+				if !recorder.receivedAt[e.Addr].IsZero() {
 					n++
 				}
 			}
-			return n == len(some)
+			return n == len(drained)
 		})
 		time.Sleep(200 * ms)
-		over := time.Now()
-		b.put("", some...)
-		h.mu.Lock()
+		drainEnd := time.Now()
+		b.put("", drained...)
+		recorder.mu.Lock()
 		last := map[string]time.Time{}
 		for _, k := range b.rec.Calls() {
-			if k.Start.After(last[k.Endpoint]) && k.Start.Before(over) {
+			if k.Start.After(last[k.Endpoint]) && k.Start.Before(drainEnd) {
 				last[k.Endpoint] = k.Start
 			}
 		}
-		for _, e := range some {
+		for _, e := range drained {
 			drains++
-			maxListDelay = max(maxListDelay, h.receivedAt[e.Addr].Sub(told))
-			maxRequestDelay = max(maxRequestDelay, last[e.Addr].Sub(h.receivedAt[e.Addr]))
+			maxListDelay = max(maxListDelay, recorder.receivedAt[e.Addr].Sub(updatedAt))
+			maxRequestDelay = max(maxRequestDelay, last[e.Addr].Sub(recorder.receivedAt[e.Addr]))
 		}
-		h.mu.Unlock()
+		recorder.mu.Unlock()
 	}
 	close(stop)
 	done.Wait()
@@ -311,7 +311,7 @@
 	for i := range 4 {
 		all = append(all, b.start(fmt.Sprint("r", i), relay.Hooks{}))
 	}
-	see := func(n int) func() bool {
+	fleetSize := func(n int) func() bool {
 		return func() bool {
 			seen := map[int]bool{}
 			for _, r := range all {
@@ -323,14 +323,14 @@
 			return len(seen) == len(all)
 		}
 	}
-	eventually(t, "four", see(4))
+	eventually(t, "four", fleetSize(4))
 	stopped := time.Now()
 	all[0].Stop()
 	all = all[1:]
-	eventually(t, "three", see(3))
-	if late := time.Since(stopped); late < 700*ms {
-		t.Errorf("the stopped relay was removed after %v, before the loss delay of 700 ms", late)
+	eventually(t, "three", fleetSize(3))
+	if removedAfter := time.Since(stopped); removedAfter < 700*ms {
+		t.Errorf("the stopped relay was removed after %v, before the loss delay of 700 ms", removedAfter)
 	}
 	all = append(all, b.start("r9", relay.Hooks{}))
-	eventually(t, "four again", see(4))
+	eventually(t, "four again", fleetSize(4))
 }
--- a/internal/relay/journal_test.go
+++ b/internal/relay/journal_test.go
@@ -283,8 +283,8 @@
 	}
 }
 
-// acknowledge acknowledges an answer and returns once the relay has processed that: a
-// PINGREQ sent after the PUBACK has been answered.
+// acknowledge sends the PUBACK of an answer and returns once the relay has processed it:
+// packets are processed in order, so the response to a following PINGREQ shows it.
 func (b *restartBed) acknowledge(answer mqtt.Publish) {
 	b.t.Helper()
 	write(b.t, b.conn, mqtt.AppendAck(nil, mqtt.V5, mqtt.PUBACK, answer.ID, mqtt.Success, ""))
--- a/internal/relay/push_test.go
+++ b/internal/relay/push_test.go
@@ -358,10 +358,10 @@
 	none, _ := jwt.NewWithClaims(jwt.SigningMethodNone, jwt.MapClaims{"aud": b.origin,
 		"exp": time.Now().Add(time.Hour).Unix()}).
 		SignedString(jwt.UnsafeAllowNoneSignatureType)
-	off := make([]byte, 65)
-	off[0], off[5] = 4, 9
-	tok := func(change func(jwt.MapClaims)) string { return b.token(t, change) }
-	good := tok(nil)
+	keyOffCurve := make([]byte, 65)
+	keyOffCurve[0], keyOffCurve[5] = 4, 9
+	signedToken := func(change func(jwt.MapClaims)) string { return b.token(t, change) }
+	good := signedToken(nil)
 	for _, c := range []struct {
 		name, path, field, value string
 		status                   int
@@ -377,18 +377,18 @@
 		{"receipt subscription", "/push/status/p0", "Push-Receipt", "/receipts/nobodys", 400, "Push-Receipt"},
 		{"no token", "/push/status/p0", "Authorization", "", 401, "VAPID token"},
 		{"audience", "/push/status/p0", "Authorization",
-			tok(func(c jwt.MapClaims) { c["aud"] = "https://else.example" }), 401, "audience"},
+			signedToken(func(c jwt.MapClaims) { c["aud"] = "https://else.example" }), 401, "audience"},
 		{"expired", "/push/status/p0", "Authorization",
-			tok(func(c jwt.MapClaims) { c["exp"] = time.Now().Add(-time.Minute).Unix() }), 401, "expired"},
+			signedToken(func(c jwt.MapClaims) { c["exp"] = time.Now().Add(-time.Minute).Unix() }), 401, "expired"},
 		{"never ends", "/push/status/p0", "Authorization",
-			tok(func(c jwt.MapClaims) { c["exp"] = time.Now().Add(48 * time.Hour).Unix() }), 401, "24 h"},
-		{"no end", "/push/status/p0", "Authorization", tok(func(c jwt.MapClaims) { delete(c, "exp") }), 401, "exp"},
-		{"subject", "/push/status/p0", "Authorization", tok(func(c jwt.MapClaims) { c["sub"] = "gopher:x" }), 401, "sub"},
+			signedToken(func(c jwt.MapClaims) { c["exp"] = time.Now().Add(48 * time.Hour).Unix() }), 401, "24 h"},
+		{"no end", "/push/status/p0", "Authorization", signedToken(func(c jwt.MapClaims) { delete(c, "exp") }), 401, "exp"},
+		{"subject", "/push/status/p0", "Authorization", signedToken(func(c jwt.MapClaims) { c["sub"] = "gopher:x" }), 401, "sub"},
 		{"alg none", "/push/status/p0", "Authorization", "vapid t=" + none + ", k=" + b.public, 401, "signing method"},
 		{"another's signature", "/push/status/p0", "Authorization",
 			"vapid t=" + other + ", k=" + b.public, 401, "signature"},
 		{"key off the curve", "/push/status/p0", "Authorization",
-			good[:strings.Index(good, ", k=")] + ", k=" + base64.RawURLEncoding.EncodeToString(off), 401, "P-256"},
+			good[:strings.Index(good, ", k=")] + ", k=" + base64.RawURLEncoding.EncodeToString(keyOffCurve), 401, "P-256"},
 		{"key's own resource", "/push/status/p0", "Authorization", "vapid t=" + other + ", k=" + otherPublic, 201, ""},
 		{"not the key's resource", "/push/order/p0", "Authorization",
 			"vapid t=" + other + ", k=" + otherPublic, 403, "may not"},
@@ -659,13 +659,13 @@
 		_, _ = c.Write([]byte{22, 3, 1, 2, 0, 1}) // the start of a ClientHello
 		stalled = append(stalled, c)
 	}
-	ok := func(what string) {
+	checkServed := func(what string) {
 		t.Helper()
 		if r, text := b.do(t, "POST", "/push/status/p0", "x"); r.StatusCode != 201 {
 			t.Errorf("%s: %d %s", what, r.StatusCode, text)
 		}
 	}
-	ok("during stalled handshakes")
+	checkServed("during stalled handshakes")
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	var bad []error
@@ -686,7 +686,7 @@
 			}
 		})
 	}
-	ok("during many handshakes")
+	checkServed("during many handshakes")
 	all.Wait()
 	if len(bad) > 0 {
 		t.Errorf("%d of 300 handshakes failed: %v", len(bad), bad)
@@ -719,5 +719,5 @@
 	if werr == nil {
 		t.Error("100,000 streams could be opened and reset on one connection")
 	}
-	ok("after rapid resets")
+	checkServed("after rapid resets")
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -331,7 +331,7 @@
 	waitCalls(t, b, "", 20)
 	b.State(drained, "draining")
 	b.WriteList()
-	told := time.Now()
+	listedAt := time.Now()
 	time.Sleep(1500 * ms)
 	b.BreakList()
 	n := len(b.Rec.Calls())
@@ -340,8 +340,8 @@
 	sent.Wait()
 	b.Relay.Stop()
 	for _, call := range b.Rec.Calls() {
-		if call.Endpoint == drained && call.Start.Sub(told) > time.Second {
-			t.Errorf("a call started %v after the drain was listed", call.Start.Sub(told))
+		if call.Endpoint == drained && call.Start.Sub(listedAt) > time.Second {
+			t.Errorf("a call started %v after the drain was listed", call.Start.Sub(listedAt))
 		}
 	}
 }
