--- a/internal/relay/addr_test.go
+++ b/internal/relay/addr_test.go
@@ -313,7 +313,8 @@
 	}
 	send(100)
 	setAddresses("127.0.0.2")
-	waitForAddresses("name resolves to the second host", func(a relay.Addresses) bool { return firstAddress(a) == two.Addr })
+	waitForAddresses("name resolves to the second host",
+		func(a relay.Addresses) bool { return firstAddress(a) == two.Addr })
 	moved := time.Now()
 	send(100)
 	setAddresses("127.0.0.3") // an address of the other partner
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -303,8 +303,8 @@
 			Names: frontNames, Audience: w.Audience, AllowAnonymous: len(w.Keys) == 0, Body: cfg.Limits.Body,
 			Header: w.HeaderBytes, Connections: w.Connections, Streams: w.Streams, Messages: w.Messages,
 			Subscriptions: w.Receipts, Pending: w.Pending, Polls: w.Polls,
-			Retention: cfg.Limits.Identities.Keep.D(), MaxPollWait: w.Poll.D(), Handshake: w.Handshake.D(), Idle: w.Idle.D(), WriteBuffer: w.WriteBuffer,
-			Door: door, Observer: r.obs, Keeper: keeper}
+			Retention: cfg.Limits.Identities.Keep.D(), MaxPollWait: w.Poll.D(), Handshake: w.Handshake.D(),
+			Idle: w.Idle.D(), WriteBuffer: w.WriteBuffer, Door: door, Observer: r.obs, Keeper: keeper}
 		for _, k := range cfg.Classes {
 			o.RequireIdempotencyKey = append(o.RequireIdempotencyKey, k.Effect == "unsafe")
 		}
