--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,5 @@
-// Package agent speaks with the platform's agent on the relay's own machine: it
-// follows the list of hosts and hands over notices. The agent's address may change
-// while the relay runs.
+// Package agent is the client of the platform's agent, which runs on the relay's machine. It watches
+// the list of hosts and delivers notices. The agent's address may change while the relay runs.
 package agent
 
 import (
@@ -20,14 +19,14 @@
 type Client struct {
 	engine *engine.Engine
 
-	mu    sync.Mutex
-	addr  string
-	moved chan struct{} // closed when the address changes
+	mu          sync.Mutex
+	addr        string
+	addrChanged chan struct{} // closed and replaced when the address changes
 }
 
-// New serves connections to an agent at host:port.
+// New returns a client of the agent at addr, host:port.
 func New(addr string) (*Client, error) {
-	c := &Client{addr: addr, moved: make(chan struct{})}
+	c := &Client{addr: addr, addrChanged: make(chan struct{})}
 	var err error
 	if c.engine, err = engine.Start(engine.Options{Name: "agent", ReadBuffer: 16 << 10}); err != nil {
 		return nil, err
@@ -35,58 +34,59 @@
 	return c, nil
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() { c.engine.Stop() }
 
-// Move has everything go to another address from now on.
+// Move changes the agent's address. Requests in progress to the old address fail and are sent again
+// to the new one.
 func (c *Client) Move(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr != c.addr {
 		c.addr = addr
-		close(c.moved)
-		c.moved = make(chan struct{})
+		close(c.addrChanged)
+		c.addrChanged = make(chan struct{})
 	}
 }
 
-// at is the address in force, and what is closed once it is no more.
-func (c *Client) at() (addr string, moved <-chan struct{}) {
+// address returns the current address and a channel that is closed when it changes.
+func (c *Client) address() (addr string, addrChanged <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.addr, c.moved
+	return c.addr, c.addrChanged
 }
 
 var (
-	errSilent = errors.New("agent: silent for too long")
-	errEnded  = errors.New("agent: the connection ended")
-	errMoved  = errors.New("agent: its address has changed")
-	// errNobodys: what came cannot be the answer to what was asked.
-	errNobodys = errors.New("agent: an answer to nothing that was asked")
+	errTimeout     = errors.New("agent: time-out: nothing was received")
+	errConnClosed  = errors.New("agent: connection closed")
+	errAddrChanged = errors.New("agent: address changed")
+	// errUnsolicited reports bytes that cannot be the response to the request.
+	errUnsolicited = errors.New("agent: unsolicited response")
 )
 
-// link is one connection, for one request. What it reads waits, bounded, until it is asked for.
-type link struct {
-	nb    *engine.Conn
-	life  lifecycle.PeerConn // of the goroutine that asks
-	wake  chan struct{}
-	mu    sync.Mutex
-	buf   []byte
-	ended bool
+// agentConn is a connection for a single request. It buffers what it receives, up to a bound.
+type agentConn struct {
+	socket *engine.Conn
+	state  lifecycle.PeerConn // used only by the goroutine that sends the request
+	wake   chan struct{}
+	mu     sync.Mutex
+	buf    []byte
+	ended  bool
 }
 
-// mostUnread bytes wait for the reader; an agent that sends more without being
-// heard is cut off.
-const mostUnread = 4 << 20
+// maxUnreadBytes bounds the bytes buffered for the reader; a connection that exceeds it is closed.
+const maxUnreadBytes = 4 << 20
 
-// dial opens a connection: at most so long, until the agent moves, or ctx ends.
-func (c *Client) dial(ctx context.Context, addr string, within time.Duration, moved <-chan struct{}) (*link, error) {
+// dial opens a connection. It fails when the time within has passed, when addrChanged is closed, or
+// when ctx ends.
+func (c *Client) dial(ctx context.Context, addr string, within time.Duration, addrChanged <-chan struct{}) (*agentConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	up := make(chan struct{})
 	defer close(up)
 	go func() {
 		select {
-		case <-moved:
+		case <-addrChanged:
 			cancel()
 		case <-up:
 		}
@@ -94,15 +94,15 @@
 	raw, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		select {
-		case <-moved:
-			return nil, errMoved
+		case <-addrChanged:
+			return nil, errAddrChanged
 		default:
 		}
 		return nil, fmt.Errorf("agent: %w", err)
 	}
-	l := &link{wake: make(chan struct{}, 1)}
+	l := &agentConn{wake: make(chan struct{}, 1)}
 	_, err = c.engine.Adopt(raw, func(nb *engine.Conn) engine.Handler {
-		l.nb = nb
+		l.socket = nb
 		return l
 	})
 	if err != nil {
@@ -111,61 +111,62 @@
 	return l, nil
 }
 
-// Data takes in what the socket gave.
-func (l *link) Data(b []byte) {
+// Data buffers bytes received from the socket.
+func (l *agentConn) Data(b []byte) {
 	l.mu.Lock()
 	l.buf = append(l.buf, b...)
-	over := len(l.buf) > mostUnread
+	over := len(l.buf) > maxUnreadBytes
 	l.mu.Unlock()
-	l.nudge()
+	l.signal()
 	if over {
-		_ = l.nb.Close()
+		_ = l.socket.Close()
 	}
 }
 
-// Closed takes in the end of the connection.
-func (l *link) Closed() {
+// Closed records the end of the connection.
+func (l *agentConn) Closed() {
 	l.mu.Lock()
 	l.ended = true
 	l.mu.Unlock()
-	l.nudge()
+	l.signal()
 }
 
-func (l *link) nudge() {
+func (l *agentConn) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (l *link) close() {
-	l.life.Closed()
-	_ = l.nb.Close()
+func (l *agentConn) close() {
+	l.state.Closed()
+	_ = l.socket.Close()
 }
 
-// ask sends a request, the first and only one on the connection.
-func (l *link) ask(request []byte) error {
-	if l.life.MayCarry(0, lifecycle.PeerRule{FirstOnly: true}) != lifecycle.CarryNow {
-		return errNobodys
+// send writes a request, the first and only one on the connection.
+func (l *agentConn) send(request []byte) error {
+	if l.state.MayCarry(0, lifecycle.PeerRule{FirstOnly: true}) != lifecycle.CarryNow {
+		return errUnsolicited
 	}
-	l.life.Begin(0)
-	if _, err := l.nb.Write(request); err != nil {
+	l.state.Begin(0)
+	if _, err := l.socket.Write(request); err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
 	return nil
 }
 
-// believe decides how far an answer, or a part of one, is believed of the request: as the first on
-// its connection it is the request's own once that was written.
-func (l *link) believe(followed bool) lifecycle.Belief {
-	if l.nb.Unsent() > 0 {
+// attribute decides whether a response, or a part of one, belongs to the request: the first response
+// on the connection does once the request has been written. followed says that more bytes came after it.
+func (l *agentConn) attribute(followed bool) lifecycle.Belief {
+	if l.socket.Unsent() > 0 {
 		return lifecycle.Nobodys
 	}
-	return l.life.Believe(lifecycle.PeerAnswer{Written: true, Followed: followed})
+	return l.state.Believe(lifecycle.PeerAnswer{Written: true, Followed: followed})
 }
 
-// read waits for bytes: at most so long, until the agent moves, or ctx ends.
-func (l *link) read(ctx context.Context, within time.Duration, moved <-chan struct{}) ([]byte, error) {
+// read waits for received bytes. It fails when the time within has passed, when addrChanged is
+// closed, or when ctx ends.
+func (l *agentConn) read(ctx context.Context, within time.Duration, addrChanged <-chan struct{}) ([]byte, error) {
 	timer := time.NewTimer(within)
 	defer timer.Stop()
 	for {
@@ -177,28 +178,28 @@
 			return b, nil
 		}
 		if ended {
-			return nil, errEnded
+			return nil, errConnClosed
 		}
 		select {
 		case <-l.wake:
 		case <-timer.C:
-			return nil, errSilent
-		case <-moved:
-			return nil, errMoved
+			return nil, errTimeout
+		case <-addrChanged:
+			return nil, errAddrChanged
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// answer is a response while it is parsed; its content goes to a function.
-type answer struct {
+// response parses a response and passes its content to a function, if one is set.
+type response struct {
 	http1.Parser
 	status  int
 	content func([]byte) error
 }
 
-func (a *answer) Start(line string) error {
+func (a *response) Start(line string) error {
 	var version string
 	if _, err := fmt.Sscanf(line, "%s %d", &version, &a.status); err != nil || version != "HTTP/1.1" {
 		return http1.Malformed("status line %.40q", line)
@@ -206,9 +207,9 @@
 	return nil
 }
 
-func (a *answer) Field(string, string) error { return nil }
+func (a *response) Field(string, string) error { return nil }
 
-func (a *answer) Head() (http1.Framing, error) {
+func (a *response) Head() (http1.Framing, error) {
 	switch {
 	case a.status < 200:
 		return http1.Interim, nil
@@ -218,14 +219,14 @@
 	return http1.ToClose, nil
 }
 
-func (a *answer) Content(b []byte) error {
+func (a *response) Content(b []byte) error {
 	if a.content != nil {
 		return a.content(b)
 	}
 	return nil
 }
 
-// backOff before the next try after so many that failed.
+// backOff returns the delay before the next attempt after fails failed ones.
 func backOff(fails int) time.Duration {
 	return min(20*time.Millisecond<<min(fails, 6), time.Second)
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -17,7 +17,7 @@
 )
 
 // script serves connections one after the other, each with its function.
-func script(t *testing.T, each ...func(c net.Conn, q *http.Request)) string {
+func scriptedAgent(t *testing.T, each ...func(c net.Conn, q *http.Request)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,20 +52,20 @@
 const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // news keeps what a watch reports.
-type news struct {
+type recordingReceiver struct {
 	reports chan map[string]string // uid: address and state
 	failed  chan error
 }
 
-func (n *news) Report(r member.Report) {
+func (n *recordingReceiver) Report(r member.Report) {
 	m := map[string]string{}
 	for _, e := range r.Entries {
 		m[e.Addr] = fmt.Sprint(e.Addrs[0], " ", e.Partner, " ", e.Draining)
 	}
 	n.reports <- m
 }
-func (n *news) ReportAlive()          {}
-func (n *news) ReportError(err error) { n.failed <- err }
+func (n *recordingReceiver) ReportAlive()          {}
+func (n *recordingReceiver) ReportError(err error) { n.failed <- err }
 
 // A watch that ends, falls silent, or brings what cannot be read is opened again from
 // the revision it had; changes come in pieces, over chunks and lines.
@@ -80,7 +80,7 @@
 	entry := func(uid, at, state string) string {
 		return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":3,"state":%q,"capacity_hint":1}`, uid, at, state)
 	}
-	at := script(t, func(c net.Conn, q *http.Request) { // changes in pieces, then the end
+	at := scriptedAgent(t, func(c net.Conn, q *http.Request) { // changes in pieces, then the end
 		asked(q)
 		line := `{"rev":7,"all":false,"targets":[` + entry("s1", "1.1.1.1:1", "draining") + "]}\n"
 		_, _ = io.WriteString(c, head)
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	n := &news{make(chan map[string]string, 10), make(chan error, 10)}
+	n := &recordingReceiver{make(chan map[string]string, 10), make(chan error, 10)}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w := &Watch{Client: c, Known: List{Rev: 5, Targets: []Target{{UID: "s1", Endpoint: "1.1.1.1:1", Dest: 3, State: "up"}}}}
@@ -147,7 +147,7 @@
 		mu.Unlock()
 		_, _ = io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
 	}
-	deaf := script(t, func(c net.Conn, q *http.Request) { _ = c.Close() },
+	deaf := scriptedAgent(t, func(c net.Conn, q *http.Request) { _ = c.Close() },
 		func(c net.Conn, q *http.Request) {
 			_, _ = io.Copy(io.Discard, q.Body)
 			_, _ = io.WriteString(c, "HTTP/1.1 400 B\r\nContent-Length: 0\r\n\r\n")
@@ -176,7 +176,7 @@
 	if len(over) != 0 {
 		t.Errorf("%d are over that nobody took", len(over))
 	}
-	c.Move(script(t, take))
+	c.Move(scriptedAgent(t, take))
 	for i := range 150 {
 		select {
 		case id := <-over:
@@ -206,7 +206,7 @@
 		}
 		_, _ = io.Copy(io.Discard, c) // no answer, until the other side gives up
 	}
-	c, err := New(script(t, mute))
+	c, err := New(scriptedAgent(t, mute))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/ending_test.go
+++ b/internal/agent/ending_test.go
@@ -22,14 +22,14 @@
 )
 
 // follow starts a watch that knows s1 as up at revision 5.
-func follow(t *testing.T, at string) (*news, *Client, chan List) {
+func follow(t *testing.T, at string) (*recordingReceiver, *Client, chan List) {
 	t.Helper()
 	c, err := New(at)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	n := &news{make(chan map[string]string, 100), make(chan error, 100)}
+	n := &recordingReceiver{make(chan map[string]string, 100), make(chan error, 100)}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	kept := make(chan List, 100)
@@ -39,7 +39,7 @@
 	return n, c, kept
 }
 
-func (n *news) next(t *testing.T, want string) {
+func (n *recordingReceiver) expectReport(t *testing.T, want string) {
 	t.Helper()
 	select {
 	case m := <-n.reports:
@@ -59,16 +59,16 @@
 		`{"rev":7,"all":false,"targets":[{"uid":"{[\"\\","endpoint":"1.1.1.3:1","pod_group":5,"state":"up"}]}` + "\n \t\n" +
 		`{"rev":8,"all":true,"targets":[` + another + `]}` // without the line's end
 	for _, size := range []int{1, 2, 7, 64, len(text)} {
-		at := script(t, func(c net.Conn, q *http.Request) {
+		at := scriptedAgent(t, func(c net.Conn, q *http.Request) {
 			_, _ = io.WriteString(c, head)
 			for rest := text; rest != ""; rest = rest[min(size, len(rest)):] {
 				chunk(c, rest[:min(size, len(rest))])
 			}
 		})
 		n, _, kept := follow(t, at)
-		n.next(t, "map[s1:1.1.1.1:1 3 true]")
-		n.next(t, `map[s1:1.1.1.1:1 3 true {["\:1.1.1.3:1 5 false]`)
-		n.next(t, "map[s2:1.1.1.2:1 4 false]")
+		n.expectReport(t, "map[s1:1.1.1.1:1 3 true]")
+		n.expectReport(t, `map[s1:1.1.1.1:1 3 true {["\:1.1.1.3:1 5 false]`)
+		n.expectReport(t, "map[s2:1.1.1.2:1 4 false]")
 		<-kept
 		if l := <-kept; l.Rev != 7 || !l.All || len(l.Targets) != 2 {
 			t.Errorf("kept %+v", l)
@@ -85,24 +85,24 @@
 	}
 	_ = refused.Close()
 	for name, at := range map[string]string{
-		"silent":  script(t, func(net.Conn, *http.Request) {}),
+		"silent":  scriptedAgent(t, func(net.Conn, *http.Request) {}),
 		"refused": refused.Addr().String(),
-		"ends":    script(t, func(c net.Conn, _ *http.Request) { _ = c.Close() }),
-		"half a line, then silent": script(t, func(c net.Conn, _ *http.Request) {
+		"ends":    scriptedAgent(t, func(c net.Conn, _ *http.Request) { _ = c.Close() }),
+		"half a line, then silent": scriptedAgent(t, func(c net.Conn, _ *http.Request) {
 			_, _ = io.WriteString(c, head)
 			chunk(c, `{"rev":6,"all":true,`)
 		}),
-		"an error": script(t, func(c net.Conn, _ *http.Request) {
+		"an error": scriptedAgent(t, func(c net.Conn, _ *http.Request) {
 			_, _ = io.WriteString(c, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")
 		}),
 	} {
 		t.Run(name, func(t *testing.T) {
 			n, _, _ := follow(t, at)
-			n.next(t, "map[s1:1.1.1.1:1 3 false]")
+			n.expectReport(t, "map[s1:1.1.1.1:1 3 false]")
 		})
 	}
 	begin := make(chan struct{})
-	n, _, _ := follow(t, script(t, func(c net.Conn, q *http.Request) {
+	n, _, _ := follow(t, scriptedAgent(t, func(c net.Conn, q *http.Request) {
 		_, _ = io.WriteString(c, head)
 		<-begin
 		chunk(c, `{"rev":6,"all":false,"targets":[`+drain+`]}`)
@@ -111,13 +111,13 @@
 		t.Error("a list counts before the agent has spoken")
 	}
 	close(begin)
-	n.next(t, "map[s1:1.1.1.1:1 3 true]")
+	n.expectReport(t, "map[s1:1.1.1.1:1 3 true]")
 }
 
 // A watch that brings half a list and then nothing, or an empty line and then nothing, is
 // opened anew, and the half is forgotten.
 func TestSilentWatches(t *testing.T) {
-	at := script(t, func(c net.Conn, q *http.Request) {
+	at := scriptedAgent(t, func(c net.Conn, q *http.Request) {
 		_, _ = io.WriteString(c, head)
 		chunk(c, `{"rev":5,"all":false,"targets":[]}`+"\n"+`{"rev":6,"all":true,"tar`)
 	}, func(c net.Conn, q *http.Request) {
@@ -131,18 +131,18 @@
 		chunk(c, `{"rev":7,"all":false,"targets":[`+another+`]}`)
 	})
 	n, _, _ := follow(t, at)
-	n.next(t, "map[s1:1.1.1.1:1 3 false]")
+	n.expectReport(t, "map[s1:1.1.1.1:1 3 false]")
 	for range 2 {
-		if err := <-n.failed; err != errSilent {
-			t.Errorf("%v, want %v", err, errSilent)
+		if err := <-n.failed; err != errTimeout {
+			t.Errorf("%v, want %v", err, errTimeout)
 		}
 	}
-	n.next(t, "map[s1:1.1.1.1:1 3 false s2:1.1.1.2:1 4 false]")
+	n.expectReport(t, "map[s1:1.1.1.1:1 3 false s2:1.1.1.2:1 4 false]")
 }
 
 // full is an address where connections never come up: its queue of those not accepted yet
 // is full, and nobody accepts.
-func full(t *testing.T) string {
+func unresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -172,16 +172,16 @@
 // While a connection to the old address does not come up, the move to a new one is heard at
 // once: the watch and the notices go there without waiting for it.
 func TestMoveWhileConnecting(t *testing.T) {
-	at := full(t)
+	at := unresponsiveAddr(t)
 	n, c, _ := follow(t, at)
-	n.next(t, "map[s1:1.1.1.1:1 3 false]") // by now the second dial has begun, or soon will
+	n.expectReport(t, "map[s1:1.1.1.1:1 3 false]") // by now the second dial has begun, or soon will
 	over := make(chan string, 10)
 	notices := NewNotices(c, 10, func(id string) { over <- id }, func(error) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go notices.Run(ctx)
 	notices.Add("m1", ledger.Answer{Verdict: ledger.Failed})
-	c.Move(script(t, func(c net.Conn, q *http.Request) {
+	c.Move(scriptedAgent(t, func(c net.Conn, q *http.Request) {
 		if q.Method == http.MethodPost {
 			_, _ = io.Copy(io.Discard, q.Body)
 			_, _ = io.WriteString(c, "HTTP/1.1 204 N\r\n\r\n")
@@ -190,12 +190,12 @@
 		_, _ = io.WriteString(c, head)
 		chunk(c, `{"rev":6,"all":false,"targets":[`+drain+`]}`)
 	}))
-	n.next(t, "map[s1:1.1.1.1:1 3 true]")
+	n.expectReport(t, "map[s1:1.1.1.1:1 3 true]")
 	if id := <-over; id != "m1" {
 		t.Errorf("%s is over", id)
 	}
 	for len(n.failed) > 0 {
-		if err := <-n.failed; err == errSilent {
+		if err := <-n.failed; err == errTimeout {
 			t.Errorf("%v after the move", err)
 		}
 	}
@@ -218,7 +218,7 @@
 		t.Run(name, func(t *testing.T) {
 			refs := make(chan string, 10)
 			var asked atomic.Int32
-			at := script(t, func(c net.Conn, q *http.Request) {
+			at := scriptedAgent(t, func(c net.Conn, q *http.Request) {
 				line, _ := bufio.NewReader(q.Body).ReadString('\n')
 				if asked.Add(1) == 2 { // the second notice, on the connection of the first
 					refs <- "lost " + line
--- a/internal/agent/notices.go
+++ b/internal/agent/notices.go
@@ -13,60 +13,60 @@
 	"basaltcross.example/basaltcross/internal/lifecycle"
 )
 
-// notice is one line to the platform.
+// notice is one line of a request to the agent.
 type notice struct {
 	Ref    string `json:"ref"`
 	Result string `json:"result"`
 	WaitMs int64  `json:"wait_ms,omitempty"`
 }
 
-// Notices hands final answers to the platform, in order and in batches, until each
-// batch was answered with 204.
+// Notices delivers final answers to the platform, in order and in batches. Each batch is sent until
+// it is answered with 204.
 type Notices struct {
-	client *Client
-	most   int
-	over   func(identity string)
-	failed func(error)
+	client      *Client
+	limit       int
+	onDelivered func(identity string)
+	onError     func(error)
 
-	mu   sync.Mutex
-	list []notice
-	wake chan struct{}
+	mu    sync.Mutex
+	queue []notice
+	wake  chan struct{}
 }
 
 const (
-	// mostBatch bytes of notices go in one request: all that are owed, as a rule, so that
-	// none waits behind others whose answer does not come. A body holds 64 KiB (PROTOCOL).
-	mostBatch = 60 << 10
-	// answerTime is how long the answer to one may take: it comes at once, and a notice
-	// counts until 300 ms after its message's time (PROTOCOL), so that a connection that
-	// fell silent leaves room for another try.
-	answerTime = 150 * time.Millisecond
-	// mostRest is the longest rest between two tries, for the same reason.
-	mostRest = 25 * time.Millisecond
+	// maxBatchBytes bounds the notices in one request. All that are queued usually fit, so that
+	// none waits behind others that are not answered. A body holds 64 KiB (PROTOCOL).
+	maxBatchBytes = 60 << 10
+	// responseTimeout is the time-out for the response to a batch. The agent answers at once, and
+	// a notice is accepted until 300 ms after its message's deadline (PROTOCOL): a connection that
+	// does not answer leaves time for another attempt.
+	responseTimeout = 150 * time.Millisecond
+	// maxRetryDelay is the longest delay between two attempts, for the same reason.
+	maxRetryDelay = 25 * time.Millisecond
 )
 
-// NewNotices makes a queue for most notices; over is told, from Run, of each that
-// was handed over.
-func NewNotices(client *Client, most int, over func(identity string), failed func(error)) *Notices {
-	return &Notices{client: client, most: most, over: over, failed: failed, wake: make(chan struct{}, 1)}
+// NewNotices returns a queue for limit notices. Run calls onDelivered for each notice that was
+// delivered, and onError for each failed attempt.
+func NewNotices(client *Client, limit int, onDelivered func(identity string), onError func(error)) *Notices {
+	return &Notices{client: client, limit: limit, onDelivered: onDelivered, onError: onError, wake: make(chan struct{}, 1)}
 }
 
-// Room tells whether a message may be taken that may come to need a notice.
-// Notices of those that were taken are never turned away.
+// Room reports whether a message that may need a notice may be accepted. Notices of messages that
+// were accepted are never rejected.
 func (n *Notices) Room() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.list) < n.most
+	return len(n.queue) < n.limit
 }
 
-// Len is the number of notices that are owed.
+// Len returns the number of notices that are not yet delivered.
 func (n *Notices) Len() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.list)
+	return len(n.queue)
 }
 
-// Add puts one at the end; it never blocks.
+// Add appends a notice to the queue; it never blocks.
 func (n *Notices) Add(identity string, a ledger.Answer) {
 	one := notice{Ref: identity, Result: "dead"}
 	if a.Verdict == ledger.Refused {
@@ -74,7 +74,7 @@
 		one.WaitMs = int64((a.RetryAfter + time.Millisecond - 1) / time.Millisecond)
 	}
 	n.mu.Lock()
-	n.list = append(n.list, one)
+	n.queue = append(n.queue, one)
 	n.mu.Unlock()
 	select {
 	case n.wake <- struct{}{}:
@@ -82,10 +82,10 @@
 	}
 }
 
-// Run hands over until ctx ends.
+// Run delivers notices until ctx ends.
 func (n *Notices) Run(ctx context.Context) {
 	for fails := 0; ; {
-		batch, body := n.batch()
+		batch, body := n.nextBatch()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
@@ -94,92 +94,93 @@
 			}
 			continue
 		}
-		addr, moved := n.client.at()
-		err := n.post(ctx, addr, moved, batch, body)
+		addr, addrChanged := n.client.address()
+		err := n.post(ctx, addr, addrChanged, batch, body)
 		if err == nil {
 			fails = 0
 			n.mu.Lock()
-			n.list = n.list[len(batch):]
-			if len(n.list) == 0 {
-				n.list = nil
+			n.queue = n.queue[len(batch):]
+			if len(n.queue) == 0 {
+				n.queue = nil
 			}
 			n.mu.Unlock()
 			for _, one := range batch {
-				n.over(one.Ref)
+				n.onDelivered(one.Ref)
 			}
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errMoved) {
+		if errors.Is(err, errAddrChanged) {
 			continue
 		}
-		n.failed(err)
-		if errors.Is(err, errSilent) { // that took its time; what came meanwhile waits no longer
+		n.onError(err)
+		if errors.Is(err, errTimeout) { // no delay: the time-out has passed, and notices may have been added meanwhile
 			fails++
 			continue
 		}
-		if errors.Is(err, errEnded) && fails == 0 {
-			fails++ // the connection ended: at once on another one
+		if errors.Is(err, errConnClosed) && fails == 0 {
+			fails++ // a closed connection is replaced at once
 			continue
 		}
-		timer := time.NewTimer(min(backOff(fails), mostRest))
+		timer := time.NewTimer(min(backOff(fails), maxRetryDelay))
 		fails++
 		select {
 		case <-ctx.Done():
-		case <-moved:
+		case <-addrChanged:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// batch is what goes in the next request: the oldest notices, and their lines.
-func (n *Notices) batch() (batch []notice, body []byte) {
+// nextBatch returns the notices for the next request, oldest first, and the request's body.
+func (n *Notices) nextBatch() (nextBatch []notice, body []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, one := range n.list {
-		line, _ := json.Marshal(one) // of checked strings: it cannot fail
-		if len(body)+len(line) >= mostBatch {
+	for _, one := range n.queue {
+		line, _ := json.Marshal(one) // strings and integers only: it cannot fail
+		if len(body)+len(line) >= maxBatchBytes {
 			break
 		}
 		body = append(append(body, line...), '\n')
-		batch = append(batch, one)
+		nextBatch = append(nextBatch, one)
 	}
-	return batch, body
+	return nextBatch, body
 }
 
-// post sends one batch, on a connection of its own: what comes there was asked for by nothing else.
-func (n *Notices) post(ctx context.Context, addr string, moved <-chan struct{}, batch []notice, body []byte) error {
-	l, err := n.client.dial(ctx, addr, answerTime, moved)
+// post sends one batch on a new connection, so that whatever is received there can only be the
+// response to it.
+func (n *Notices) post(ctx context.Context, addr string, addrChanged <-chan struct{}, batch []notice, body []byte) error {
+	l, err := n.client.dial(ctx, addr, responseTimeout, addrChanged)
 	if err != nil {
 		return err
 	}
 	defer l.close()
 	head := fmt.Sprintf("POST /v1/notices HTTP/1.1\r\nHost: %s\r\nContent-Type: application/x-ndjson\r\nContent-Length: %d\r\n\r\n",
 		addr, len(body))
-	if err := l.ask(append([]byte(head), body...)); err != nil {
-		return errEnded
+	if err := l.send(append([]byte(head), body...)); err != nil {
+		return errConnClosed
 	}
-	a := &answer{}
+	a := &response{}
 	a.Prefix = "HTTP/"
 	a.Reset(http1.Limits{Header: 16 << 10, Body: 64 << 10})
 	for !a.Done() {
-		b, err := l.read(ctx, answerTime, moved)
+		b, err := l.read(ctx, responseTimeout, addrChanged)
 		if err != nil {
 			return err
 		}
 		rest, err := a.Feed(b, a)
 		if err != nil {
-			return errors.Join(errEnded, err)
+			return errors.Join(errConnClosed, err)
 		}
-		if a.Done() && l.believe(len(rest) > 0) != lifecycle.Own {
-			return errNobodys
+		if a.Done() && l.attribute(len(rest) > 0) != lifecycle.Own {
+			return errUnsolicited
 		}
 	}
 	if a.status != 204 {
-		return fmt.Errorf("agent: %d notices were answered with %d", len(batch), a.status)
+		return fmt.Errorf("agent: %d notices were answered with status %d", len(batch), a.status)
 	}
 	return nil
 }
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -17,7 +17,7 @@
 	"basaltcross.example/basaltcross/internal/member"
 )
 
-// Target is one host as discovery has it.
+// Target is a host as the discovery service describes it.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -29,7 +29,7 @@
 	BootMs   int64   `json:"boot_ms"`
 }
 
-// List is a list of hosts, or what changed in one.
+// List is a list of hosts: all of them, or those that have changed.
 type List struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
@@ -37,149 +37,149 @@
 }
 
 const (
-	// silence is how long a watch may bring nothing: the agent sends an empty line
-	// every 2 s (PROTOCOL), and half of that is left for one that is late.
-	silence = 3 * time.Second
-	// atOnce is how long the first list of a process is waited for before the one that
-	// it knew from earlier counts: the agent answers at once, but while it is silent.
-	atOnce = time.Second
+	// watchTimeout is the longest time without data on a watch. The agent sends an empty line
+	// every 2 s as a heartbeat (PROTOCOL); half of that is added for one that is late.
+	watchTimeout = 3 * time.Second
+	// firstListTimeout is how long a new process waits for the agent's first list before it uses
+	// the known one. The agent answers at once unless it is unresponsive.
+	firstListTimeout = time.Second
 )
 
-// mostLine bounds one line of a watch, a whole list, in bytes.
-const mostLine = 2 << 20
+// maxListBytes bounds the size of one list of a watch.
+const maxListBytes = 2 << 20
 
-// Watch is the source of the list; directory.Source.
+// Watch is a directory.Source that watches the agent's list of hosts.
 type Watch struct {
 	Client *Client
-	Known  List           // as the relay last held it
-	Told   func(dest int) // of each destination that a list names; may be nil
-	Keep   func(List)     // takes the whole list each time it has changed; may be nil
+	Known  List           // list known at the start, from an earlier run or the configuration
+	Told   func(dest int) // called for each destination that a list names; may be nil
+	Keep   func(List)     // called with the whole list each time it has changed; may be nil
 
-	list map[string]Target
-	rev  int64
-	by   time.Time // the known list counts then at the latest
-	said bool      // a list was reported
+	list       map[string]Target
+	rev        int64
+	fallbackAt time.Time // time at which the known list is reported if none has been received
+	reported   bool      // whether a list has been reported
 }
 
-// Settings of the source: what the platform says stands at once.
+// Settings returns the settings of the source: its lists are authoritative and take effect at once.
 func (w *Watch) Settings() member.SourceSettings {
 	return member.SourceSettings{Name: "discovery", Authoritative: true}
 }
 
-// Origin is the same wherever the agent listens.
+// Origin returns the name of the origin, which does not depend on the agent's address.
 func (w *Watch) Origin() string { return "platform" }
 
-// Follow reports what the watch brings until ctx ends, on top of the known list. That
-// counts by itself only where the agent does not answer at once: what it has counts as
-// told from the first moment on. A watch that ends or falls silent is opened again
-// where it stood.
+// Follow reports the lists of the watch, applied to the known list, until ctx ends. The known list is
+// reported by itself only if the agent does not answer at once, so that the first report already
+// holds the agent's current state. A watch that ends or times out is reopened from its last revision.
 func (w *Watch) Follow(ctx context.Context, to directory.Receiver) {
-	w.list, w.by = map[string]Target{}, time.Now().Add(atOnce)
+	w.list, w.fallbackAt = map[string]Target{}, time.Now().Add(firstListTimeout)
 	if w.rev = w.Known.Rev; len(w.Known.Targets) > 0 {
-		w.change(w.Known.Targets)
+		w.apply(w.Known.Targets)
 	}
 	for fails := 0; ctx.Err() == nil; {
-		addr, moved := w.Client.at()
-		heard, err := w.watch(ctx, addr, moved, to)
+		addr, addrChanged := w.Client.address()
+		heard, err := w.followConn(ctx, addr, addrChanged, to)
 		if heard {
 			fails = 0
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errMoved) {
+		if errors.Is(err, errAddrChanged) {
 			continue
 		}
-		if !errors.Is(err, errEnded) || !heard {
+		if !errors.Is(err, errConnClosed) || !heard {
 			to.ReportError(err)
 		}
-		w.known(to)
+		w.reportKnown(to)
 		timer := time.NewTimer(backOff(fails))
 		fails++
 		select {
 		case <-ctx.Done():
-		case <-moved:
+		case <-addrChanged:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// known has the list from earlier count, if none was reported yet.
-func (w *Watch) known(to directory.Receiver) {
-	if !w.said && len(w.list) > 0 {
+// reportKnown reports the known list if no list has been reported yet.
+func (w *Watch) reportKnown(to directory.Receiver) {
+	if !w.reported && len(w.list) > 0 {
 		w.report(to)
 	}
 }
 
-// watch follows one connection; heard tells whether it brought anything.
-func (w *Watch) watch(ctx context.Context, addr string, moved <-chan struct{},
+// followConn follows the watch over one connection; heard says whether it received anything valid.
+func (w *Watch) followConn(ctx context.Context, addr string, addrChanged <-chan struct{},
 	to directory.Receiver) (heard bool, err error) {
-	within := silence
-	if !w.said {
-		within = max(time.Until(w.by), time.Millisecond)
+	within := watchTimeout
+	if !w.reported {
+		within = max(time.Until(w.fallbackAt), time.Millisecond)
 	}
-	l, err := w.Client.dial(ctx, addr, within, moved)
+	l, err := w.Client.dial(ctx, addr, within, addrChanged)
 	if err != nil {
 		return false, err
 	}
 	defer l.close()
 	request := "GET /discovery/hosts?watch=1&after=" + strconv.FormatInt(w.rev, 10) + " HTTP/1.1\r\nHost: " + addr + "\r\n\r\n"
-	if err := l.ask([]byte(request)); err != nil {
+	if err := l.send([]byte(request)); err != nil {
 		return false, err
 	}
-	a := &answer{}
+	a := &response{}
 	a.Prefix = "HTTP/"
 	a.Reset(http1.Limits{Header: 16 << 10, Body: math.MaxInt})
-	var parts objects
+	var parts objectSplitter
 	a.content = func(b []byte) error {
 		if a.status != 200 {
 			return nil
 		}
-		return parts.feed(b, func(object []byte) error { return w.object(object, to) }, to.ReportAlive)
+		return parts.feed(b, func(object []byte) error { return w.applyList(object, to) }, to.ReportAlive)
 	}
 	for last := time.Now(); ; {
-		left := silence - time.Since(last)
-		if !w.said {
-			left = min(left, time.Until(w.by))
+		left := watchTimeout - time.Since(last)
+		if !w.reported {
+			left = min(left, time.Until(w.fallbackAt))
 		}
-		b, err := l.read(ctx, left, moved)
-		if errors.Is(err, errSilent) && !w.said && time.Since(last) < silence {
-			w.by = last.Add(silence)
-			w.known(to)
+		b, err := l.read(ctx, left, addrChanged)
+		if errors.Is(err, errTimeout) && !w.reported && time.Since(last) < watchTimeout {
+			w.fallbackAt = last.Add(watchTimeout)
+			w.reportKnown(to)
 			continue
 		}
 		if err != nil {
 			return heard, err
 		}
 		last = time.Now()
-		if l.believe(false) != lifecycle.Own {
-			return heard, errNobodys
+		if l.attribute(false) != lifecycle.Own {
+			return heard, errUnsolicited
 		}
 		if _, err := a.Feed(b, a); err != nil {
 			return heard, err
 		}
 		if a.status != 0 && a.status != 200 {
-			return heard, fmt.Errorf("agent: the watch was answered with %d", a.status)
+			return heard, fmt.Errorf("agent: the watch was answered with status %d", a.status)
 		}
 		heard = true
 		if a.Done() {
-			return heard, errEnded
+			return heard, errConnClosed
 		}
 	}
 }
 
-// objects cuts the content of a watch into JSON objects, however they are laid out over
-// lines, and the empty lines between them.
-type objects struct {
+// objectSplitter splits the content of a watch into JSON objects and the empty lines between them.
+// An object may span several lines.
+type objectSplitter struct {
 	buf     []byte
 	depth   int
-	quoted  bool // within a string
-	escaped bool // after a backslash in one
+	quoted  bool // inside a string
+	escaped bool // after a backslash inside a string
 }
 
-// feed takes in a piece; object gets each whole object, alive is told of empty lines.
-func (o *objects) feed(b []byte, object func([]byte) error, alive func()) error {
+// feed processes a piece of the content. It calls object for each complete object and alive for each
+// empty line.
+func (o *objectSplitter) feed(b []byte, object func([]byte) error, alive func()) error {
 	from := 0
 	for i, x := range b {
 		switch {
@@ -195,7 +195,7 @@
 		case o.depth == 0 && (x == ' ' || x == '\t' || x == '\r'):
 			from = i + 1
 		case o.depth == 0:
-			return fmt.Errorf("agent: %q between the lists of a watch", x)
+			return fmt.Errorf("agent: unexpected %q between two lists of the watch", x)
 		case x == '"':
 			o.quoted = true
 		case x == '}' || x == ']':
@@ -209,29 +209,29 @@
 			}
 		}
 	}
-	if o.buf = append(o.buf, b[from:]...); len(o.buf) > mostLine {
-		return fmt.Errorf("agent: a list of over %d bytes", mostLine)
+	if o.buf = append(o.buf, b[from:]...); len(o.buf) > maxListBytes {
+		return fmt.Errorf("agent: a list of the watch is larger than %d bytes", maxListBytes)
 	}
 	return nil
 }
 
-// object takes in one list of the watch. One that is older than what is held says
-// nothing: revisions only grow, and it would bring back hosts that have left.
-func (w *Watch) object(text []byte, to directory.Receiver) error {
+// applyList applies one list of the watch and reports the result. A list with an older revision is
+// ignored: revisions only increase, and it would bring back hosts that have left.
+func (w *Watch) applyList(text []byte, to directory.Receiver) error {
 	var l List
 	if err := json.Unmarshal(text, &l); err != nil {
-		return fmt.Errorf("agent: a list of the watch: %w", err)
+		return fmt.Errorf("agent: invalid list of the watch: %w", err)
 	}
 	if l.Rev < w.rev {
 		to.ReportAlive()
-		w.known(to)
+		w.reportKnown(to)
 		return nil
 	}
 	if l.All {
 		clear(w.list)
 	}
 	w.rev = l.Rev
-	w.change(l.Targets)
+	w.apply(l.Targets)
 	w.report(to)
 	if w.Keep != nil && (l.All || len(l.Targets) > 0) {
 		all := List{Rev: w.rev, All: true, Targets: make([]Target, 0, len(w.list))}
@@ -243,8 +243,8 @@
 	return nil
 }
 
-// change brings the list up to date.
-func (w *Watch) change(targets []Target) {
+// apply adds, replaces or removes targets of the list.
+func (w *Watch) apply(targets []Target) {
 	for _, t := range targets {
 		if t.State == "removed" || t.UID == "" {
 			delete(w.list, t.UID)
@@ -254,9 +254,9 @@
 	}
 }
 
-// report tells the whole list.
+// report reports the whole list.
 func (w *Watch) report(to directory.Receiver) {
-	w.said = true
+	w.reported = true
 	r := member.Report{Fresh: true, Entries: make([]member.Entry, 0, len(w.list))}
 	for _, t := range w.list {
 		if w.Told != nil {
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,14 +1,13 @@
-// Package budget decides how much may cross zones: a budget of bytes over any
-// window of a length, kept by reservations before a send that are settled
-// afterwards. It does no I/O, reads no clock and draws nothing by chance.
+// Package budget limits the traffic between zones: a budget of bytes over any window of a fixed
+// length, enforced by reservations before each send that are settled afterwards. It does no I/O, reads
+// no clock and uses no random numbers.
 //
-// The budget of an installation is shared evenly by fleet size. A relay's part is
-// a bucket that holds the burst and refills so that burst and refill of one
-// window are the budget: over any window, wherever it begins, no more is
-// reserved. What a class may take depends on its worth: the lower part of the
-// bucket is held for worthier ones. Classes that must not be stopped may draw it
-// below empty, down to their overdraft; later traffic pays that back, as the
-// bucket fills from there.
+// The budget of an installation is divided evenly among the relays of the fleet. A relay's share is a
+// token bucket. It holds the burst and refills at such a rate that the burst and the refill of one window
+// add up to the budget, so that no more is reserved over any window, wherever it begins. What a class may
+// take depends on its worth: the lower part of the bucket is held for classes of higher worth. Classes
+// that must not be stopped may draw the bucket below zero, down to their overdraft; later traffic pays
+// that back, since the bucket refills from there.
 package budget
 
 import (
@@ -19,55 +18,55 @@
 	"time"
 )
 
-// Class is what the budget knows of a class of messages.
+// Class describes a class of messages to the budget.
 type Class struct {
 	Worth     float64
-	Overdraft float64 // bytes below empty that this class may draw, of the installation; 0: it waits
-	Limit     float64 // bytes over a window of this class alone, of the installation; 0 for none
+	Overdraft float64 // bytes below zero that the class may draw, for the whole installation; 0 if it must wait
+	Limit     float64 // bytes over a window for this class alone, for the whole installation; 0 for none
 }
 
-// Settings of a budget.
+// Settings are the settings of a budget.
 type Settings struct {
-	Bytes  float64       // over any window, of the installation
-	Window time.Duration // above 0
-	Burst  float64       // share of Bytes that may go at once, above 0 and at most 1
-	Held   float64       // share of the burst held for worthier classes, below 1
-	// First is the size of an exchange, both ways, before any was seen.
+	Bytes  float64       // budget over any window, for the whole installation
+	Window time.Duration // length of the window, above 0
+	Burst  float64       // share of Bytes that may be sent at once, above 0 and at most 1
+	Held   float64       // share of the burst held for classes of higher worth, at least 0 and below 1
+	// First is the assumed size of an exchange, both ways, before any has been measured; bytes.
 	First   float64
 	Classes []Class
 }
 
-// The learning of sizes: a new exchange weighs 1/8, as in RFC 6298's smoothing of
-// round trips, and so many mean deviations are added for safety.
+// Parameters of the size estimate: the weight of a new exchange in the moving averages, as in RFC 6298's
+// smoothing of round-trip times, and the number of mean deviations added to the mean as a margin.
 const (
-	weight = 1.0 / 8
-	safety = 2
+	smoothing  = 1.0 / 8
+	deviations = 2
 )
 
-// bucket holds bytes, and refills.
+// bucket is a token bucket of bytes.
 type bucket struct {
-	size, rate float64 // bytes, bytes a second
-	have       float64
+	size, rate float64 // bytes; bytes per second
+	level      float64
 	at         time.Duration
 }
 
-// newBucket holds the burst, but one exchange at least where the budget has it:
-// the part of one relay out of many may be small.
+// newBucket returns a full bucket of the size of the burst. It holds at least one exchange if the budget
+// covers it, since the share of one relay in a large fleet may be small.
 func newBucket(bytes, burst, least float64, window time.Duration) bucket {
 	size := math.Max(bytes*burst, math.Min(bytes, least))
-	return bucket{size: size, rate: (bytes - size) / window.Seconds(), have: size}
+	return bucket{size: size, rate: (bytes - size) / window.Seconds(), level: size}
 }
 
 func (b *bucket) fill(now time.Duration) {
 	if now > b.at {
-		b.have = math.Min(b.size, b.have+b.rate*(now-b.at).Seconds())
+		b.level = math.Min(b.size, b.level+b.rate*(now-b.at).Seconds())
 		b.at = now
 	}
 }
 
-// until is when the bucket holds so much, math.MaxInt64 for never.
-func (b *bucket) until(now time.Duration, level float64) time.Duration {
-	missing := level - b.have
+// reachedAt returns the time at which the bucket reaches a level; math.MaxInt64 if it never does.
+func (b *bucket) reachedAt(now time.Duration, level float64) time.Duration {
+	missing := level - b.level
 	switch {
 	case missing <= 0:
 		return now
@@ -77,44 +76,44 @@
 	return now + time.Duration(math.Ceil(missing/b.rate*1e9))
 }
 
-// sizes learns how large exchanges are.
-type sizes struct{ mean, dev float64 }
+// sizeEstimate estimates the size of exchanges: moving averages of size and of deviation.
+type sizeEstimate struct{ mean, dev float64 }
 
-func (s *sizes) add(n float64) {
+func (s *sizeEstimate) add(n float64) {
 	if s.mean == 0 {
 		s.mean, s.dev = n, n/2
 		return
 	}
-	s.dev += weight * (math.Abs(n-s.mean) - s.dev)
-	s.mean += weight * (n - s.mean)
+	s.dev += smoothing * (math.Abs(n-s.mean) - s.dev)
+	s.mean += smoothing * (n - s.mean)
 }
 
-// Grant is a reservation.
+// Grant is a reservation of bytes for one exchange.
 type Grant struct {
 	class, partner int
 	bytes          float64
-	over           bool // drawn below empty
+	overdrawn      bool // the bucket was drawn below zero
 }
 
-// Book is one relay's part of a budget. It is not safe for concurrent use.
+// Book is one relay's share of a budget. It is not safe for concurrent use.
 type Book struct {
-	set   Settings
-	fleet int
-	all   bucket
-	own   []bucket // by class, where it has a limit
-	floor []float64
-	sizes map[[2]int]*sizes
-	large []float64 // by class: estimate of the largest partner seen
-	now   time.Duration
+	settings Settings
+	fleet    int
+	total    bucket
+	byClass  []bucket // bucket of each class that has a limit of its own
+	floors   []float64
+	sizes    map[[2]int]*sizeEstimate
+	largest  []float64 // by class: estimate for the partner with the largest exchanges
+	now      time.Duration
 
 	// Totals of this relay, bytes.
-	Reserved  float64 // out now
-	Spent     float64 // settled
-	Overdrawn float64 // granted below empty
-	Beyond    float64 // by which settled exchanges were larger than reserved
+	Reserved  float64 // reserved and not yet settled
+	Spent     float64 // transferred by settled exchanges
+	Overdrawn float64 // reserved below zero
+	Beyond    float64 // bytes of settled exchanges in excess of their reservations
 }
 
-// New makes the book of one relay out of a fleet.
+// New returns the share of one relay in a fleet of the given size.
 func New(s Settings, fleet int) (*Book, error) {
 	switch {
 	case s.Bytes <= 0 || s.Window <= 0:
@@ -128,188 +127,189 @@
 	case s.First <= 0:
 		return nil, fmt.Errorf("budget: first size is %v, must be above 0", s.First)
 	}
-	b := &Book{set: s, sizes: map[[2]int]*sizes{}, large: make([]float64, len(s.Classes))}
-	for i := range b.large {
-		b.large[i] = s.First
+	b := &Book{settings: s, sizes: map[[2]int]*sizeEstimate{}, largest: make([]float64, len(s.Classes))}
+	for i := range b.largest {
+		b.largest[i] = s.First
 	}
-	b.share(fleet)
+	b.resize(fleet)
 	return b, nil
 }
 
-// share sizes the buckets for a fleet; what they held stays, as far as it fits.
-func (b *Book) share(fleet int) {
+// resize sets the sizes of the buckets for a fleet. They keep their levels, as far as these fit.
+func (b *Book) resize(fleet int) {
 	b.fleet = fleet
 	n := float64(fleet)
 	resize := func(k *bucket, bytes float64) {
 		was := *k
-		*k = newBucket(bytes/n, b.set.Burst, b.set.First, b.set.Window)
+		*k = newBucket(bytes/n, b.settings.Burst, b.settings.First, b.settings.Window)
 		if k.at = b.now; was.size > 0 {
-			k.have = math.Min(was.have, k.size)
+			k.level = math.Min(was.level, k.size)
 		}
 	}
-	resize(&b.all, b.set.Bytes)
-	if b.own == nil {
-		b.own = make([]bucket, len(b.set.Classes))
+	resize(&b.total, b.settings.Bytes)
+	if b.byClass == nil {
+		b.byClass = make([]bucket, len(b.settings.Classes))
 	}
-	// The worthiest may empty the bucket; the floor of the others rises evenly to
-	// the held part of the burst, by the rank of their worth.
+	// The class of the highest worth may empty the bucket. The floors of the others rise evenly with
+	// their rank by worth, up to the held share of the burst.
 	var worths []float64
-	for i, c := range b.set.Classes {
+	for i, c := range b.settings.Classes {
 		worths = append(worths, c.Worth)
 		if c.Limit > 0 {
-			resize(&b.own[i], c.Limit)
+			resize(&b.byClass[i], c.Limit)
 		}
 	}
 	slices.SortFunc(worths, func(x, y float64) int { return cmp.Compare(y, x) })
 	worths = slices.Compact(worths)
-	b.floor = b.floor[:0]
-	for _, c := range b.set.Classes {
+	b.floors = b.floors[:0]
+	for _, c := range b.settings.Classes {
 		rank := float64(slices.Index(worths, c.Worth))
-		b.floor = append(b.floor, b.all.size*b.set.Held*rank/math.Max(1, float64(len(worths)-1)))
+		b.floors = append(b.floors, b.total.size*b.settings.Held*rank/math.Max(1, float64(len(worths)-1)))
 	}
 }
 
-// Fleet says how many relays share the budget now. A fleet that is thought too
-// small would overspend: tell deaths late and joins early.
+// Fleet sets the number of relays that share the budget. Too small a number would overspend the budget,
+// so callers should report failed relays late and new ones early.
 func (b *Book) Fleet(now time.Duration, n int) {
-	if b.tick(now); n >= 1 && n != b.fleet {
-		b.share(n)
+	if b.advance(now); n >= 1 && n != b.fleet {
+		b.resize(n)
 	}
 }
 
-// Lower changes the budget at a reload. What is spent stays spent: a bucket that
-// holds more than it may loses the rest.
+// Lower changes the budget, up or down, at a reload. Bytes spent stay spent; a bucket that holds more
+// than its new size loses the excess.
 func (b *Book) Lower(now time.Duration, bytes float64) {
-	if b.tick(now); bytes > 0 {
-		b.set.Bytes = bytes
-		b.share(b.fleet)
+	if b.advance(now); bytes > 0 {
+		b.settings.Bytes = bytes
+		b.resize(b.fleet)
 	}
 }
 
-// tick takes in the time; a clock that runs backwards stands still.
-func (b *Book) tick(now time.Duration) {
+// advance refills the buckets up to now. A time before the latest one counts as the latest one.
+func (b *Book) advance(now time.Duration) {
 	b.now = max(b.now, now)
-	b.all.fill(b.now)
-	for i := range b.own {
-		if b.set.Classes[i].Limit > 0 {
-			b.own[i].fill(b.now)
+	b.total.fill(b.now)
+	for i := range b.byClass {
+		if b.settings.Classes[i].Limit > 0 {
+			b.byClass[i].fill(b.now)
 		}
 	}
 }
 
-// Estimate is how large the next exchange is taken to be, bytes both ways.
+// Estimate returns the estimated size of the next exchange, both ways, in bytes.
 func (b *Book) Estimate(class, partner int) float64 {
 	if s := b.sizes[[2]int{class, partner}]; s != nil && s.mean > 0 {
-		return s.mean + safety*s.dev
+		return s.mean + deviations*s.dev
 	}
-	return b.large[class]
+	return b.largest[class]
 }
 
-// Toll is what a class may do now: an exchange takes Cost, and the bucket may not
-// sink below Floor by it, for one short of time not below Urgent; nor Own below 0.
+// Toll is what a class may send now. An exchange takes Cost; it must not draw the bucket below Floor
+// (below Urgent if its message is short of time), nor the class's own bucket, which holds Own, below 0.
 type Toll struct {
 	Cost, Floor, Urgent, Own float64
-	Again                    time.Duration // when Floor lets one pass; math.MaxInt64 for never
+	Again                    time.Duration // time at which Floor and Own allow an exchange; math.MaxInt64 for never
 }
 
-// Tolls tell what the bucket holds and what each class may draw.
+// Tolls returns the level of the bucket and what each class may draw from it.
 func (b *Book) Tolls(now time.Duration) (left float64, classes []Toll) {
-	b.tick(now)
-	for i, c := range b.set.Classes {
-		t := Toll{Cost: b.large[i], Floor: b.lowest(i), Own: math.Inf(1)}
+	b.advance(now)
+	for i, c := range b.settings.Classes {
+		t := Toll{Cost: b.largest[i], Floor: b.minLevel(i), Own: math.Inf(1)}
 		t.Urgent = math.Min(0, t.Floor)
-		t.Again = b.all.until(b.now, t.Floor+t.Cost)
+		t.Again = b.total.reachedAt(b.now, t.Floor+t.Cost)
 		if c.Limit > 0 {
-			t.Own = b.own[i].have
-			t.Again = max(t.Again, b.own[i].until(b.now, t.Cost))
+			t.Own = b.byClass[i].level
+			t.Again = max(t.Again, b.byClass[i].reachedAt(b.now, t.Cost))
 		}
 		classes = append(classes, t)
 	}
-	return b.all.have, classes
+	return b.total.level, classes
 }
 
-// lowest is the level to which a class may draw the bucket.
-func (b *Book) lowest(class int) float64 {
-	if o := b.set.Classes[class].Overdraft; o > 0 {
+// minLevel returns the level down to which a class may draw the bucket.
+func (b *Book) minLevel(class int) float64 {
+	if o := b.settings.Classes[class].Overdraft; o > 0 {
 		return -o / float64(b.fleet)
 	}
-	return b.floor[class]
+	return b.floors[class]
 }
 
-// Reserve books a send that the decision module made by the tolls. It never
-// refuses: there was room, and what is sent is sent.
+// Reserve reserves bytes for a send that package choice has decided on by the allowances. It never
+// refuses: the allowances had room, and the send has already been made.
 func (b *Book) Reserve(now time.Duration, class, partner int) Grant {
-	b.tick(now)
-	g := Grant{class: class, partner: partner, bytes: b.large[class]}
-	b.all.have -= g.bytes
-	b.own[class].have -= g.bytes
-	if g.over = b.all.have < 0; g.over {
-		b.Overdrawn += math.Min(g.bytes, -b.all.have)
+	b.advance(now)
+	g := Grant{class: class, partner: partner, bytes: b.largest[class]}
+	b.total.level -= g.bytes
+	b.byClass[class].level -= g.bytes
+	if g.overdrawn = b.total.level < 0; g.overdrawn {
+		b.Overdrawn += math.Min(g.bytes, -b.total.level)
 	}
 	b.Reserved += g.bytes
 	return g
 }
 
-// Settle ends a reservation by the bytes that passed. What it had too much
-// comes back; what was too little is a debt that the bucket pays first.
+// Settle ends a reservation with the bytes that were transferred. A surplus returns to the bucket; a
+// deficit is taken from it. The size of an exchange that was cut off (whole is false) does not enter the
+// estimate unless it exceeds the reservation.
 func (b *Book) Settle(now time.Duration, g Grant, passed int64, whole bool) {
-	b.tick(now)
+	b.advance(now)
 	n := float64(passed)
 	b.Reserved -= g.bytes
 	b.Spent += n
-	b.all.have = math.Min(b.all.size, b.all.have+g.bytes-n)
-	b.own[g.class].have += g.bytes - n
-	if size := b.own[g.class].size; size > 0 {
-		b.own[g.class].have = math.Min(b.own[g.class].have, size)
+	b.total.level = math.Min(b.total.size, b.total.level+g.bytes-n)
+	b.byClass[g.class].level += g.bytes - n
+	if size := b.byClass[g.class].size; size > 0 {
+		b.byClass[g.class].level = math.Min(b.byClass[g.class].level, size)
 	}
 	b.Beyond += math.Max(0, n-g.bytes)
 	if !whole && n < g.bytes {
-		return // cut off: its size says nothing
+		return // cut off: its size is not representative
 	}
 	k := [2]int{g.class, g.partner}
 	s := b.sizes[k]
 	if s == nil {
-		s = &sizes{}
+		s = &sizeEstimate{}
 		b.sizes[k] = s
 	}
 	s.add(n)
-	// Tolls count in the largest partner's exchanges: no mix of partners within
-	// one step takes more than was told.
-	b.large[g.class] = 0
+	// Allowances use the estimate for the partner with the largest exchanges, so that no mix of partners
+	// within one step takes more than was allowed.
+	b.largest[g.class] = 0
 	for k, s := range b.sizes {
 		if k[0] == g.class {
-			b.large[g.class] = math.Max(b.large[g.class], s.mean+safety*s.dev)
+			b.largest[g.class] = math.Max(b.largest[g.class], s.mean+deviations*s.dev)
 		}
 	}
 }
 
-// Levels are what the buckets hold, that of all first, for Resume.
+// Levels returns the levels of the buckets for Resume: the shared one, then those of the classes.
 func (b *Book) Levels() []float64 {
-	out := []float64{b.all.have}
-	for _, k := range b.own {
-		out = append(out, k.have)
+	out := []float64{b.total.level}
+	for _, k := range b.byClass {
+		out = append(out, k.level)
 	}
 	return out
 }
 
-// Resume goes on from the levels of an earlier run, so long ago: what was spent then
-// stays spent. Levels of other classes than now count for the bucket of all alone.
+// Resume restores the levels of an earlier run, saved the time ago before now, so that bytes spent then
+// stay spent. If the number of classes differs, only the shared bucket is restored.
 func (b *Book) Resume(levels []float64, ago time.Duration) {
 	resume := func(k *bucket, have float64) {
-		k.have = math.Min(k.size, have+k.rate*max(0, ago).Seconds())
+		k.level = math.Min(k.size, have+k.rate*max(0, ago).Seconds())
 	}
 	if len(levels) > 0 {
-		resume(&b.all, levels[0])
+		resume(&b.total, levels[0])
 	}
-	for i := range b.own {
-		if len(levels) == len(b.own)+1 && b.set.Classes[i].Limit > 0 {
-			resume(&b.own[i], levels[i+1])
+	for i := range b.byClass {
+		if len(levels) == len(b.byClass)+1 && b.settings.Classes[i].Limit > 0 {
+			resume(&b.byClass[i], levels[i+1])
 		}
 	}
 }
 
-// Have is what the relay's bucket holds, bytes; below 0 while it is overdrawn.
+// Have returns the level of the relay's bucket in bytes; below 0 while it is overdrawn.
 func (b *Book) Have(now time.Duration) float64 {
-	b.tick(now)
-	return b.all.have
+	b.advance(now)
+	return b.total.level
 }
--- a/internal/obs/obs.go
+++ b/internal/obs/obs.go
@@ -1,5 +1,5 @@
-// Package obs is what operators see from outside: structured logs, bounded in
-// rate, and metrics on a loopback listener.
+// Package obs provides the observability of a relay: structured logs with a limited rate, and
+// metrics, reports and profiles on a loopback listener.
 package obs
 
 import (
@@ -23,7 +23,8 @@
 	"basaltcross.example/basaltcross/internal/zone"
 )
 
-// Logger writes structured lines: JSON, or for people.
+// Logger returns a logger that writes structured lines to w: JSON, or human-readable text if format is
+// "console".
 func Logger(w io.Writer, level, format string) (zerolog.Logger, error) {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -35,52 +36,51 @@
 	return zerolog.New(w).Level(l).With().Timestamp().Logger(), nil
 }
 
-// outcomeNames by choice.Outcome.
+// outcomeNames are the values of the label outcome, indexed by choice.Outcome.
 var outcomeNames = [...]string{"served", "error", "refused", "timeout", "no_connection", "reset", "cancelled",
 	"not_sent"}
 
-// Relay collects the metrics of one relay and writes its log. It is safe for
-// concurrent use.
+// Relay collects the metrics of a relay and writes its log. It is safe for concurrent use.
 type Relay struct {
 	log      zerolog.Logger
 	registry *prometheus.Registry
 	classes  []string
 
-	taken      []prometheus.Counter
-	answers    [][5]prometheus.Observer
-	attempts   [][len(outcomeNames)]prometheus.Observer
-	notTaken   *prometheus.CounterVec
-	closed     *prometheus.CounterVec
-	lists      *prometheus.CounterVec
-	strange    prometheus.Counter
-	shakes     *prometheus.CounterVec
-	expiry     *prometheus.GaugeVec
-	warn       time.Duration
-	reports    map[string]func() any // by path
-	dialed     *prometheus.CounterVec
-	unresolved prometheus.Counter
-	gauges     map[string]prometheus.Gauge
-
-	mu    sync.Mutex
-	lines map[string]*allowance
+	taken         []prometheus.Counter
+	answers       [][5]prometheus.Observer
+	attempts      [][len(outcomeNames)]prometheus.Observer
+	notTaken      *prometheus.CounterVec
+	closed        *prometheus.CounterVec
+	listReadings  *prometheus.CounterVec
+	unsolicited   prometheus.Counter
+	handshakes    *prometheus.CounterVec
+	expiry        *prometheus.GaugeVec
+	expiryWarning time.Duration
+	reports       map[string]func() any // reports served as JSON, by path
+	dialed        *prometheus.CounterVec
+	unresolved    prometheus.Counter
+	gauges        map[string]prometheus.Gauge
+
+	mu       sync.Mutex
+	limiters map[string]*logLimiter
 }
 
-// allowance bounds the lines of one cause: so many at once, one more a second.
-type allowance struct {
-	left    float64
+// logLimiter is a token bucket for the log lines of one cause: lineBurst lines at once, then one a second.
+type logLimiter struct {
+	tokens  float64
 	at      time.Time
 	dropped int
 }
 
-// burst lines of one cause at once; most causes remembered.
+// Limits of the log: lineBurst lines of one cause at once, and maxCauses causes remembered.
 const (
-	burst = 20
-	most  = 1024
+	lineBurst = 20
+	maxCauses = 1024
 )
 
-// NewRelay registers the metrics for the classes named.
+// NewRelay returns a Relay and registers its metrics, for the given names of classes.
 func NewRelay(log zerolog.Logger, classes []string) *Relay {
-	r := &Relay{log: log, registry: prometheus.NewRegistry(), classes: classes, lines: map[string]*allowance{},
+	r := &Relay{log: log, registry: prometheus.NewRegistry(), classes: classes, limiters: map[string]*logLimiter{},
 		gauges: map[string]prometheus.Gauge{}}
 	r.registry.MustRegister(collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -114,17 +114,17 @@
 	}
 	r.notTaken = counter("messages_not_taken_total", "Messages turned away at the door.", "reason")
 	r.closed = counter("mqtt_closed_total", "Connections ended by the relay.", "code")
-	r.lists = counter("list_readings_total", "Readings of the endpoint list.", "result")
+	r.listReadings = counter("list_readings_total", "Readings of the endpoint list.", "result")
 	r.dialed = counter("connections_total", "Connections begun to endpoints with several addresses.", "family", "result")
-	r.shakes = counter("tls_handshakes_total", "TLS handshakes by result.", "result")
+	r.handshakes = counter("tls_handshakes_total", "TLS handshakes by result.", "result")
 	r.expiry = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "basaltcross", Name: "certificate_expiry_timestamp_seconds",
 		Help: "When the certificate in force ends, Unix time."}, []string{"file"})
 	r.registry.MustRegister(r.expiry)
-	r.strange = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "basaltcross", Name: "unsolicited_bytes_total",
+	r.unsolicited = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "basaltcross", Name: "unsolicited_bytes_total",
 		Help: "Times that a partner sent bytes without a request."})
 	r.unresolved = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "basaltcross", Name: "names_failed_total",
 		Help: "Names of endpoints that could not be looked up; what was known serves on."})
-	r.registry.MustRegister(r.strange, r.unresolved)
+	r.registry.MustRegister(r.unsolicited, r.unresolved)
 	for name, help := range map[string]string{
 		"messages_held": "Messages taken and not yet answered.", "attempts_out": "Calls to partners that are out.",
 		"identities": "Identities kept.", "batch_events": "Events of the core's last batch.",
@@ -141,7 +141,7 @@
 	return r
 }
 
-// Taken, Answered, Attempted, Log and Gauge are the core's observer.
+// Taken, Answered, Attempted, Gauge and Log implement the core's observer.
 
 func (r *Relay) Taken(class int) { r.taken[class].Inc() }
 
@@ -160,10 +160,10 @@
 	r.gauges["batch_events"].Set(float64(batch))
 }
 
-// Log writes what the module has to say.
-func (r *Relay) Log(text string) { r.line(zerolog.InfoLevel, "module", text) }
+// Log writes a log line of package choice.
+func (r *Relay) Log(text string) { r.logLimited(zerolog.InfoLevel, "module", text) }
 
-// Front, Closed, NotTaken and Logf are the MQTT front's observer.
+// Front, Closed, NotTaken and Logf implement the MQTT front's observer.
 
 func (r *Relay) Front(connections, sessions int, partial int64) {
 	r.gauges["mqtt_connections"].Set(float64(connections))
@@ -175,102 +175,102 @@
 
 func (r *Relay) NotTaken(reason string) {
 	r.notTaken.WithLabelValues(reason).Inc()
-	r.line(zerolog.WarnLevel, "not taken", reason)
+	r.logLimited(zerolog.WarnLevel, "not taken", reason)
 }
 
-// Info writes one line of the program's own.
+// Info writes a line of level info without a limit on its rate.
 func (r *Relay) Info(text string) { r.log.Info().Msg(text) }
 
 func (r *Relay) Logf(format string, args ...any) {
-	r.line(zerolog.WarnLevel, format, fmt.Sprintf(format, args...))
+	r.logLimited(zerolog.WarnLevel, format, fmt.Sprintf(format, args...))
 }
 
-// Push is the Web Push front's observer.
+// Push implements the Web Push front's observer: it sets that front's gauges.
 func (r *Relay) Push(connections, messages, boxes int) {
 	r.gauges["webpush_connections"].Set(float64(connections))
 	r.gauges["webpush_messages"].Set(float64(messages))
 	r.gauges["webpush_receipt_subscriptions"].Set(float64(boxes))
 }
 
-// Handshake counts TLS handshakes of clients.
+// Handshake counts a TLS handshake with a client; err is nil if it succeeded.
 func (r *Relay) Handshake(err error) {
 	if err == nil {
-		r.shakes.WithLabelValues("ok").Inc()
+		r.handshakes.WithLabelValues("ok").Inc()
 		return
 	}
-	r.shakes.WithLabelValues("failed").Inc()
-	r.line(zerolog.DebugLevel, "handshake", err.Error())
+	r.handshakes.WithLabelValues("failed").Inc()
+	r.logLimited(zerolog.DebugLevel, "handshake", err.Error())
 }
 
-// HandshakeOut counts failed TLS handshakes with partners.
+// HandshakeOut counts a failed TLS handshake with a partner's host.
 func (r *Relay) HandshakeOut(host string, err error) {
-	r.shakes.WithLabelValues("failed_with_partner").Inc()
-	r.line(zerolog.WarnLevel, "partner handshake", host+": "+err.Error())
+	r.handshakes.WithLabelValues("failed_with_partner").Inc()
+	r.logLimited(zerolog.WarnLevel, "partner handshake", host+": "+err.Error())
 }
 
-// Warn sets how far ahead the end of a certificate is warned of.
-func (r *Relay) Warn(ahead time.Duration) { r.warn = ahead }
+// Warn sets how long before the expiry of a certificate a warning is logged.
+func (r *Relay) Warn(ahead time.Duration) { r.expiryWarning = ahead }
 
-// Certificate tells of a certificate taken into force, or why one was not.
+// Certificate reports that a certificate has been loaded, or why it could not be.
 func (r *Relay) Certificate(file string, expires time.Time, err error) {
 	if !expires.IsZero() {
 		r.expiry.WithLabelValues(file).Set(float64(expires.Unix()))
 	}
 	switch {
 	case err != nil:
-		r.line(zerolog.ErrorLevel, "certificate", "not taken, the one before stays in force: "+err.Error())
-	case !expires.IsZero() && time.Until(expires) < r.warn:
-		r.line(zerolog.WarnLevel, "certificate", fmt.Sprintf("%s ends at %v", file, expires.UTC()))
+		r.logLimited(zerolog.ErrorLevel, "certificate", "could not be loaded, the previous one stays in force: "+err.Error())
+	case !expires.IsZero() && time.Until(expires) < r.expiryWarning:
+		r.logLimited(zerolog.WarnLevel, "certificate", fmt.Sprintf("%s expires at %v", file, expires.UTC()))
 	default:
-		r.line(zerolog.InfoLevel, "certificate", file+" is in force")
+		r.logLimited(zerolog.InfoLevel, "certificate", file+" is in force")
 	}
 }
 
-// Unsolicited counts bytes that a partner sent without a request.
+// Unsolicited counts a case of bytes that a partner's host sent without a request.
 func (r *Relay) Unsolicited(host string) {
-	r.strange.Inc()
-	r.line(zerolog.WarnLevel, "unsolicited", "bytes without a request from "+host)
+	r.unsolicited.Inc()
+	r.logLimited(zerolog.WarnLevel, "unsolicited", "bytes without a request from "+host)
 }
 
-// Listed is told of each list in force.
+// Listed counts an endpoint list that was applied, and sets the number of its endpoints.
 func (r *Relay) Listed(endpoints int) {
-	r.lists.WithLabelValues("good").Inc()
+	r.listReadings.WithLabelValues("good").Inc()
 	r.gauges["endpoints"].Set(float64(endpoints))
 }
 
-// Unlisted is told of a source that failed, or of an entry that cannot be used;
-// what was good stands.
+// Unlisted counts and logs a source that failed or an entry that cannot be used; the valid part of the
+// list stays in force.
 func (r *Relay) Unlisted(source string, err error) {
-	r.lists.WithLabelValues("broken").Inc()
-	r.line(zerolog.ErrorLevel, "list "+source, err.Error())
+	r.listReadings.WithLabelValues("broken").Inc()
+	r.logLimited(zerolog.ErrorLevel, "list "+source, err.Error())
 }
 
-// Fleet is told of the number of relays that is believed.
+// Fleet sets the estimated number of relays in the fleet.
 func (r *Relay) Fleet(size int) { r.gauges["fleet_relays"].Set(float64(size)) }
 
-// line writes one line of a cause within its allowance; how many were left out
-// stands in the next.
-func (r *Relay) line(level zerolog.Level, cause, text string) {
+// logLimited writes a log line unless its cause has exceeded its rate. The next line that is written
+// holds the number of lines dropped before it.
+func (r *Relay) logLimited(level zerolog.Level, cause, text string) {
 	if level < r.log.GetLevel() {
 		return
 	}
 	now := time.Now()
 	r.mu.Lock()
-	a := r.lines[cause]
+	a := r.limiters[cause]
 	if a == nil {
-		if len(r.lines) >= most {
-			clear(r.lines)
+		if len(r.limiters) >= maxCauses {
+			clear(r.limiters)
 		}
-		a = &allowance{left: burst, at: now}
-		r.lines[cause] = a
+		a = &logLimiter{tokens: lineBurst, at: now}
+		r.limiters[cause] = a
 	}
-	a.left, a.at = min(burst, a.left+now.Sub(a.at).Seconds()), now
-	if a.left < 1 {
+	a.tokens, a.at = min(lineBurst, a.tokens+now.Sub(a.at).Seconds()), now
+	if a.tokens < 1 {
 		a.dropped++
 		r.mu.Unlock()
 		return
 	}
-	a.left--
+	a.tokens--
 	dropped := a.dropped
 	a.dropped = 0
 	r.mu.Unlock()
@@ -281,7 +281,8 @@
 	e.Str("cause", cause).Msg(text)
 }
 
-// Serve answers /metrics, /healthz and the profiles on a loopback address until ctx ends.
+// Serve serves /metrics, /healthz, the reports and the profiles on a loopback address until ctx ends. It
+// returns the listener's address.
 func (r *Relay) Serve(ctx context.Context, addr string) (net.Addr, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -311,7 +312,7 @@
 	return l.Addr(), nil
 }
 
-// Serves answers a path of the metrics listener with a report as JSON.
+// Serves adds a path to the metrics listener that returns a report as JSON.
 func (r *Relay) Serves(path string, report func() any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -321,17 +322,16 @@
 	r.reports[path] = report
 }
 
-// Dialed counts connections to endpoints with several addresses.
+// Dialed counts a connection attempt to an endpoint with several addresses.
 func (r *Relay) Dialed(family, result string) { r.dialed.WithLabelValues(family, result).Inc() }
 
-// Unresolved is told of a name that could not be looked up.
+// Unresolved counts and logs a name that could not be looked up.
 func (r *Relay) Unresolved(name string, err error) {
 	r.unresolved.Inc()
-	r.line(zerolog.WarnLevel, "resolver", err.Error())
+	r.logLimited(zerolog.WarnLevel, "resolver", err.Error())
 }
 
-// Zones registers the counters of traffic between zones, and serves their
-// report at /zones.
+// Zones registers the counters of traffic between zones and serves their report at /zones.
 func (r *Relay) Zones(t *zone.Table, zones []string, report func() any) {
 	r.Serves("/zones", report)
 	r.registry.MustRegister(&zoneCollector{t, r.classes, zones,
@@ -340,6 +340,7 @@
 		prometheus.NewDesc("basaltcross_zone_calls_total", "Attempts by zone of the endpoint.", []string{"class", "zone"}, nil)})
 }
 
+// zoneCollector is a prometheus.Collector for a table of traffic between zones.
 type zoneCollector struct {
 	table          *zone.Table
 	classes, zones []string
--- a/internal/platform/bounds.go
+++ b/internal/platform/bounds.go
@@ -7,70 +7,75 @@
 	"basaltcross.example/basaltcross/internal/addr"
 )
 
-// Figures of the platform's protocol.
+// Limits and times that follow from the platform's protocol.
 const (
-	bodyBytes   = 64 << 10 // longest body
-	headerBytes = 16 << 10
-	// A client waits so long for its answer (PROTOCOL); a request that is not whole
-	// within twice that has lost its client.
-	clientWaits = 400 * time.Millisecond
-	// A request has its response within this whatever its records wait for: half of what its
-	// client waits, for the relay may be held up for 0.15 s before it writes (STANDING).
-	respondWithin = clientWaits / 2
-	// A message that was taken and has surely not run costs this share of its worth where
-	// it is given up before that share of its time (STANDING).
-	takenBack, takenBackBefore = 0.3, 0.7
-	// A connection that says nothing is owed its close 3 s after it came up, and one
-	// without an open request may be closed after 2 s (DAYS).
-	silent = 2*time.Second + 100*time.Millisecond
-	// Nor may a request that does not end take longer than 3 s since its connection came up.
-	whole = 2500 * time.Millisecond
-	// A client that reads the end closes at once; one that does not is not waited for.
-	linger = time.Second
+	maxBodyBytes   = 64 << 10 // bytes of the longest request or response body
+	maxHeaderBytes = 16 << 10
+	// How long a client waits for its answer (PROTOCOL). The client of a request that is not
+	// complete within twice that time has given up.
+	clientTimeout = 400 * time.Millisecond
+	// Longest time to the response of a request, even if its journal records are not written
+	// yet: half of what its client waits, since the relay may be stalled for 0.15 s before it
+	// writes the response (STANDING).
+	responseTimeout = clientTimeout / 2
+	// A message that was accepted and has certainly not run costs the share shedPenaltyCost of
+	// its worth if it is given up before the share shedPenaltyBefore of its time (STANDING).
+	shedPenaltyCost, shedPenaltyBefore = 0.3, 0.7
+	// Idle time after which a connection is closed: one that sends nothing must be closed
+	// within 3 s of its start, and one without an open request may be closed after 2 s (DAYS).
+	idleTimeout = 2*time.Second + 100*time.Millisecond
+	// Longest time for reading a request: one that never completes must be closed within 3 s of
+	// the start of its connection.
+	requestReadTimeout = 2500 * time.Millisecond
+	// Longest wait for the client's close on a half-closed connection. A client that reads the
+	// end of the stream closes at once; one that does not is not worth waiting for.
+	lingerTimeout = time.Second
 )
 
-// Bounds are what a node allows itself, each from the limits and settings.
+// Bounds are the resource limits of a node, derived from the machine's limits and the settings.
 type Bounds struct {
 	Procs       int   // GOMAXPROCS
-	Memory      int64 // bytes at which the runtime collects harder
-	Files       int   // highest descriptor
-	Clients     int   // connections of clients
-	Lingering   int   // further ones that the relay has shut and the client has not
-	Kept        int   // of them between two requests
-	Hosts       int   // connections to hosts, idle ones included
-	Held        int   // messages held
-	Identities  int   // of messages held and ended
-	Notices     int   // owed to the platform
-	Disk        int64 // bytes of the journal
-	List        int64 // bytes of the list of hosts in the same folder
-	WriteBuffer int   // bytes waiting for one client
+	Memory      int64 // the runtime's soft limit, bytes
+	Files       int   // file descriptors
+	Clients     int   // open connections of clients
+	Lingering   int   // further connections that the relay has half-closed and the client has not closed
+	Kept        int   // client connections kept open between two requests
+	Hosts       int   // connections to hosts, including idle ones
+	Held        int   // messages held at once
+	Identities  int   // identities remembered, of messages held and ended
+	Notices     int   // notices not yet delivered to the platform
+	Disk        int64 // size of the journal, bytes
+	List        int64 // size of the saved host list in the same folder, bytes
+	WriteBuffer int   // unsent bytes per client
 	Keep        addr.PoolSettings
 }
 
-// reserved descriptors: standard streams, the runtime's poller with its event descriptor, the
-// journal's segments, the agent's connections, the runtime.
-const reserved = 40
+// reservedDescriptors is the number of file descriptors kept for the standard streams, the
+// runtime's poller with its event descriptor, the journal's segments, the connections to the
+// agent, and the runtime.
+const reservedDescriptors = 40
 
-// BoundsOf derives them. Descriptors: what is not reserved goes half to clients, who
-// may use a third of all for requests, and half to hosts: a slot each, and as many
-// idle connections as are left. Memory: the runtime's soft limit leaves a quarter to
-// what it does not count and to the files of the folder.
+// BoundsOf derives the bounds of a node from its configuration. Of the descriptors that are not
+// reserved, half go to clients, who may use a third of all descriptors for requests, and half to
+// hosts: one per call in flight, the rest for idle connections. The runtime's soft memory limit
+// leaves a quarter of the memory for what the runtime does not count and for the files of the
+// state folder.
 func BoundsOf(c *Config) Bounds {
 	l, s := c.Limits, &c.Settings
-	free := l.Sockets - reserved
+	free := l.Sockets - reservedDescriptors
 	b := Bounds{Procs: max(1, int(math.Ceil(l.Cores))), Files: l.Sockets, Disk: int64(l.DiskMB * (1 << 20)),
 		Memory: int64(l.MemoryMB)<<20*3/4 - int64(l.DiskMB*(1<<20)), WriteBuffer: 64 << 10}
-	b.List = b.Disk / 16 // twice that while a new one takes the old one's place
+	b.List = b.Disk / 16 // doubled while a new file replaces the old one
 	b.Disk -= 2 * b.List
 	b.Memory = max(b.Memory, int64(l.MemoryMB)<<20/2)
 	b.Clients = free * 4 / 9
 	b.Lingering = free / 9
-	b.Kept = l.Sockets / 4 // of the third that clients may use, so that some of it is always free
+	b.Kept = l.Sockets / 4 // less than the third that clients may use, so that some of it stays free
 	b.Hosts = free - b.Clients - b.Lingering
 	b.Held = s.MaxHeld
 	b.Identities = max(1024, 48*l.MemoryMB)
 	b.Notices = max(1024, 16*l.MemoryMB)
-	idle := s.ConnIdle - s.ConnIdle/8 // the margin before the host's own end
+	idle := s.ConnIdle - s.ConnIdle/8 // margin before the host closes the connection itself
 	b.Keep = addr.PoolSettings{IdleTimeout: idle, MaxIdle: max(1, s.Workers), MaxConnecting: max(1, s.Workers)}
 	return b
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,6 +1,6 @@
-// Package platform runs the relay as a node of the users' platform: what it is told
-// in environment and configuration file, the bounds that follow from its limits,
-// and its life from start to restart.
+// Package platform runs the relay as a node of the users' platform. It reads the environment and
+// the configuration file, derives resource bounds from the machine's limits, and starts, reloads
+// and drains the node. Scheduling and protocols are left to the packages that it connects.
 package platform
 
 import (
@@ -17,7 +17,7 @@
 	"basaltcross.example/basaltcross/internal/platform/settings"
 )
 
-// Limits of the machine.
+// Limits are the resources that the machine grants the node.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -25,20 +25,20 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// Config is what a node is told.
+// Config is the configuration of a node, from its environment and its configuration file.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
-	State     string // the folder that lasts
+	State     string // folder that survives restarts
 	Seed      uint64
 	Limits    Limits
 	Known     agent.List
 	Settings  settings.Settings
 }
 
-// file is the configuration file.
-type file struct {
+// configFile is the content of the configuration file.
+type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -48,11 +48,11 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// mostConfig bytes of a configuration file are read.
-const mostConfig = 16 << 20
+// maxConfigBytes bounds the size of a configuration file.
+const maxConfigBytes = 16 << 20
 
-// Load reads environment (getenv is os.Getenv) and the file that it names. Where
-// both tell a thing the file prevails: it is what a reload replaces.
+// Load reads the environment (getenv is os.Getenv) and the configuration file that it names. Where
+// both set a value the file takes precedence, since a reload can replace only the file.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -63,12 +63,12 @@
 		return nil, fmt.Errorf("platform: %w", err)
 	}
 	defer f.Close()
-	data, err := io.ReadAll(io.LimitReader(f, mostConfig+1))
+	data, err := io.ReadAll(io.LimitReader(f, maxConfigBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("platform: %w", err)
 	}
-	if len(data) > mostConfig {
-		return nil, fmt.Errorf("platform: %s: over %d bytes", path, mostConfig)
+	if len(data) > maxConfigBytes {
+		return nil, fmt.Errorf("platform: %s: configuration file is larger than %d bytes", path, maxConfigBytes)
 	}
 	c, err := parse(data, getenv)
 	if err != nil {
@@ -78,7 +78,7 @@
 }
 
 func parse(data []byte, getenv func(string) string) (*Config, error) {
-	var f file
+	var f configFile
 	if err := json.Unmarshal(data, &f); err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 	if f.Seed != "" {
 		seed, err := strconv.ParseUint(f.Seed, 16, 64)
 		if err != nil {
-			return nil, fmt.Errorf("seed: %.40q is no number in base 16", f.Seed)
+			return nil, fmt.Errorf("seed: %.40q is not a hexadecimal number", f.Seed)
 		}
 		c.Seed = seed
 	}
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -23,7 +23,7 @@
 // found is not sent to a host that drained meanwhile, though the configuration's list still
 // has it as up.
 func TestAgentBeforeTheFirstSend(t *testing.T) {
-	s := newSite(t, "small", "small")
+	s := newFakePlatform(t, "small", "small")
 	s.hosts[1].uid = "s-1"
 	s.list.Targets[1].Dest = 0 // both serve one destination
 	s.say(0, func(string) (int, bool) { return 503, false })
@@ -32,7 +32,7 @@
 	p := s.start(addr)
 	c := s.client()
 	for i := range 10 {
-		if !c.hand(addr, fmt.Sprint("sure", i), "notice", 0, "", nil) {
+		if !c.handIn(addr, fmt.Sprint("sure", i), "notice", 0, "", nil) {
 			t.Fatal("not taken")
 		}
 	}
@@ -41,12 +41,12 @@
 	s.say(0, func(string) (int, bool) { early.Add(1); return 200, true })
 	s.say(1, func(string) (int, bool) { return 200, true })
 	s.config(addr, "") // knows both as up
-	s.tell(func(l *agent.List) {
+	s.updateList(func(l *agent.List) {
 		l.Targets = append(l.Targets[:0:0], l.Targets...)
 		l.Targets[0].State = "draining"
 	})
-	s.startAsIs(addr)
-	s.settled()
+	s.startConfigured(addr)
+	s.waitSettled()
 	if n := early.Load(); n > 0 {
 		t.Errorf("%d calls to a host that the agent had as draining", n)
 	}
@@ -54,7 +54,7 @@
 
 // A message's key for repeats outlives the process: the calls after a restart carry it too.
 func TestIdempotencyKeySurvives(t *testing.T) {
-	s := newSite(t, "small")
+	s := newFakePlatform(t, "small")
 	var mu sync.Mutex
 	keys := map[string]bool{}
 	inner := s.hosts[0].srv.Handler
@@ -84,7 +84,7 @@
 	status = 200
 	mu.Unlock()
 	s.start(addr)
-	s.settled()
+	s.waitSettled()
 	mu.Lock()
 	defer mu.Unlock()
 	if !keys["200 key-1"] || keys["200 "] {
@@ -98,7 +98,7 @@
 func TestListSurvives(t *testing.T) {
 	dir := t.TempDir()
 	var failed error
-	h := hostsIn(dir, 400, func(err error) { failed = err })
+	h := newHostListFile(dir, 400, func(err error) { failed = err })
 	list := func(rev int64, uids ...string) agent.List {
 		l := agent.List{Rev: rev, All: true}
 		for _, uid := range uids {
@@ -108,19 +108,19 @@
 	}
 	check := func(what string, want int64, failed bool) {
 		t.Helper()
-		l, err := h.newer(list(5, "known"))
+		l, err := h.newest(list(5, "known"))
 		if l.Rev != want || (err != nil) != failed {
 			t.Errorf("%s: revision %d, %v; want %d, failed %v", what, l.Rev, err, want, failed)
 		}
 	}
 	check("none kept", 5, false)
 	for _, rev := range []int64{4, 7, 9} {
-		if h.keep(list(rev, "a")); failed != nil {
+		if h.save(list(rev, "a")); failed != nil {
 			t.Fatal(failed)
 		}
 		check("kept", max(5, rev), false)
 	}
-	if h.keep(list(10, strings.Repeat("long", 200))); failed == nil {
+	if h.save(list(10, strings.Repeat("long", 200))); failed == nil {
 		t.Error("a list over the bound was kept")
 	}
 	check("too long to keep", 5, false)
@@ -129,19 +129,19 @@
 	}
 	check("damaged", 5, true)
 
-	s := newSite(t, "small", "small")
+	s := newFakePlatform(t, "small", "small")
 	s.list.Targets[1].Dest = 0
-	n := s.started("")
+	n := s.startInProcess("")
 	s.config(n.Addr(), "")
-	s.tell(func(l *agent.List) {
+	s.updateList(func(l *agent.List) {
 		l.Targets = append(l.Targets[:0:0], l.Targets[1])
 	})
-	for end := time.Now().Add(20 * time.Second); n.list.Endpoints() != 1; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); n.hostDirectory.Endpoints() != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the news never came")
 		}
 	}
-	n.once.Do(n.close)
+	n.closeOnce.Do(n.close)
 	_ = s.agent[0].Close() // silent from now on
 	cfg, err := Load(s.env)
 	if err != nil {
@@ -150,8 +150,8 @@
 	if len(cfg.Known.Targets) != 2 {
 		t.Fatalf("the configuration knows %d hosts", len(cfg.Known.Targets))
 	}
-	n = s.started("")
-	if got := n.list.Endpoints(); got != 1 {
+	n = s.startInProcess("")
+	if got := n.hostDirectory.Endpoints(); got != 1 {
 		t.Errorf("%d hosts, want the one that the last run had heard of", got)
 	}
 }
@@ -162,7 +162,7 @@
 // opens no other, as behind a front: the system resets what is in the listener's queue when
 // that closes. What was taken is delivered, by this run or the next.
 func TestClientsUntilTheEnd(t *testing.T) {
-	s := newSite(t, "small", "small")
+	s := newFakePlatform(t, "small", "small")
 	addr := freeAddr(t)
 	p := s.start(addr)
 	var all sync.WaitGroup
@@ -229,5 +229,5 @@
 		t.Errorf("%d connections were reset, %d new ones ended without an answer; %d messages were taken", resets.Load(), unanswered.Load(), taken.Load())
 	}
 	s.start(addr)
-	s.settled()
+	s.waitSettled()
 }
--- a/internal/platform/hosts.go
+++ b/internal/platform/hosts.go
@@ -13,66 +13,65 @@
 	"basaltcross.example/basaltcross/internal/agent"
 )
 
-// hosts is the list as this relay last heard it, in the folder that lasts. What a relay
-// was told counts for its next run as well, also where the agent does not answer then and
-// the configuration's list is older.
-type hosts struct {
-	path   string
-	most   int64 // bytes; a longer list is not kept
-	failed func(error)
+// hostListFile saves the latest host list of this relay in the state folder. The next run uses it
+// where the agent does not answer and the list in the configuration is older.
+type hostListFile struct {
+	path     string
+	maxBytes int64 // bytes; a longer list is not saved
+	onError  func(error)
 
-	mu     sync.Mutex
-	latest *agent.List // that could not be written yet
-	retry  *time.Timer
-	closed bool
+	mu      sync.Mutex
+	pending *agent.List // latest list, until it has been written
+	retry   *time.Timer
+	closed  bool
 }
 
-func hostsIn(dir string, most int64, failed func(error)) *hosts {
-	return &hosts{path: filepath.Join(dir, "hosts.json"), most: most, failed: failed}
+func newHostListFile(dir string, maxBytes int64, onError func(error)) *hostListFile {
+	return &hostListFile{path: filepath.Join(dir, "hosts.json"), maxBytes: maxBytes, onError: onError}
 }
 
-// hostsRetry is the pause before a list that could not be written is tried again.
-const hostsRetry = 100 * time.Millisecond
+// hostListRetryDelay is the delay before a failed write is retried.
+const hostListRetryDelay = 100 * time.Millisecond
 
-// keep writes a list, later where that fails now.
-func (h *hosts) keep(l agent.List) {
+// save writes a list, and retries later if the write fails.
+func (h *hostListFile) save(l agent.List) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.latest = &l
-	if err := h.write(); err != nil {
-		h.failed(err)
+	h.pending = &l
+	if err := h.writePending(); err != nil {
+		h.onError(err)
 	}
 }
 
-// write writes the latest list; under mu.
-func (h *hosts) write() error {
-	if h.latest == nil || h.closed {
+// writePending writes the pending list, if there is one. The caller holds mu.
+func (h *hostListFile) writePending() error {
+	if h.pending == nil || h.closed {
 		return nil
 	}
-	err := h.put(*h.latest)
-	if err == nil || errors.Is(err, errLong) {
-		h.latest = nil
+	err := h.replaceFile(*h.pending)
+	if err == nil || errors.Is(err, errListTooLong) {
+		h.pending = nil
 		return err
 	}
 	if h.retry == nil {
-		h.retry = time.AfterFunc(hostsRetry, h.again)
+		h.retry = time.AfterFunc(hostListRetryDelay, h.retryWrite)
 	}
 	return err
 }
 
-func (h *hosts) again() {
+func (h *hostListFile) retryWrite() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.retry = nil
-	_ = h.write() // it was said when it failed first
+	_ = h.writePending() // the first failure was reported
 }
 
-// close ends the tries.
-func (h *hosts) close() {
+// close tries to write the pending list once more and stops the retries.
+func (h *hostListFile) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if err := h.write(); err != nil {
-		h.failed(err)
+	if err := h.writePending(); err != nil {
+		h.onError(err)
 	}
 	h.closed = true
 	if h.retry != nil {
@@ -80,12 +79,12 @@
 	}
 }
 
-// errLong says that a list is over the bound of what is kept.
-var errLong = errors.New("the list of hosts is too long to be kept")
+// errListTooLong is returned for a list larger than maxBytes.
+var errListTooLong = errors.New("the list of hosts is too long to be saved")
 
-// newer is the kept list if it has a later revision than the known one, else that one.
-// An error that is none of the system's says that what is kept is no list.
-func (h *hosts) newer(known agent.List) (agent.List, error) {
+// newest returns the saved list if its revision is later than that of known, else known. An error
+// that is not a system error means that the file does not hold a valid list.
+func (h *hostListFile) newest(known agent.List) (agent.List, error) {
 	text, err := os.ReadFile(h.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return known, nil
@@ -103,18 +102,18 @@
 	return known, nil
 }
 
-// put writes a list so that a kill leaves the old or the new one. One that is too long
-// leaves none: an old one would be worse than the configuration's.
-func (h *hosts) put(l agent.List) error {
+// replaceFile writes a list atomically: a crash leaves the old or the new file. A list that is too
+// long removes the file, since an outdated list would be worse than the one in the configuration.
+func (h *hostListFile) replaceFile(l agent.List) error {
 	text, err := json.Marshal(l)
 	if err != nil {
 		return fmt.Errorf("platform: %w", err)
 	}
-	if int64(len(text)) > h.most {
+	if int64(len(text)) > h.maxBytes {
 		if err := os.Remove(h.path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return fmt.Errorf("platform: %w", err)
 		}
-		return fmt.Errorf("platform: %w: the list of hosts has %d bytes, at most %d are kept", errLong, len(text), h.most)
+		return fmt.Errorf("platform: %w: the list of hosts has %d bytes, at most %d are saved", errListTooLong, len(text), h.maxBytes)
 	}
 	tmp := h.path + ".new"
 	if err := os.WriteFile(tmp, text, 0o600); err != nil {
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -31,32 +31,33 @@
 	tracing "basaltcross.example/basaltcross/internal/trace"
 )
 
-// The last seconds of a run. At a planned restart new connections come for up to
-// 0.4 s after SIGTERM, and SIGKILL follows no sooner than 3.7 s after it (PROTOCOL).
+// The phases of a planned shutdown, counted from SIGTERM. The platform opens new connections
+// for up to 0.4 s after SIGTERM and sends SIGKILL no sooner than 3.7 s after it (PROTOCOL).
 const (
-	leaveAfter = 600 * time.Millisecond  // then no connection is taken any more
-	parkAfter  = 2800 * time.Millisecond // then nothing further is sent to hosts
-	endAfter   = 3500 * time.Millisecond // then the process ends, whatever is out
-	lastBytes  = 100 * time.Millisecond  // further for what still has to reach clients
-	lastLook   = 2 * time.Millisecond    // between two looks at that
+	closeListenerAfter = 600 * time.Millisecond  // the listener is closed
+	stopSendingAfter   = 2800 * time.Millisecond // no further call to a host is started
+	exitAfter          = 3500 * time.Millisecond // the wait for calls in flight and for the journal ends
+	flushGrace         = 100 * time.Millisecond  // extra time to flush responses to clients
+	flushPollInterval  = 2 * time.Millisecond    // interval between checks for unsent responses
 )
 
-// strictVariable names the variable of the environment that has a violation of the rules in
-// package lifecycle end the process, for tests.
+// strictVariable names the environment variable that makes a violation of the rules in
+// package lifecycle end the process; used by tests.
 const strictVariable = "BASALTCROSS_STRICT"
 
-// trustVariable names the one that has every answer of a host believed, for tests that must fail.
+// trustVariable names the environment variable that turns off the validation of hosts' answers,
+// for tests that must fail without it.
 const trustVariable = "BASALTCROSS_TRUST_PEERS"
 
-// traceVariable names the one that has each step of each request logged, or only those that it
-// lists, separated by commas.
+// traceVariable names the environment variable that turns on request tracing: allSteps logs
+// every step of every request, a comma-separated list only the steps that it names.
 const (
 	traceVariable = "BASALTCROSS_TRACE"
 	allSteps      = "1"
 )
 
-// trace logs the steps of requests, if that is asked for.
-func trace(log zerolog.Logger) lifecycle.Trace {
+// stepLogger returns a function that logs the steps of requests, or nil if tracing is off.
+func stepLogger(log zerolog.Logger) lifecycle.Trace {
 	steps := os.Getenv(traceVariable)
 	if steps == "" {
 		return nil
@@ -72,40 +73,40 @@
 	}
 }
 
-// Node is a running relay of the platform.
+// Node is a running relay of the users' platform.
 type Node struct {
-	cfg    *Config
-	bounds Bounds
-	log    zerolog.Logger
-	keep   *journal.Log
-	caller *partner.Caller
-	core   *core.Core
-	client *agent.Client
-	said   *agent.Notices
-	list   *directory.Directory
-	front  *hookfront.Front
-	watch  *watcher
-	hosts  *hosts
-	guard  *lifecycle.Guard
+	cfg           *Config
+	bounds        Bounds
+	log           zerolog.Logger
+	journalLog    *journal.Log
+	caller        *partner.Caller
+	core          *core.Core
+	client        *agent.Client
+	notices       *agent.Notices
+	hostDirectory *directory.Directory
+	front         *hookfront.Front
+	stats         *observer
+	savedHosts    *hostListFile
+	guard         *lifecycle.Guard
 
-	ready  atomic.Bool
-	ctx    context.Context
-	stop   context.CancelFunc
-	done   sync.WaitGroup
-	kept   sync.WaitGroup // notices
-	unsaid context.CancelFunc
-	once   sync.Once
+	ready       atomic.Bool
+	ctx         context.Context
+	stop        context.CancelFunc
+	done        sync.WaitGroup
+	noticesDone sync.WaitGroup // the goroutine that delivers notices
+	stopNotices context.CancelFunc
+	closeOnce   sync.Once
 
-	mu    sync.Mutex
-	dests map[int]bool // that a list has named
+	mu          sync.Mutex
+	listedDests map[int]bool // destinations that any host list has named
 }
 
-// mostDests remembers so many destinations; more than a relay's lists ever name.
-const mostDests = 1 << 16
+// maxListedDests bounds the remembered destinations; a relay's lists never name that many.
+const maxListedDests = 1 << 16
 
 var tuneOnce sync.Once
 
-// Tune sets the process to its limits, once.
+// Tune sets the runtime's number of processors and its soft memory limit, once per process.
 func Tune(b Bounds) {
 	tuneOnce.Do(func() {
 		runtime.GOMAXPROCS(b.Procs)
@@ -113,15 +114,15 @@
 	})
 }
 
-// Start brings a node up: what an earlier run left first, then the list, then
-// clients. It runs until Drain or Kill.
+// Start starts a node: it restores the state of an earlier run from the journal, then loads the
+// host list, then serves clients. The node runs until Drain is called or the process is killed.
 func Start(cfg *Config, log zerolog.Logger) (_ *Node, err error) {
 	began := time.Now()
-	n := &Node{cfg: cfg, bounds: BoundsOf(cfg), log: log, dests: map[int]bool{}}
+	n := &Node{cfg: cfg, bounds: BoundsOf(cfg), log: log, listedDests: map[int]bool{}}
 	b := &n.bounds
-	n.watch = &watcher{node: n}
+	n.stats = &observer{node: n}
 	n.guard = &lifecycle.Guard{Strict: os.Getenv(strictVariable) != "", Told: func(v lifecycle.Violation) {
-		if v.Rule == lifecycle.AnswerLate { // a machine that stood still has it as well
+		if v.Rule == lifecycle.AnswerLate { // a stalled machine causes this as well
 			n.warn("late").Str("rule", string(v.Rule)).Str("id", v.ID).Msg(v.What)
 			return
 		}
@@ -136,44 +137,44 @@
 			err = fmt.Errorf("platform: %w", err)
 		}
 	}()
-	owes := func(v uint8) bool { return ledger.Verdict(v) == ledger.Refused || ledger.Verdict(v) == ledger.Failed }
-	var kept *journal.Contents
+	needsNotice := func(v uint8) bool { return ledger.Verdict(v) == ledger.Refused || ledger.Verdict(v) == ledger.Failed }
+	var contents *journal.Contents
 	var damaged error
-	n.keep, kept, damaged, err = journal.OpenLog(journal.LogOptions{Dir: cfg.State, MaxBytes: b.Disk,
-		NeedsNotice: owes, OnWriteError: func(err error) {
-			n.warn("journal").Err(err).Msg("records wait to be written, nothing is taken")
+	n.journalLog, contents, damaged, err = journal.OpenLog(journal.LogOptions{Dir: cfg.State, MaxBytes: b.Disk,
+		NeedsNotice: needsNotice, OnWriteError: func(err error) {
+			n.warn("journal").Err(err).Msg("journal write failed; no messages are accepted until it succeeds")
 		}, OnRecovered: func(waited time.Duration) {
-			n.warn("journal").Dur("waited", waited).Msg("all records are written")
+			n.warn("journal").Dur("waited", waited).Msg("journal writes succeed again; all records are written")
 		}})
 	if err != nil {
 		return nil, err
 	}
-	undo = append(undo, func() { _ = n.keep.Close() })
+	undo = append(undo, func() { _ = n.journalLog.Close() })
 	if damaged != nil {
-		n.warn("journal").Err(damaged).Msg("what could be read is gone on with")
+		n.warn("journal").Err(damaged).Msg("journal is damaged; continuing with the readable records")
 	}
 	s := &cfg.Settings
 	n.caller, err = partner.New(partner.Options{Name: cfg.Name, Hook: &partner.Hook{Host: cfg.Name, Columns: s.Columns},
-		Limits: http1.Limits{Header: headerBytes, Body: bodyBytes}, Pool: b.Keep, DialTimeout: s.DialTimeout,
-		MaxOpen: b.Hosts, PeerRefused: n.refusedOf,
+		Limits: http1.Limits{Header: maxHeaderBytes, Body: maxBodyBytes}, Pool: b.Keep, DialTimeout: s.DialTimeout,
+		MaxOpen: b.Hosts, PeerRefused: n.logPeerRefusal,
 		UnsolicitedWait: func(host string, dest int, wait time.Duration) { n.core.ReportWait(host, dest, wait) },
-		Trace:           trace(log), TrustPeers: os.Getenv(trustVariable) != ""})
+		Trace:           stepLogger(log), TrustPeers: os.Getenv(trustVariable) != ""})
 	if err != nil {
 		return nil, err
 	}
 	undo = append(undo, n.caller.Close)
 	set := s.Settings
 	set.HoldUntilAcknowledged = true
-	set.ShedPenalty.Cost, set.ShedPenalty.Before = takenBack, takenBackBefore
-	longest := time.Duration(0)
+	set.ShedPenalty.Cost, set.ShedPenalty.Before = shedPenaltyCost, shedPenaltyBefore
+	longestDeadline := time.Duration(0)
 	var ordered []bool
 	for _, k := range set.Classes {
-		longest = max(longest, k.Deadline)
+		longestDeadline = max(longestDeadline, k.Deadline)
 		ordered = append(ordered, k.Ordered)
 	}
-	n.core, err = core.New(core.Options{Settings: set, Seed: cfg.Seed, InboxSize: b.Clients, Identities: b.Identities, Retention: longest,
-		Caller: n.caller, Observer: n.watch, Journal: n.keep, RecordAllAttempts: true, MaxCallBytes: bodyBytes, SkipHostRecords: true, LateMargin: clientWaits,
-		Names: core.Names{Partner: strconv.Itoa}, Guard: n.guard, Trace: trace(log), DeliveryRetracted: n.undelivered})
+	n.core, err = core.New(core.Options{Settings: set, Seed: cfg.Seed, InboxSize: b.Clients, Identities: b.Identities, Retention: longestDeadline,
+		Caller: n.caller, Observer: n.stats, Journal: n.journalLog, RecordAllAttempts: true, MaxCallBytes: maxBodyBytes, SkipHostRecords: true, LateMargin: clientTimeout,
+		Names: core.Names{Partner: strconv.Itoa}, Guard: n.guard, Trace: stepLogger(log), DeliveryRetracted: n.deliveryRetracted})
 	if err != nil {
 		return nil, err
 	}
@@ -181,39 +182,39 @@
 		return nil, err
 	}
 	undo = append(undo, n.client.Close)
-	n.said = agent.NewNotices(n.client, b.Notices, func(identity string) {
-		n.keep.Handed(identity)
+	n.notices = agent.NewNotices(n.client, b.Notices, func(identity string) {
+		n.journalLog.Handed(identity)
 		n.core.Settled(identity)
-	}, func(err error) { n.warn("notices").Err(err).Msg("notices are owed") })
-	n.hosts = hostsIn(cfg.State, b.List, func(err error) { n.warn("discovery").Err(err).Msg("") })
-	known, err := n.hosts.newer(cfg.Known)
+	}, func(err error) { n.warn("notices").Err(err).Msg("could not deliver notices; they will be sent again") })
+	n.savedHosts = newHostListFile(cfg.State, b.List, func(err error) { n.warn("discovery").Err(err).Msg("") })
+	known, err := n.savedHosts.newest(cfg.Known)
 	if transient(err) {
 		return nil, err
 	} else if err != nil {
-		n.warn("discovery").Err(err).Msg("the configuration's list counts")
+		n.warn("discovery").Err(err).Msg("saved host list is unreadable; using the list from the configuration")
 	}
-	n.list = directory.New(directory.Options{Names: directory.Names{Host: n.host},
-		Sources: []directory.Source{&agent.Watch{Client: n.client, Known: known, Told: n.named, Keep: n.hosts.keep}},
-		Sink:    directory.Sinks{n.core, n.caller}, OnAddresses: n.addresses,
+	n.hostDirectory = directory.New(directory.Options{Names: directory.Names{Host: n.host},
+		Sources: []directory.Source{&agent.Watch{Client: n.client, Known: known, Told: n.addDestination, Keep: n.savedHosts.save}},
+		Sink:    directory.Sinks{n.core, n.caller}, OnAddresses: n.setAddresses,
 		OnListed: func(int) {}, OnError: func(source string, err error) {
 			n.warn("discovery").Str("source", source).Err(err).Msg("")
 		}})
-	n.front, err = hookfront.New(hookfront.Options{Listen: cfg.Listen, Lanes: s.Lanes, Ordered: ordered, Dest: n.known,
-		Ready: n.ready.Load, Header: headerBytes, Body: bodyBytes, Connections: b.Clients, Lingering: b.Lingering, Kept: b.Kept, Request: 2 * clientWaits, Respond: respondWithin, Wait: clientWaits, Whole: whole, Idle: silent, Linger: linger,
-		WriteBuffer: b.WriteBuffer, Door: n.core, Keeper: n.keep, Notices: n.said, Guard: n.guard, Trace: trace(log),
+	n.front, err = hookfront.New(hookfront.Options{Listen: cfg.Listen, Lanes: s.Lanes, Ordered: ordered, Dest: n.isListed,
+		Ready: n.ready.Load, Header: maxHeaderBytes, Body: maxBodyBytes, Connections: b.Clients, Lingering: b.Lingering, Kept: b.Kept, Request: 2 * clientTimeout, Respond: responseTimeout, Wait: clientTimeout, Whole: requestReadTimeout, Idle: idleTimeout, Linger: lingerTimeout,
+		WriteBuffer: b.WriteBuffer, Door: n.core, Keeper: n.journalLog, Notices: n.notices, Guard: n.guard, Trace: stepLogger(log),
 		Logf: func(f string, v ...any) { n.warn("front").Msgf(f, v...) }})
 	if err != nil {
 		return nil, err
 	}
-	held, owed := n.restore(kept)
+	held, owed := n.restore(contents)
 	ctx, stop := context.WithCancel(context.Background())
 	n.ctx, n.stop = ctx, stop
-	unsaid, silence := context.WithCancel(context.Background())
-	n.unsaid = silence
+	noticesCtx, stopNotices := context.WithCancel(context.Background())
+	n.stopNotices = stopNotices
 	n.done.Go(func() { n.core.Run(ctx, 0) })
-	n.done.Go(func() { n.list.Run(ctx) })
-	n.kept.Go(func() { n.said.Run(unsaid) })
-	n.done.Go(func() { n.watch.run(ctx) })
+	n.done.Go(func() { n.hostDirectory.Run(ctx) })
+	n.noticesDone.Go(func() { n.notices.Run(noticesCtx) })
+	n.done.Go(func() { n.stats.run(ctx) })
 	log.Info().Str("name", cfg.Name).Str("listen", n.front.Addr()).Int("held", held).Int("owed", owed).
 		Dur("took", time.Since(began)).Msg("up")
 	return n, nil
@@ -221,30 +222,31 @@
 
 func (n *Node) warn(cause string) *zerolog.Event { return n.log.Warn().Str("cause", cause) }
 
-// undelivered tells the platform that a message has failed which was delivered by an answer that was
-// another call's: a notice for a message that is over does no harm.
-func (n *Node) undelivered(identity string) {
-	n.warn("host").Str("id", identity).Msg("delivered by an answer that was not its own")
-	n.said.Add(identity, ledger.Answer{Verdict: ledger.Failed})
+// deliveryRetracted queues a failure notice for a message that was taken as delivered because of
+// an answer that belonged to another call. A notice for a message that has ended does no harm.
+func (n *Node) deliveryRetracted(identity string) {
+	n.warn("host").Str("id", identity).Msg("delivery retracted: the answer belonged to another call")
+	n.notices.Add(identity, ledger.Answer{Verdict: ledger.Failed})
 }
 
-// refusedOf logs what was refused of a host; connections that are not used again are only counted.
-func (n *Node) refusedOf(r lifecycle.PeerRefusal) {
+// logPeerRefusal logs a host's answer that failed validation. Refusals to reuse a connection are
+// only counted.
+func (n *Node) logPeerRefusal(r lifecycle.PeerRefusal) {
 	if r.Breach == lifecycle.ReuseForbidden || r.Breach == lifecycle.ReuseUnrested {
 		return
 	}
 	n.warn("host").Str("breach", string(r.Breach)).Str("host", r.Peer).Uint64("connection", r.Connection).Int("turn", r.Turn).
-		Str("id", r.Message).Msg("not believed")
+		Str("id", r.Message).Msg("answer of host rejected")
 }
 
-// plan decides what follows from a journal's records now: ages count until this
-// moment, not until the journal was opened.
+// plan computes the recovery plan for a journal's records. Ages are counted until now, not until
+// the journal was opened, so that the time a start takes is included.
 func plan(cfg *Config, k *journal.Contents, now journal.Run) (recover.Plan, map[string]recover.Class) {
 	classes, dests := map[string]recover.Class{}, map[string]bool{}
-	longest := time.Duration(0)
+	longestDeadline := time.Duration(0)
 	for _, c := range cfg.Settings.Classes {
 		classes[c.Name] = recover.Class{Deadline: c.Deadline, RecordAttempts: c.Effect != choice.Safe}
-		longest = max(longest, c.Deadline)
+		longestDeadline = max(longestDeadline, c.Deadline)
 	}
 	for _, m := range k.Messages {
 		if _, err := strconv.Atoi(m.Partner); err == nil {
@@ -252,37 +254,38 @@
 		}
 	}
 	k.ThisRun = now
-	return recover.NewPlan(k, classes, dests, longest, 0), classes
+	return recover.NewPlan(k, classes, dests, longestDeadline, 0), classes
 }
 
-// restore goes on with what an earlier run left.
+// restore loads the messages, results and owed notices of an earlier run into the core. It returns
+// the number of messages held and of notices owed.
 func (n *Node) restore(k *journal.Contents) (held, owed int) {
 	number := func(name string) int {
 		d, _ := strconv.Atoi(name)
 		return d
 	}
-	plan, classes := plan(n.cfg, k, n.keep.Now())
+	plan, classes := plan(n.cfg, k, n.journalLog.Now())
 	var ended []core.Ended
 	for _, e := range plan.Ends {
 		a := ledger.Answer{Verdict: ledger.Verdict(e.Verdict), RetryAfter: time.Duration(e.After)}
 		wait := !e.Handed && (a.Verdict == ledger.Refused || a.Verdict == ledger.Failed)
 		if wait {
 			owed++
-			n.said.Add(e.Identity, a)
+			n.notices.Add(e.Identity, a)
 		}
 		ended = append(ended, core.Ended{Identity: e.Identity, Answer: a, Age: e.Age, Owed: wait, Seq: e.Seq,
 			Class: n.cfg.Settings.Lanes[e.Class], Key: string(e.Way), Evictable: !classes[e.Class].RecordAttempts})
 	}
 	for _, identity := range plan.ExpiredIdentities {
-		n.keep.Forget(identity)
+		n.journalLog.Forget(identity)
 	}
 	var messages []core.Restored
 	for _, m := range plan.Messages {
 		reply := n.front.Owe(m.Identity)
-		if m.Verdict != 0 { // of a class that is no more
-			n.keep.RecordEnd(journal.End{Seq: m.Seq, Identity: m.Identity, Class: m.Class, Verdict: uint8(m.Verdict),
-				At: n.keep.Stamp()})
-			n.said.Add(m.Identity, ledger.Answer{Verdict: m.Verdict})
+		if m.Verdict != 0 { // its class has been removed from the settings
+			n.journalLog.RecordEnd(journal.End{Seq: m.Seq, Identity: m.Identity, Class: m.Class, Verdict: uint8(m.Verdict),
+				At: n.journalLog.Stamp()})
+			n.notices.Add(m.Identity, ledger.Answer{Verdict: m.Verdict})
 			continue
 		}
 		zone := -1
@@ -297,7 +300,7 @@
 	return len(messages), owed
 }
 
-// host translates an entry of the list.
+// host converts an entry of the host list for package choice.
 func (n *Node) host(e *member.Entry) (choice.Host, error) {
 	d, err := strconv.Atoi(e.Partner)
 	if err != nil {
@@ -307,27 +310,27 @@
 	if kind, ok := n.cfg.Settings.Kinds[e.Kind]; ok {
 		h.Kind = kind
 	}
-	h.Zone = n.cfg.Settings.Zones[e.Zone] // a zone that the settings lack is as the first
+	h.Zone = n.cfg.Settings.Zones[e.Zone] // a zone that the settings lack counts as the first
 	return h, nil
 }
 
-func (n *Node) named(dest int) {
+func (n *Node) addDestination(dest int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.dests) < mostDests {
-		n.dests[dest] = true
+	if len(n.listedDests) < maxListedDests {
+		n.listedDests[dest] = true
 	}
 }
 
-func (n *Node) known(dest int) bool {
+func (n *Node) isListed(dest int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.dests[dest]
+	return n.listedDests[dest]
 }
 
-// addresses takes those of all hosts, before the list that has them; with the first
-// of them clients may come.
-func (n *Node) addresses(all []addr.Endpoint) {
+// setAddresses passes the addresses of all hosts to the caller, before the core gets the list that
+// names those hosts. The first call marks the node as ready for clients.
+func (n *Node) setAddresses(all []addr.Endpoint) {
 	by := make(map[string][]addr.Address, len(all))
 	for _, e := range all {
 		by[e.Host] = e.Addrs
@@ -338,20 +341,21 @@
 	}
 }
 
-// ReadAgain loads the configuration anew: the address of discovery counts from now
-// on, all else from the next start. A broken file changes nothing.
-// One that cannot be read for a moment is waited for.
+// ReadAgain reloads the configuration. A new discovery address takes effect at once, everything
+// else at the next start. An invalid file changes nothing; a read that fails with a transient
+// system error is retried.
 func (n *Node) ReadAgain(getenv func(string) string) {
-	cfg, err := whenPossible(n.ctx, n.log, func() (*Config, error) { return Load(getenv) })
+	cfg, err := retryTransient(n.ctx, n.log, func() (*Config, error) { return Load(getenv) })
 	if err != nil {
-		n.log.Error().Err(err).Msg("the configuration in force stays")
+		n.log.Error().Err(err).Msg("reload failed; keeping the configuration in force")
 		return
 	}
 	n.client.Move(cfg.Discovery)
-	n.log.Info().Str("discovery", cfg.Discovery).Msg("configuration read again")
+	n.log.Info().Str("discovery", cfg.Discovery).Msg("configuration reloaded")
 }
 
-// Sizes are those of every table that hosts, ids, keys or connections are in.
+// Sizes returns the size of every table that holds hosts, identities, keys or connections, by name
+// of the table.
 func (n *Node) Sizes() map[string]int {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -362,44 +366,46 @@
 	for name, size := range n.caller.Sizes() {
 		all[name] = size
 	}
-	for name, size := range n.keep.Sizes() {
+	for name, size := range n.journalLog.Sizes() {
 		all[name] = size
 	}
-	all["clients"], all["notices"] = n.front.Connections(), n.said.Len()
+	all["clients"], all["notices"] = n.front.Connections(), n.notices.Len()
 	return all
 }
 
-// Addr is where clients connect.
+// Addr returns the address on which the node listens for clients.
 func (n *Node) Addr() string { return n.front.Addr() }
 
-// Drain ends the run in good order: what is asked is answered, what is out may
-// finish, and the rest stays for the next start. It returns once all is closed.
+// Drain shuts the node down gracefully: it answers the requests that were read, lets calls in
+// flight finish, and leaves the remaining messages in the journal for the next start. It returns
+// once everything is closed.
 func (n *Node) Drain() {
-	n.once.Do(func() {
+	n.closeOnce.Do(func() {
 		began := time.Now()
 		n.front.Drain()
-		time.Sleep(leaveAfter)
+		time.Sleep(closeListenerAfter)
 		n.front.Leave()
-		time.Sleep(parkAfter - time.Since(began))
-		n.front.Finish() // before the core is parked: what was handed in until then is answered
+		time.Sleep(stopSendingAfter - time.Since(began))
+		n.front.Finish() // before the core is parked, so that every message handed in until then is answered
 		idle := make(chan struct{})
 		n.core.Park(func() { close(idle) })
 		select {
 		case <-idle:
-		case <-time.After(endAfter - time.Since(began)):
+		case <-time.After(exitAfter - time.Since(began)):
 		}
-		n.settle(began.Add(endAfter))
-		n.log.Info().Dur("after", time.Since(began)).Msg("nothing more is sent")
+		n.flush(began.Add(exitAfter))
+		n.log.Info().Dur("after", time.Since(began)).Msg("all calls have ended and responses are flushed")
 		n.close()
 		n.log.Info().Dur("after", time.Since(began)).Msg("closed")
 	})
 }
 
-// settle waits until what was decided is on disk and told, and ends the wait where that
-// cannot be: no request that was read stays without its response.
-func (n *Node) settle(by time.Time) {
+// flush waits until all decisions are on disk and the clients have their responses. Where the
+// journal does not get there by the deadline, the undecided requests are resolved all the same:
+// no request that was read stays without a response.
+func (n *Node) flush(by time.Time) {
 	down := make(chan struct{})
-	if n.keep.WhenWritten(func() { close(down) }) {
+	if n.journalLog.WhenWritten(func() { close(down) }) {
 		close(down)
 	}
 	select {
@@ -409,21 +415,21 @@
 	resolved := make(chan struct{})
 	n.core.ResolveUndecided(func() { close(resolved) })
 	<-resolved
-	for end := by.Add(lastBytes); !n.front.Quiet() && time.Now().Before(end); {
-		time.Sleep(lastLook)
+	for end := by.Add(flushGrace); !n.front.Quiet() && time.Now().Before(end); {
+		time.Sleep(flushPollInterval)
 	}
 }
 
 func (n *Node) close() {
 	n.stop()
 	n.done.Wait()
-	n.unsaid()
-	n.kept.Wait()
+	n.stopNotices()
+	n.noticesDone.Wait()
 	n.front.Close()
 	n.caller.Close()
 	n.client.Close()
-	n.hosts.close()
-	if err := n.keep.Close(); err != nil {
+	n.savedHosts.close()
+	if err := n.journalLog.Close(); err != nil {
 		n.warn("journal").Err(err).Msg("")
 	}
 }
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -24,7 +24,7 @@
 
 // TestNodeProcess is a node where a test started it as one.
 func TestNodeProcess(t *testing.T) {
-	if os.Getenv(playNode) == "" {
+	if os.Getenv(nodeProcessVariable) == "" {
 		t.Skip("no test of its own")
 	}
 	reload := make(chan os.Signal, 1)
@@ -37,7 +37,7 @@
 }
 
 // load hands in messages from several clients until ctx ends, and counts them.
-func (s *site) load(ctx context.Context, addr string, tag string, clients int) *sync.WaitGroup {
+func (s *fakePlatform) load(ctx context.Context, addr string, tag string, clients int) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for i := range clients {
 		all.Go(func() {
@@ -45,9 +45,9 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				id := fmt.Sprintf("%s-%d-%d", tag, i, n)
 				if n%2 == 0 {
-					c.hand(addr, id, "notice", n%len(s.hosts), "", make([]byte, n%700))
+					c.handIn(addr, id, "notice", n%len(s.hosts), "", make([]byte, n%700))
 				} else {
-					c.hand(addr, id, "charge", i%len(s.hosts), fmt.Sprint("key", i), nil)
+					c.handIn(addr, id, "charge", i%len(s.hosts), fmt.Sprint("key", i), nil)
 				}
 			}
 		})
@@ -56,7 +56,7 @@
 }
 
 // moody is a host that fails, refuses and takes its time, by chance.
-func moody(seed uint64) func(string) (int, bool) {
+func erraticHost(seed uint64) func(string) (int, bool) {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 1))
 	return func(string) (int, bool) {
@@ -75,9 +75,9 @@
 }
 
 // check holds what crossed the sockets against what was promised.
-func (s *site) check() {
+func (s *fakePlatform) checkGuarantees() {
 	s.t.Helper()
-	s.settled()
+	s.waitSettled()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last := map[string]int{}
@@ -112,9 +112,9 @@
 // message that was taken ends, what must not take effect twice does not, keys keep
 // their order, and a planned restart fails nothing.
 func TestRestartsUnderLoad(t *testing.T) {
-	s := newSite(t, "small", "small", "large")
+	s := newFakePlatform(t, "small", "small", "large")
 	for i := range s.hosts {
-		s.say(i, moody(uint64(i)))
+		s.say(i, erraticHost(uint64(i)))
 	}
 	addr := freeAddr(t)
 	p := s.start(addr)
@@ -129,7 +129,7 @@
 		all.Wait()
 		p = s.start(addr)
 	}
-	s.check()
+	s.checkGuarantees()
 	if len(s.taken) < 100 {
 		t.Errorf("%d messages taken", len(s.taken))
 	}
@@ -137,13 +137,13 @@
 
 // A message that was held through a planned restart is delivered after it, not failed.
 func TestHeldThroughARestart(t *testing.T) {
-	s := newSite(t, "small")
+	s := newFakePlatform(t, "small")
 	s.say(0, func(string) (int, bool) { return 503, false })
 	addr := freeAddr(t)
 	p := s.start(addr)
 	c := s.client()
 	for i := range 20 {
-		if !c.hand(addr, fmt.Sprint("sure", i), []string{"notice", "charge"}[i%2], 0, fmt.Sprint("k", i), nil) {
+		if !c.handIn(addr, fmt.Sprint("sure", i), []string{"notice", "charge"}[i%2], 0, fmt.Sprint("k", i), nil) {
 			t.Fatal("not taken")
 		}
 	}
@@ -152,7 +152,7 @@
 	}
 	s.say(0, func(string) (int, bool) { return 200, true })
 	s.start(addr)
-	s.settled()
+	s.waitSettled()
 	for i := range 20 {
 		if id := fmt.Sprint("sure", i); s.runs[id] != 1 {
 			t.Errorf("%s ran %d times, notices %v", id, s.runs[id], s.notices[id])
@@ -162,13 +162,13 @@
 
 // Notices that were not answered before a crash are sent after it.
 func TestNoticesSurvive(t *testing.T) {
-	s := newSite(t, "small")
+	s := newFakePlatform(t, "small")
 	s.say(0, func(string) (int, bool) { return 500, true })
 	s.mute = true
 	addr := freeAddr(t)
 	p := s.start(addr)
 	for i := range 5 {
-		if !s.client().hand(addr, fmt.Sprint("m", i), "charge", 0, "", nil) {
+		if !s.client().handIn(addr, fmt.Sprint("m", i), "charge", 0, "", nil) {
 			t.Fatal("not taken")
 		}
 	}
@@ -185,12 +185,12 @@
 	s.mute = false
 	s.mu.Unlock()
 	s.start(addr)
-	s.settled()
+	s.waitSettled()
 }
 
 // The time that a start takes before messages are restored is off their time too.
 func TestAgesCountUntilTheRestore(t *testing.T) {
-	s := newSite(t, "small")
+	s := newFakePlatform(t, "small")
 	s.config("127.0.0.1:0", "")
 	cfg, err := Load(s.env)
 	if err != nil {
@@ -210,7 +210,7 @@
 // Guards against messages that a restart gives up untried, and windows that it misjudges,
 // because the wall clock was set: deadlines and windows are spans of real time.
 func TestRestartUnderASteppedWallClock(t *testing.T) {
-	s := newSite(t, "small")
+	s := newFakePlatform(t, "small")
 	s.config("127.0.0.1:0", "")
 	cfg, err := Load(s.env)
 	if err != nil {
@@ -248,7 +248,7 @@
 }
 
 // started is a node within the test's process.
-func (s *site) started(limits string) *Node {
+func (s *fakePlatform) startInProcess(limits string) *Node {
 	s.t.Helper()
 	s.t.Setenv(strictVariable, "1")
 	s.config("127.0.0.1:0", limits)
@@ -260,18 +260,18 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { n.once.Do(n.close) })
-	s.ready(n.Addr())
+	s.t.Cleanup(func() { n.closeOnce.Do(n.close) })
+	s.waitReady(n.Addr())
 	return n
 }
 
 // Guards against a node that exits, or begins as if its folder were empty, because the
 // folder cannot be read for a moment when it starts.
 func TestStartWaitsForItsFolder(t *testing.T) {
-	s := newSite(t, "small")
+	s := newFakePlatform(t, "small")
 	s.say(0, func(string) (int, bool) { return 503, false })
-	n := s.started("")
-	if !s.client().hand(n.Addr(), "sure", "notice", 0, "", nil) {
+	n := s.startInProcess("")
+	if !s.client().handIn(n.Addr(), "sure", "notice", 0, "", nil) {
 		t.Fatal("not taken")
 	}
 	n.Drain()
@@ -311,8 +311,8 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { n.once.Do(n.close) })
-	s.settled()
+	t.Cleanup(func() { n.closeOnce.Do(n.close) })
+	s.waitSettled()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.runs["sure"] != 1 {
@@ -323,8 +323,8 @@
 // SIGHUP's work under load: the list and the notices come from the new address, the
 // old one may go, and a broken file changes nothing.
 func TestReload(t *testing.T) {
-	s := newSite(t, "small", "small")
-	n := s.started("")
+	s := newFakePlatform(t, "small", "small")
+	n := s.startInProcess("")
 	ctx, cancel := context.WithCancel(context.Background())
 	all := s.load(ctx, n.Addr(), "h", 4)
 	s.newAgent()
@@ -337,8 +337,8 @@
 		t.Fatal(err)
 	}
 	n.ReadAgain(s.env)
-	s.tell(func(l *agent.List) { l.Targets[1].State = "removed" })
-	for end := time.Now().Add(20 * time.Second); n.list.Endpoints() != 1; time.Sleep(5 * time.Millisecond) {
+	s.updateList(func(l *agent.List) { l.Targets[1].State = "removed" })
+	for end := time.Now().Add(20 * time.Second); n.hostDirectory.Endpoints() != 1; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the new agent's news never came")
 		}
@@ -356,23 +356,23 @@
 	cancel()
 	all.Wait()
 	s.say(0, func(string) (int, bool) { return 200, true })
-	s.settled()
+	s.waitSettled()
 }
 
 // A new uid at an old address is another host: what the old one told binds it no
 // longer, and its connections are not used. An address may change under one uid.
 func TestNewHostAtAnOldAddress(t *testing.T) {
-	s := newSite(t, "small")
-	n := s.started("")
+	s := newFakePlatform(t, "small")
+	n := s.startInProcess("")
 	c := s.client()
-	if !c.hand(n.Addr(), "one", "notice", 0, "", nil) {
+	if !c.handIn(n.Addr(), "one", "notice", 0, "", nil) {
 		t.Fatal("not taken")
 	}
-	s.settled()
+	s.waitSettled()
 	if n.caller.Connections("s-0") != 1 {
 		t.Fatalf("%d connections", n.caller.Connections("s-0"))
 	}
-	s.tell(func(l *agent.List) {
+	s.updateList(func(l *agent.List) {
 		l.Targets = append(l.Targets[:0:0], l.Targets...)
 		l.Targets[0].UID = "s-new"
 	})
@@ -381,15 +381,15 @@
 			t.Fatal("the connection of the host that left is kept")
 		}
 	}
-	if !c.hand(n.Addr(), "two", "notice", 0, "", nil) {
+	if !c.handIn(n.Addr(), "two", "notice", 0, "", nil) {
 		t.Fatal("not taken")
 	}
-	s.settled()
+	s.waitSettled()
 	if n.caller.Connections("s-new") != 1 {
 		t.Error("the new host was called on a connection of the old one")
 	}
 	moved, _ := s.serve(s.hosts[0].srv.Handler)
-	s.tell(func(l *agent.List) {
+	s.updateList(func(l *agent.List) {
 		l.Targets = append(l.Targets[:0:0], l.Targets...)
 		l.Targets[0].Endpoint = moved
 	})
@@ -399,21 +399,21 @@
 		}
 	}
 	_ = s.hosts[0].srv.Close()
-	if !c.hand(n.Addr(), "three", "notice", 0, "", nil) {
+	if !c.handIn(n.Addr(), "three", "notice", 0, "", nil) {
 		t.Fatal("not taken")
 	}
-	s.settled()
+	s.waitSettled()
 }
 
 // Hosts, ids, keys and connections that are always new leave nothing behind.
 func TestNothingGrows(t *testing.T) {
-	s := newSite(t, "small")
-	n := s.started("")
+	s := newFakePlatform(t, "small")
+	n := s.startInProcess("")
 	c := s.client()
 	const many = 3000
 	for i := range many {
 		if i%10 == 0 { // a new host in place of the old one, at its address
-			s.tell(func(l *agent.List) {
+			s.updateList(func(l *agent.List) {
 				l.Targets = append(l.Targets[:0:0], l.Targets...)
 				l.Targets[0].UID = fmt.Sprint("s-", i)
 			})
@@ -421,9 +421,9 @@
 		if i%20 == 0 {
 			c = s.client()
 		}
-		c.hand(n.Addr(), fmt.Sprint("m", i), []string{"notice", "charge"}[i%2], 0, fmt.Sprint("key", i), nil)
+		c.handIn(n.Addr(), fmt.Sprint("m", i), []string{"notice", "charge"}[i%2], 0, fmt.Sprint("key", i), nil)
 	}
-	s.settled()
+	s.waitSettled()
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 		sizes := n.Sizes()
 		over := ""
@@ -444,18 +444,18 @@
 // What the relay believes of its calls out is what passes: its most at once is the
 // hosts' own count, and within the slots that it has.
 func TestCallsOutAsBelieved(t *testing.T) {
-	s := newSite(t, "small", "small", "small")
+	s := newFakePlatform(t, "small", "small", "small")
 	for i := range s.hosts {
 		s.say(i, func(string) (int, bool) { time.Sleep(30 * time.Millisecond); return 200, true })
 	}
-	n := s.started("")
+	n := s.startInProcess("")
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	s.load(ctx, n.Addr(), "o", 40).Wait()
-	s.settled()
-	n.watch.mu.Lock()
-	believed := n.watch.peak
-	n.watch.mu.Unlock()
+	s.waitSettled()
+	n.stats.mu.Lock()
+	believed := n.stats.maxOutInRun
+	n.stats.mu.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.most > believed || s.most < believed/2 || believed > 16 {
@@ -467,7 +467,7 @@
 // told a wait no call comes, and one that fails all is called a few times only, while
 // the other goes on.
 func TestWaitsAndFailingHostsAsBelieved(t *testing.T) {
-	s := newSite(t, "small", "small", "small")
+	s := newFakePlatform(t, "small", "small", "small")
 	calls := 0
 	var mu sync.Mutex
 	s.say(0, func(string) (int, bool) { // every 30th call is told to wait
@@ -486,11 +486,11 @@
 		failed++
 		return 500, true
 	})
-	n := s.started("")
+	n := s.startInProcess("")
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	s.load(ctx, n.Addr(), "w", 2).Wait()
-	s.settled()
+	s.waitSettled()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	mu.Lock()
@@ -505,7 +505,7 @@
 
 // A bad environment or file is one clear error.
 func TestBadConfigurations(t *testing.T) {
-	s := newSite(t, "small")
+	s := newFakePlatform(t, "small")
 	good := func() string {
 		s.config("127.0.0.1:0", "")
 		b, _ := os.ReadFile(s.env("ROUTER_CONFIG"))
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings translates the platform's settings object, which the simulator
-// sends at the start and a relay reads from its configuration file, to what the
-// decision module takes. Both ways in use it, so that both decide alike.
+// Package settings converts the platform's settings object to the settings of package choice. The
+// simulator sends the object at its start, and a relay reads it from its configuration file; both
+// use this package, so that both make the same decisions.
 package settings
 
 import (
@@ -13,20 +13,20 @@
 	"basaltcross.example/basaltcross/choice"
 )
 
-// Settings are the module's, and what only a relay on sockets needs.
+// Settings are the settings of package choice, and those that only a relay on sockets needs.
 type Settings struct {
 	choice.Settings
-	DialTimeout time.Duration // a connection that is not up by then is none; 0 if not told
-	// Columns of a load report that answers hold; nil where they hold none.
+	DialTimeout time.Duration // time-out for opening a connection; 0 if not set
+	// Columns are the names of the columns of the load report in answers; nil if they hold none.
 	Columns []string
-	Kinds   map[string]int // names of kinds of destination
-	Zones   map[string]int
-	Lanes   map[string]int // names of classes
+	Kinds   map[string]int // index of each kind of destination, by name
+	Zones   map[string]int // index of each zone, by name
+	Lanes   map[string]int // index of each class, by name
 }
 
 func seconds(f float64) time.Duration { return time.Duration(math.Round(f*1e6)) * time.Microsecond }
 
-// config is the part of the settings object that is read.
+// config is the part of the settings object that this package reads.
 type config struct {
 	Bounds struct {
 		Cancel        bool    `json:"cancel"`
@@ -77,13 +77,13 @@
 	Zones   []string `json:"zones"`
 }
 
-// Parse reads the object. Keys that are not known are ignored.
+// Parse converts a settings object. Unknown keys are ignored.
 func Parse(object []byte) (Settings, error) {
 	var c config
 	if err := json.Unmarshal(object, &c); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	all := Settings{DialTimeout: seconds(c.Bounds.DialTimeout), Kinds: names(c.Skus), Zones: names(c.Zones), Lanes: map[string]int{}}
+	all := Settings{DialTimeout: seconds(c.Bounds.DialTimeout), Kinds: indexByName(c.Skus), Zones: indexByName(c.Zones), Lanes: map[string]int{}}
 	s := &all.Settings
 	*s = choice.Settings{
 		Index: c.Index, Fleet: c.FleetSize, Workers: c.Family.Workers, MaxHeld: c.Bounds.MostHeld,
@@ -109,7 +109,7 @@
 		effect, ok := map[string]choice.Effect{
 			"idempotent": choice.Safe, "deduplicated": choice.Keyed, "at_most_once": choice.Unsafe}[k.Effect]
 		if !ok {
-			return all, fmt.Errorf("settings: classes: %q is no effect", k.Effect)
+			return all, fmt.Errorf("settings: classes: %q is not an effect", k.Effect)
 		}
 		all.Lanes[k.Name] = len(s.Classes)
 		s.Classes = append(s.Classes, choice.Class{
@@ -131,7 +131,7 @@
 	return all, nil
 }
 
-func names(list []string) map[string]int {
+func indexByName(list []string) map[string]int {
 	m := make(map[string]int, len(list))
 	for i, n := range list {
 		m[n] = i
--- a/internal/platform/site_test.go
+++ b/internal/platform/site_test.go
@@ -21,12 +21,12 @@
 
 // site is a platform of the test's own on loopback: agent, hosts, clients. It keeps
 // what crossed the sockets.
-type site struct {
+type fakePlatform struct {
 	t     *testing.T
 	dir   string
 	agent []*http.Server // by address; the last one is in force
 	at    []string
-	hosts []*host
+	hosts []*fakeHost
 
 	mu      sync.Mutex
 	list    agent.List
@@ -42,7 +42,7 @@
 }
 
 // host is one host of the site.
-type host struct {
+type fakeHost struct {
 	uid, addr string
 	srv       *http.Server
 	// say decides on a message: status, and whether it took effect.
@@ -63,12 +63,12 @@
 		"grace-to-answer":0.05,"order-settle":0.1,"overload-factor":3},"skus":["small","large"],"tick":0.005,"weights":"off","zones":["z"]}`
 )
 
-func newSite(t *testing.T, kinds ...string) *site {
+func newFakePlatform(t *testing.T, kinds ...string) *fakePlatform {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir(), changed: make(chan struct{}), notices: map[string][]string{}, taken: map[string]bool{},
+	s := &fakePlatform{t: t, dir: t.TempDir(), changed: make(chan struct{}), notices: map[string][]string{}, taken: map[string]bool{},
 		runs: map[string]int{}, served: map[string]int{}}
 	for i, kind := range kinds {
-		h := &host{uid: fmt.Sprint("s-", i), say: func(string) (int, bool) { return 200, true }}
+		h := &fakeHost{uid: fmt.Sprint("s-", i), say: func(string) (int, bool) { return 200, true }}
 		h.addr, h.srv = s.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.call(h, w, r) }))
 		s.hosts = append(s.hosts, h)
 		s.list.Targets = append(s.list.Targets, agent.Target{UID: h.uid, Endpoint: h.addr, Zone: "z", Kind: kind, Dest: i, State: "up", Rate: 1})
@@ -78,7 +78,7 @@
 	return s
 }
 
-func (s *site) serve(h http.Handler) (string, *http.Server) {
+func (s *fakePlatform) serve(h http.Handler) (string, *http.Server) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -90,7 +90,7 @@
 }
 
 // newAgent opens one more address of the agent.
-func (s *site) newAgent() {
+func (s *fakePlatform) newAgent() {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", s.watch)
 	mux.HandleFunc("/v1/notices", s.notice)
@@ -98,7 +98,7 @@
 	s.at, s.agent = append(s.at, at), append(s.agent, srv)
 }
 
-func (s *site) watch(w http.ResponseWriter, r *http.Request) {
+func (s *fakePlatform) watch(w http.ResponseWriter, r *http.Request) {
 	for r.Context().Err() == nil {
 		s.mu.Lock()
 		line, _ := json.Marshal(s.list)
@@ -114,7 +114,7 @@
 }
 
 // tell changes the list.
-func (s *site) tell(f func(l *agent.List)) {
+func (s *fakePlatform) updateList(f func(l *agent.List)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.list)
@@ -123,7 +123,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *site) notice(w http.ResponseWriter, r *http.Request) {
+func (s *fakePlatform) notice(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +142,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *site) call(h *host, w http.ResponseWriter, r *http.Request) {
+func (s *fakePlatform) call(h *fakeHost, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -189,7 +189,7 @@
 	_ = json.NewEncoder(w).Encode(ends)
 }
 
-func (s *site) run(h *host, id string) int {
+func (s *fakePlatform) run(h *fakeHost, id string) int {
 	s.mu.Lock()
 	say := h.say
 	s.mu.Unlock()
@@ -207,14 +207,14 @@
 }
 
 // say sets what a host does with messages.
-func (s *site) say(i int, f func(id string) (int, bool)) {
+func (s *fakePlatform) say(i int, f func(id string) (int, bool)) {
 	s.mu.Lock()
 	s.hosts[i].say = f
 	s.mu.Unlock()
 }
 
 // config writes the configuration file, with limits if they are to differ.
-func (s *site) config(listen string, limits string) {
+func (s *fakePlatform) config(listen string, limits string) {
 	s.t.Helper()
 	if limits == "" {
 		limits = `{"cores":1,"memory_mb":128,"sockets":256,"disk_mb":1}`
@@ -233,7 +233,7 @@
 	}
 }
 
-func (s *site) env(name string) string {
+func (s *fakePlatform) env(name string) string {
 	return map[string]string{"ROUTER_CONFIG": filepath.Join(s.dir, "config.json"), "ROUTER_STATE": filepath.Join(s.dir, "state")}[name]
 }
 
@@ -254,30 +254,30 @@
 	return l.Addr().String()
 }
 
-const playNode = "BASALTCROSS_TEST_NODE"
+const nodeProcessVariable = "BASALTCROSS_TEST_NODE"
 
-func (s *site) start(addr string) *process {
+func (s *fakePlatform) start(addr string) *process {
 	s.t.Helper()
 	s.config(addr, "")
-	return s.startAsIs(addr)
+	return s.startConfigured(addr)
 }
 
 // startAsIs is start with the configuration that is there.
-func (s *site) startAsIs(addr string) *process {
+func (s *fakePlatform) startConfigured(addr string) *process {
 	s.t.Helper()
 	p := &process{cmd: exec.Command(os.Args[0], "-test.run=TestNodeProcess"), addr: addr, log: &bytes.Buffer{}}
-	p.cmd.Env = append(os.Environ(), playNode+"=1", strictVariable+"=1", "ROUTER_CONFIG="+s.env("ROUTER_CONFIG"), "ROUTER_STATE="+s.env("ROUTER_STATE"))
+	p.cmd.Env = append(os.Environ(), nodeProcessVariable+"=1", strictVariable+"=1", "ROUTER_CONFIG="+s.env("ROUTER_CONFIG"), "ROUTER_STATE="+s.env("ROUTER_STATE"))
 	p.cmd.Stderr = p.log
 	if err := p.cmd.Start(); err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { _ = p.cmd.Process.Kill(); _ = p.cmd.Wait() })
-	s.ready(addr)
+	s.waitReady(addr)
 	return p
 }
 
 // ready waits until /up says 200.
-func (s *site) ready(addr string) {
+func (s *fakePlatform) waitReady(addr string) {
 	s.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if r, err := http.Get("http://" + addr + "/up"); err == nil {
@@ -300,16 +300,16 @@
 
 // client hands in messages one after the other on a connection of its own.
 type client struct {
-	s    *site
+	s    *fakePlatform
 	http http.Client
 }
 
-func (s *site) client() *client {
+func (s *fakePlatform) client() *client {
 	return &client{s: s, http: http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 }
 
 // hand hands one message in; false if it was not taken.
-func (c *client) hand(addr, id, lane string, dest int, key string, body []byte) bool {
+func (c *client) handIn(addr, id, lane string, dest int, key string, body []byte) bool {
 	r, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/api", bytes.NewReader(body))
 	r.Header.Set("X-Txn", id)
 	r.Header.Set("X-Lane", lane)
@@ -334,7 +334,7 @@
 }
 
 // settled waits until each message that was taken has been served or has its notice.
-func (s *site) settled() {
+func (s *fakePlatform) waitSettled() {
 	s.t.Helper()
 	var open []string
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -14,23 +14,22 @@
 )
 
 const (
-	// A start that fails for a moment is tried again after firstWait, doubling to longestWait.
-	firstWait   = 20 * time.Millisecond
-	longestWait = 500 * time.Millisecond
+	// Back-off of retries after transient errors: initialRetryDelay, doubling up to maxRetryDelay.
+	initialRetryDelay = 20 * time.Millisecond
+	maxRetryDelay     = 500 * time.Millisecond
 )
 
-// Run loads the configuration (getenv is os.Getenv), starts a node, and runs it until ctx
-// ends; then it drains. Each signal of reload has the configuration read again, also while
-// the node drains.
+// Run loads the configuration (getenv is os.Getenv), starts a node, runs it until ctx ends, and
+// then drains it. Each signal on reload reloads the configuration, also while the node drains.
 func Run(ctx context.Context, reload <-chan os.Signal, getenv func(string) string, log zerolog.Logger) error {
-	cfg, err := whenPossible(ctx, log, func() (*Config, error) { return Load(getenv) })
+	cfg, err := retryTransient(ctx, log, func() (*Config, error) { return Load(getenv) })
 	if err != nil {
-		return stopped(err)
+		return ignoreCanceled(err)
 	}
 	Tune(BoundsOf(cfg))
 	n, err := StartWhenPossible(ctx, cfg, log)
 	if err != nil {
-		return stopped(err)
+		return ignoreCanceled(err)
 	}
 	drained := make(chan struct{})
 	go func() {
@@ -50,32 +49,33 @@
 	}
 }
 
-// stopped is no error where a node was told to end before it had started.
-func stopped(err error) error {
+// ignoreCanceled returns nil for the error of a node that was stopped before it had started.
+func ignoreCanceled(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	return err
 }
 
-// StartWhenPossible is Start that waits, and says so, while the machine does not let it: a
-// folder that cannot be read or written, no descriptor, an address still in use. It ends
-// with ctx, and at once on what no waiting mends.
+// StartWhenPossible calls Start and retries it after transient system errors, which it logs: a
+// folder that cannot be read or written, no free file descriptor, an address still in use. It
+// returns when ctx ends, and at once on any other error.
 func StartWhenPossible(ctx context.Context, cfg *Config, log zerolog.Logger) (*Node, error) {
-	return whenPossible(ctx, log, func() (*Node, error) { return Start(cfg, log) })
+	return retryTransient(ctx, log, func() (*Node, error) { return Start(cfg, log) })
 }
 
-// whenPossible tries until nothing of the system's fails.
-func whenPossible[T any](ctx context.Context, log zerolog.Logger, try func() (T, error)) (T, error) {
-	said := ""
-	for wait := firstWait; ; wait = min(2*wait, longestWait) {
+// retryTransient calls try until it succeeds or fails with an error that is not transient, with
+// exponential back-off. It logs an error only when its text has changed.
+func retryTransient[T any](ctx context.Context, log zerolog.Logger, try func() (T, error)) (T, error) {
+	logged := ""
+	for wait := initialRetryDelay; ; wait = min(2*wait, maxRetryDelay) {
 		done, err := try()
 		if err == nil || !transient(err) {
 			return done, err
 		}
-		if text := err.Error(); text != said {
-			said = text
-			log.Warn().Str("cause", "start").Err(err).Msg("the start waits until this is possible")
+		if text := err.Error(); text != logged {
+			logged = text
+			log.Warn().Str("cause", "start").Err(err).Msg("transient system error; retrying")
 		}
 		if !pause.For(ctx, wait) {
 			return done, errors.Join(err, ctx.Err())
@@ -83,8 +83,8 @@
 	}
 }
 
-// transient tells an error of the system's, which may pass, from one of what the node was
-// told. A file that is not there is the latter.
+// transient reports whether err is a system error that may pass, and not a fault of the
+// configuration. A missing file counts as a fault of the configuration.
 func transient(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && !errors.Is(err, fs.ErrNotExist)
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,6 @@
-// Package trace writes and reads the steps of requests: one JSON object a line, in the log of each process and
-// in one file of the emulated platform, all on the machine's monotonic clock, which nobody sets.
+// Package trace defines and reads traces of requests. Each step of a request is one JSON object on a line
+// of its own, in the log of each process and in one file of the emulated platform. The times are those of
+// the machine's monotonic clock, which is never set and is the same for all processes.
 package trace
 
 import (
@@ -20,28 +21,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// Step is one step of a request, or of the connection that carried it.
+// Step is one step of a request, or of the connection on which the request came.
 type Step struct {
-	Cause  string `json:"cause"`   // Cause
-	ID     string `json:"id"`      // of the request, or of the connection
-	Name   string `json:"step"`    // what was done
+	Cause  string `json:"cause"`   // always Cause
+	ID     string `json:"id"`      // identity of the request or of the connection
+	Name   string `json:"step"`    // name of the step
 	At     int64  `json:"mono_us"` // microseconds on the monotonic clock
-	PID    int    `json:"pid"`     // of the process; one log may hold several
+	PID    int    `json:"pid"`     // process ID; a log may hold the steps of several processes
 	Values map[string]any
-	Source string // the file without its extension
+	Source string // name of the log file without its extension
 }
 
-// Cause marks the lines of a log that are steps.
+// Cause is the value of the field cause in log lines that are steps.
 const Cause = "trace"
 
-// fields name the value of a step.
-var fields = map[string]string{"read": "connection", "taken": "number", "send": "host", "begun": "timeout", "call": "connection", "unconfirmed": "until", "result": "outcome", "ended": "verdict",
+// valueNames are the names of the fields that hold a step's value, by name of the step.
+var valueNames = map[string]string{"read": "connection", "taken": "number", "send": "host", "begun": "timeout", "call": "connection", "unconfirmed": "until", "result": "outcome", "ended": "verdict",
 	"told": "verdict", "taken_back": "number", "overdue": "said", "response": "status", "close": "reason", "error": "error"}
 
-// Field is the name of the value that a step has.
-func Field(step string) string { return cmp.Or(fields[step], "value") }
+// Field returns the name of the field that holds the value of a step.
+func Field(step string) string { return cmp.Or(valueNames[step], "value") }
 
-// Now is the monotonic clock in microseconds; all processes of a machine read the same.
+// Now returns the time of the monotonic clock in microseconds; it is the same for all processes of a machine.
 func Now() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
@@ -50,18 +51,18 @@
 	return t.Nano() / int64(time.Microsecond)
 }
 
-// File is that of the emulated platform's steps in a folder of logs.
+// File is the name of the file with the emulated platform's steps in a folder of logs.
 const File = "platform.log"
 
-// Read collects the steps of one request from a folder of logs, in their order: its own, and those of the
-// connection that it was read from, in the process that read it. Lines that are no steps are passed over.
+// Read collects the steps of a request from a folder of logs, ordered by time: those of the request itself, and
+// those of the connection from which a process read it, in that process. Lines that are not steps are skipped.
 func Read(dir, id string) ([]Step, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("trace: %s holds no logs", dir)
+		return nil, fmt.Errorf("trace: %s contains no files named *.log", dir)
 	}
 	var all []Step
 	for _, path := range files {
@@ -69,14 +70,14 @@
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, of(steps, id)...)
+		all = append(all, stepsOf(steps, id)...)
 	}
 	slices.SortStableFunc(all, func(x, y Step) int { return cmp.Compare(x.At, y.At) })
 	return all, nil
 }
 
-// of picks the steps of a request and of its connections.
-func of(steps []Step, id string) (some []Step) {
+// stepsOf selects the steps of a request and of its connections.
+func stepsOf(steps []Step, id string) (some []Step) {
 	type connection struct {
 		pid  int
 		name string
@@ -118,15 +119,15 @@
 	}
 }
 
-// Time is the moment of a step, by this process's clock.
+// Time converts a time of the monotonic clock to a time.Time of this process.
 func Time(monoMicroseconds int64) time.Time {
 	return time.Now().Add(time.Duration(monoMicroseconds-Now()) * time.Microsecond)
 }
 
-// marker is in each line that is a step, as the program writes it.
+// marker occurs in each log line that is a step, in the form in which the program writes it.
 var marker = []byte(`"cause":"` + Cause + `"`)
 
-// Parse reads a line of a program's log; false for one that is no step.
+// Parse parses a line of the program's log; ok is false if the line is not a step.
 func Parse(line []byte) (s Step, ok bool) {
 	if !bytes.Contains(line, marker) {
 		return s, false
@@ -134,7 +135,7 @@
 	return parse(line)
 }
 
-// parse reads a line; false for one that is no step.
+// parse parses a line without the check for marker; ok is false if the line is not a step.
 func parse(line []byte) (s Step, ok bool) {
 	if json.Unmarshal(line, &s) != nil || s.Cause != Cause {
 		return s, false
@@ -148,7 +149,7 @@
 	return s, true
 }
 
-// Print writes steps with their times since the first.
+// Print writes steps as text, with their times relative to the first.
 func Print(w io.Writer, steps []Step) {
 	for _, s := range steps {
 		fmt.Fprintf(w, "%+12.3f ms  %-9s %-12s %-10s", float64(s.At-steps[0].At)/1e3, s.Source, s.ID, s.Name)
--- a/internal/zone/report.go
+++ b/internal/zone/report.go
@@ -16,17 +16,17 @@
 	"time"
 )
 
-// Row is traffic of one class with one zone, in all or within a minute.
+// Row is the traffic of one class with one zone, in total or within one minute.
 type Row struct {
 	Minute  *time.Time `json:"minute,omitempty"`
-	Class   string     `json:"class"` // "none" for what no class is charged with
+	Class   string     `json:"class"` // "none" for traffic that belongs to no class
 	Partner string     `json:"partner,omitempty"`
 	Zone    string     `json:"zone"`
 	Crosses bool       `json:"crosses"`
 	Traffic
 }
 
-// Report is what a relay knows of its traffic between zones.
+// Report describes a relay's traffic between zones.
 type Report struct {
 	Relay   string    `json:"relay"`
 	Zone    string    `json:"zone"`
@@ -36,33 +36,33 @@
 	Budget  *State    `json:"budget,omitempty"`
 }
 
-// Reporter makes reports and keeps the minutes.
+// Reporter creates reports and records the traffic of each minute.
 type Reporter struct {
 	Relay                    string
 	Classes, Partners, Zones []string
 	Own                      int
 	Table                    *Table
-	Toll                     *Toll // nil without a budget
+	Toll                     *Toll // nil if there is no budget
 	Now                      func() time.Duration
-	// File takes each minute's rows as JSON lines; "" for none. Past MostFile bytes
-	// it is renamed to File.1, which replaces the one before.
+	// File is the path of the file to which each minute's rows are appended as JSON lines; "" for
+	// none. A file that would exceed MostFile bytes is renamed to File.1 and replaces the previous one.
 	File   string
-	Failed func(error) // told of a file that can't be written
+	Failed func(error) // called when the file can't be written; may be nil
 
 	mu      sync.Mutex
 	history *History
 }
 
-// MostFile bounds the file of minutes: there are two of them at most.
+// MostFile bounds the size of a file of minutes, in bytes; there are at most two such files.
 const MostFile = 16 << 20
 
-// keptMinutes is a day.
-const keptMinutes = 24 * 60
+// historyMinutes is the number of minutes that the history keeps: one day.
+const historyMinutes = 24 * 60
 
-// Run marks the minutes until ctx ends.
+// Run records each minute's traffic until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
 	r.mu.Lock()
-	r.history = NewHistory(r.Table, keptMinutes)
+	r.history = NewHistory(r.Table, historyMinutes)
 	r.mu.Unlock()
 	from := time.Now()
 	for {
@@ -77,7 +77,7 @@
 			r.history.Mark(from)
 			rows := r.history.Last()
 			r.mu.Unlock()
-			if err := r.keep(rows); err != nil && r.Failed != nil {
+			if err := r.appendToFile(rows); err != nil && r.Failed != nil {
 				r.Failed(err)
 			}
 			from = next
@@ -85,8 +85,8 @@
 	}
 }
 
-// keep appends the rows of a minute to the file, in one write.
-func (r *Reporter) keep(rows []Minute) error {
+// appendToFile appends the rows of a minute to the file, in one write.
+func (r *Reporter) appendToFile(rows []Minute) error {
 	if r.File == "" || len(rows) == 0 {
 		return nil
 	}
@@ -114,8 +114,8 @@
 	return Row{Minute: &m.From, Class: r.class(m.Class), Zone: r.Zones[m.Zone], Crosses: m.Zone != r.Own, Traffic: m.Traffic}
 }
 
-// Read reads a file of minutes. Lines that are not whole, as a crash may leave
-// one, are counted and left out.
+// Read reads a file of minutes. Invalid lines, such as one that a crash has truncated, are counted and
+// skipped.
 func Read(in io.Reader) (rows []Row, broken int, err error) {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 1<<20)
@@ -137,7 +137,7 @@
 	return r.Classes[i]
 }
 
-// Report is the state now.
+// Report returns a report of the current state.
 func (r *Reporter) Report() Report {
 	out := Report{Relay: r.Relay, Zone: r.Zones[r.Own], At: time.Now(), Totals: []Row{}, Minutes: []Row{}}
 	r.Table.Each(func(class, partner, zone int, x Traffic) {
@@ -158,7 +158,8 @@
 	return out
 }
 
-// Print writes a report as tables: by class and zone, then by minute.
+// Print writes the report as a table by class and zone, followed by the rows of each minute if minutes is
+// set, and the state of the budget.
 func (r *Report) Print(w io.Writer, minutes bool) {
 	fmt.Fprintf(w, "%s in zone %s at %s\n", r.Relay, r.Zone, r.At.Format(time.RFC3339))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/internal/zone/toll.go
+++ b/internal/zone/toll.go
@@ -8,34 +8,34 @@
 	"basaltcross.example/basaltcross/internal/budget"
 )
 
-// Toll stands between the core and the budget: it tells the module what
-// the book allows, and books sends that cross. Its methods are safe
-// for concurrent use, so that a report may look while the core runs.
+// Toll connects the core to the budget for traffic between zones: it returns what the account allows
+// each class to send, and reserves bytes for calls to other zones. Its methods are safe for concurrent
+// use, so that a report can be created while the core runs.
 type Toll struct {
 	own int
-	// Keep, if set before use, takes the levels of the book after each send that
-	// crosses; it must not block.
+	// Keep, if set before use, is called with the levels of the account after each reservation; it must
+	// not block.
 	Keep func(levels []float64)
 
 	mu    sync.Mutex
 	book  *budget.Book
-	dirty bool          // something was booked since
-	at    time.Duration // last told
+	dirty bool          // the account has changed since the last call of Tolls
+	at    time.Duration // time of the last call of Tolls that returned allowances
 }
 
-// refresh is how often the tolls are told anew while nothing is booked.
-const refresh = 20 * time.Millisecond
+// refreshInterval is the interval between updates of the allowances while the account does not change.
+const refreshInterval = 20 * time.Millisecond
 
-// NewToll makes one for a relay in zone own; below 0 all zones cost.
+// NewToll returns one for a relay in zone own. If own is below 0, traffic to every zone is charged.
 func NewToll(book *budget.Book, own int) *Toll {
 	return &Toll{own: own, book: book, dirty: true}
 }
 
-// Tolls are what the module is to know now; ok is false if it knows.
+// Tolls returns the current allowances; ok is false if they have not changed since the last call.
 func (t *Toll) Tolls(now time.Duration) (out choice.ZoneBudget, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.dirty && now-t.at < refresh {
+	if !t.dirty && now-t.at < refreshInterval {
 		return out, false
 	}
 	t.dirty, t.at = false, now
@@ -47,8 +47,8 @@
 	return out, true
 }
 
-// Sent books a send to a zone and returns what settles it by the bytes that
-// passed; nil where nothing crosses.
+// Sent reserves bytes for a call to a zone. It returns a function that settles the reservation with the
+// bytes that were transferred, or nil if the call stays in the relay's own zone.
 func (t *Toll) Sent(now time.Duration, class, partner, to int) func(now time.Duration, passed int64, whole bool) {
 	if to == t.own {
 		return nil
@@ -67,7 +67,7 @@
 	}
 }
 
-// Fleet says how many relays share the budget.
+// Fleet sets the number of relays that share the budget.
 func (t *Toll) Fleet(now time.Duration, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,7 +75,7 @@
 	t.dirty = true
 }
 
-// Resume goes on from the levels of an earlier run.
+// Resume restores the levels of an earlier run, saved the time ago before now.
 func (t *Toll) Resume(levels []float64, ago time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,16 +83,16 @@
 	t.dirty = true
 }
 
-// State is what the relay's part of the budget is at, bytes.
+// State is the state of the relay's share of the budget, in bytes.
 type State struct {
-	Have      float64 `json:"have"` // below 0 while overdrawn
+	Have      float64 `json:"have"` // current level; below 0 while overdrawn
 	Reserved  float64 `json:"reserved"`
 	Spent     float64 `json:"spent"`
 	Overdrawn float64 `json:"overdrawn"`
 	Beyond    float64 `json:"beyond_reserved"`
 }
 
-// State looks at the book.
+// State returns the current state of the account.
 func (t *Toll) State(now time.Duration) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -1,6 +1,7 @@
-// Package zone counts what passes between this relay's zone and those of
-// partners' endpoints: every byte handed to or read from a socket, by class,
-// partner and zone. Exact, not sampled: a counter is an atomic addition.
+// Package zone counts the traffic between this relay's zone and those of partners' endpoints: every
+// byte written to or read from a socket, by class, partner and zone. The counts are exact, not sampled,
+// since counting costs one atomic addition. The package also reports the traffic and connects the core
+// to the budget for traffic between zones.
 package zone
 
 import (
@@ -8,24 +9,23 @@
 	"time"
 )
 
-// Traffic is a count of bytes and calls.
+// Traffic holds counts of bytes and calls.
 type Traffic struct {
 	Out   int64 `json:"bytes_out"` // to partners
-	In    int64 `json:"bytes_in"`
-	Calls int64 `json:"calls"` // attempts of which a byte went out
+	In    int64 `json:"bytes_in"`  // from partners
+	Calls int64 `json:"calls"`     // attempts of which at least one byte was sent
 }
 
 type counter struct{ out, in, calls atomic.Int64 }
 
-// Table counts by class, partner and zone. It is safe for concurrent use.
-// Index -1 for the class stands for what no class can be charged with:
-// connection set-up, TLS handshakes, and bytes on idle connections.
+// Table counts traffic by class, partner and zone. It is safe for concurrent use. Class -1 holds the
+// traffic that belongs to no class: connection set-up, TLS handshakes, and bytes on idle connections.
 type Table struct {
 	classes, partners, zones int
 	cells                    []counter
 }
 
-// NewTable makes one of fixed size: a counter for each class, partner and zone.
+// NewTable returns a table of fixed size, with a counter for each class, partner and zone.
 func NewTable(classes, partners, zones int) *Table {
 	return &Table{classes, partners, zones, make([]counter, (classes+1)*partners*zones)}
 }
@@ -34,19 +34,22 @@
 	if class < 0 {
 		class = t.classes
 	}
-	if zone < 0 || zone >= t.zones { // an endpoint without a zone of the configuration
+	if zone < 0 || zone >= t.zones { // the endpoint's zone is not in the configuration
 		zone = 0
 	}
 	return &t.cells[(class*t.partners+partner)*t.zones+zone]
 }
 
-// Out and In count bytes, Call an attempt.
+// Out counts n bytes sent.
 func (t *Table) Out(class, partner, zone, n int) { t.cell(class, partner, zone).out.Add(int64(n)) }
-func (t *Table) In(class, partner, zone, n int)  { t.cell(class, partner, zone).in.Add(int64(n)) }
-func (t *Table) Call(class, partner, zone int)   { t.cell(class, partner, zone).calls.Add(1) }
 
-// Each calls f for every cell in which something passed; class is -1 for what
-// no class is charged with.
+// In counts n bytes received.
+func (t *Table) In(class, partner, zone, n int) { t.cell(class, partner, zone).in.Add(int64(n)) }
+
+// Call counts an attempt.
+func (t *Table) Call(class, partner, zone int) { t.cell(class, partner, zone).calls.Add(1) }
+
+// Each calls f for every cell that is not zero; class is -1 for traffic that belongs to no class.
 func (t *Table) Each(f func(class, partner, zone int, x Traffic)) {
 	for c := range t.classes + 1 {
 		class := c
@@ -64,30 +67,30 @@
 	}
 }
 
-// Minute is what passed within one minute, by class and zone.
+// Minute is the traffic of one class with one zone within one minute.
 type Minute struct {
 	From  time.Time
-	Class int // -1 for none
+	Class int // -1 for traffic that belongs to no class
 	Zone  int
 	Traffic
 }
 
-// History keeps the table's growth minute by minute, for so many minutes; the
-// oldest go first. It is not safe for concurrent use.
+// History keeps the table's traffic of the last maxMinutes minutes, minute by minute. It is not safe for
+// concurrent use.
 type History struct {
-	table *Table
-	most  int
-	last  map[[2]int]Traffic
-	rows  []Minute
-	mins  []int // rows of each minute kept, oldest first
+	table         *Table
+	maxMinutes    int
+	last          map[[2]int]Traffic
+	rows          []Minute
+	rowsPerMinute []int // number of rows of each minute, oldest first
 }
 
-// NewHistory keeps most minutes of a table.
-func NewHistory(t *Table, most int) *History {
-	return &History{table: t, most: most, last: map[[2]int]Traffic{}}
+// NewHistory returns a history of the last maxMinutes minutes of a table.
+func NewHistory(t *Table, maxMinutes int) *History {
+	return &History{table: t, maxMinutes: maxMinutes, last: map[[2]int]Traffic{}}
 }
 
-// Mark ends a minute that began at from.
+// Mark ends the minute that began at from and stores its traffic.
 func (h *History) Mark(from time.Time) {
 	sum := map[[2]int]Traffic{}
 	h.table.Each(func(class, _, zone int, x Traffic) {
@@ -106,19 +109,19 @@
 		}
 	}
 	h.last = sum
-	if h.mins = append(h.mins, n); len(h.mins) > h.most {
-		h.rows = h.rows[h.mins[0]:]
-		h.mins = h.mins[1:]
+	if h.rowsPerMinute = append(h.rowsPerMinute, n); len(h.rowsPerMinute) > h.maxMinutes {
+		h.rows = h.rows[h.rowsPerMinute[0]:]
+		h.rowsPerMinute = h.rowsPerMinute[1:]
 	}
 }
 
-// Last are the rows of the minute marked last.
+// Last returns the rows of the latest minute.
 func (h *History) Last() []Minute {
-	if len(h.mins) == 0 {
+	if len(h.rowsPerMinute) == 0 {
 		return nil
 	}
-	return append([]Minute(nil), h.rows[len(h.rows)-h.mins[len(h.mins)-1]:]...)
+	return append([]Minute(nil), h.rows[len(h.rows)-h.rowsPerMinute[len(h.rowsPerMinute)-1]:]...)
 }
 
-// Rows are the minutes kept, oldest first.
+// Rows returns the rows of all minutes kept, oldest first.
 func (h *History) Rows() []Minute { return append([]Minute(nil), h.rows...) }
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -36,7 +36,7 @@
 	r := &Reporter{Classes: []string{"c"}, Partners: []string{"p"}, Zones: []string{"near", "far"}, File: t.TempDir() + "/z"}
 	m := Minute{From: time.Now().Truncate(time.Minute), Class: 0, Zone: 1, Traffic: Traffic{Out: 5, In: 6, Calls: 1}}
 	for range 2 {
-		if err := r.keep([]Minute{m}); err != nil {
+		if err := r.appendToFile([]Minute{m}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -48,7 +48,7 @@
 	if err := os.Truncate(r.File, MostFile); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.keep([]Minute{m}); err != nil {
+	if err := r.appendToFile([]Minute{m}); err != nil {
 		t.Fatal(err)
 	}
 	if st, err := os.Stat(r.File); err != nil || st.Size() > 1000 {
