--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,5 +1,9 @@
-// Package keys holds certificates and keys: read from files, checked, replaced
-// while running, and made for tests and first steps.
+// Package keys loads TLS certificates, private keys and certificate authorities
+// from PEM files, checks them, and reloads files that change while the program
+// runs. It builds the TLS configurations of servers and clients from them.
+//
+// It also generates certificates and VAPID keys for tests and for trying the
+// program out.
 package keys
 
 import (
@@ -23,54 +27,61 @@
 	"time"
 )
 
-// Ring holds all certificates of a program and looks after their files.
-type Ring struct {
-	// Report is told what happened to a file: its expiry, or why it was not
-	// taken. What was in force stays in force.
+// CertStore holds the certificates and authorities of a program and reloads their files
+// when they change.
+type CertStore struct {
+	// Report, if set, is called when a certificate was first loaded, and after each
+	// attempt to reload a file: with the expiry of the certificate in use (zero for a
+	// file of authorities) and the error if the file was rejected. After an error the
+	// previous content stays in use.
 	Report func(file string, expires time.Time, err error)
 
 	mu    sync.Mutex
-	pairs []*Pair
-	pools []*Pool
+	pairs []*KeyPair
+	pools []*CAPool
 }
 
-// Pair is a certificate with its key.
-type Pair struct {
+// KeyPair is a certificate with its private key.
+type KeyPair struct {
 	CertFile, KeyFile string
 	cert              atomic.Pointer[tls.Certificate]
-	stamp             [2]stamp
-	tried             bool
+	versions          [2]fileVersion // of CertFile and KeyFile, when last loaded
+	statErrorReported bool           // the current failure to stat a file was reported
 }
 
-// Pool is a file of authorities.
-type Pool struct {
-	File  string
-	pool  atomic.Pointer[x509.CertPool]
-	stamp stamp
+// CAPool is a file of certificate authorities.
+type CAPool struct {
+	File    string
+	pool    atomic.Pointer[x509.CertPool]
+	version fileVersion
 }
 
-// stamp tells one content of a file from the next.
-type stamp struct {
+// fileVersion identifies a version of a file's content by its size, modification
+// time and inode.
+type fileVersion struct {
 	size int64
 	at   time.Time
 	node os.FileInfo
 }
 
-func stampOf(file string) (stamp, error) {
+func versionOf(file string) (fileVersion, error) {
 	st, err := os.Stat(file)
 	if err != nil {
-		return stamp{}, err
+		return fileVersion{}, err
 	}
-	return stamp{st.Size(), st.ModTime(), st}, nil
+	return fileVersion{st.Size(), st.ModTime(), st}, nil
 }
 
-func (s stamp) same(o stamp) bool {
+// equal reports whether s and o identify the same version. It is false if either is
+// zero.
+func (s fileVersion) equal(o fileVersion) bool {
 	return s.size == o.size && s.at.Equal(o.at) && s.node != nil && o.node != nil && os.SameFile(s.node, o.node)
 }
 
-// Pair reads a certificate and its key. It is an error if they do not match,
-// if the certificate is not valid now, or if everybody may read the key.
-func (r *Ring) Pair(certFile, keyFile string) (*Pair, error) {
+// LoadPair loads a certificate and its private key, once for each pair of files. It is
+// an error if they do not match, if the certificate is not valid now, or if the key
+// file's mode grants any access to others.
+func (r *CertStore) LoadPair(certFile, keyFile string) (*KeyPair, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pairs {
@@ -78,7 +89,7 @@
 			return p, nil
 		}
 	}
-	p := &Pair{CertFile: certFile, KeyFile: keyFile}
+	p := &KeyPair{CertFile: certFile, KeyFile: keyFile}
 	if err := p.load(time.Now()); err != nil {
 		return nil, err
 	}
@@ -87,11 +98,11 @@
 	return p, nil
 }
 
-// Pool reads a file of authorities.
-func (r *Ring) Pool(file string) (*Pool, error) {
+// LoadPool loads a file of certificate authorities.
+func (r *CertStore) LoadPool(file string) (*CAPool, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := &Pool{File: file}
+	p := &CAPool{File: file}
 	if err := p.load(); err != nil {
 		return nil, err
 	}
@@ -99,28 +110,31 @@
 	return p, nil
 }
 
-func (r *Ring) report(file string, expires time.Time, err error) {
+func (r *CertStore) report(file string, expires time.Time, err error) {
 	if r.Report != nil {
 		r.Report(file, expires, err)
 	}
 }
 
-// Cert is the certificate in force.
-func (p *Pair) Cert() *tls.Certificate { return p.cert.Load() }
+// Cert returns the certificate in use.
+func (p *KeyPair) Cert() *tls.Certificate { return p.cert.Load() }
 
-// Expires is when the one in force ends.
-func (p *Pair) Expires() time.Time { return p.Cert().Leaf.NotAfter }
+// Expires returns when the certificate in use expires.
+func (p *KeyPair) Expires() time.Time { return p.Cert().Leaf.NotAfter }
 
-// Pool is the set of authorities in force.
-func (p *Pool) Pool() *x509.CertPool { return p.pool.Load() }
+// CertPool returns the set of authorities in use.
+func (p *CAPool) CertPool() *x509.CertPool { return p.pool.Load() }
 
-func (p *Pair) load(now time.Time) error {
+// load reads, checks and puts into use the certificate and key; after an error the
+// previous ones stay in use.
+func (p *KeyPair) load(now time.Time) error {
 	st, err := os.Stat(p.KeyFile)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	if mode := st.Mode().Perm(); mode&0o007 != 0 {
-		return fmt.Errorf("keys: %s may be read by everybody (mode %04o): chmod 600 it", p.KeyFile, mode)
+		return fmt.Errorf("keys: private key %s is accessible to others (mode %04o), run chmod 600 on it",
+			p.KeyFile, mode)
 	}
 	cert, err := tls.LoadX509KeyPair(p.CertFile, p.KeyFile)
 	if err != nil {
@@ -138,79 +152,81 @@
 		return fmt.Errorf("keys: %s is not valid before %v", p.CertFile, cert.Leaf.NotBefore.UTC())
 	}
 	p.cert.Store(&cert)
-	p.stamp[0], _ = stampOf(p.CertFile)
-	p.stamp[1], _ = stampOf(p.KeyFile)
+	p.versions[0], _ = versionOf(p.CertFile)
+	p.versions[1], _ = versionOf(p.KeyFile)
 	return nil
 }
 
-func (p *Pool) load() error {
+func (p *CAPool) load() error {
 	text, err := os.ReadFile(p.File)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return fmt.Errorf("keys: %s holds no certificate in PEM", p.File)
+		return fmt.Errorf("keys: %s contains no PEM certificate", p.File)
 	}
 	p.pool.Store(pool)
-	p.stamp, _ = stampOf(p.File)
+	p.version, _ = versionOf(p.File)
 	return nil
 }
 
-// look is how often files are looked at.
-const look = time.Second
+// checkInterval is the interval at which files are checked for changes.
+const checkInterval = time.Second
 
-// Run takes replaced files into force until ctx ends. Connections that stand
-// are not touched. A file that cannot be taken leaves the old one in force, is
-// reported once, and is tried again when it changes.
-func (r *Ring) Run(ctx context.Context) {
-	tick := time.NewTicker(look)
+// Run reloads files that change until ctx ends. Established connections keep the
+// certificate that they were opened with. A file that cannot be loaded is reported
+// once and tried again when it changes; until then the old content stays in use.
+func (r *CertStore) Run(ctx context.Context) {
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			r.Look(now)
+			r.ReloadChanged(now)
 		}
 	}
 }
 
-// Look does what Run does each time.
-func (r *Ring) Look(now time.Time) {
+// ReloadChanged checks all files once and reloads those that have changed since they were
+// last loaded.
+func (r *CertStore) ReloadChanged(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range r.pairs {
-		cert, err1 := stampOf(p.CertFile)
-		key, err2 := stampOf(p.KeyFile)
-		if err1 == nil && err2 == nil && cert.same(p.stamp[0]) && key.same(p.stamp[1]) {
+		cert, err1 := versionOf(p.CertFile)
+		key, err2 := versionOf(p.KeyFile)
+		if err1 == nil && err2 == nil && cert.equal(p.versions[0]) && key.equal(p.versions[1]) {
 			continue
 		}
 		if err := errors.Join(err1, err2); err != nil {
-			if !p.tried {
+			if !p.statErrorReported {
 				r.report(p.CertFile, p.Expires(), err)
 			}
-			p.tried = true
+			p.statErrorReported = true
 			continue
 		}
-		p.tried = false
+		p.statErrorReported = false
 		err := p.load(now)
-		p.stamp = [2]stamp{cert, key} // one that could not be taken is not tried until it changes
+		p.versions = [2]fileVersion{cert, key} // a rejected file is not tried again until it changes
 		r.report(p.CertFile, p.Expires(), err)
 	}
 	for _, p := range r.pools {
-		if s, err := stampOf(p.File); err != nil || s.same(p.stamp) {
+		if s, err := versionOf(p.File); err != nil || s.equal(p.version) {
 			continue
 		}
 		err := p.load()
-		p.stamp, _ = stampOf(p.File)
+		p.version, _ = versionOf(p.File)
 		r.report(p.File, time.Time{}, err)
 	}
 }
 
-// Server is a configuration that follows the pair, and the authorities of
-// clients if any: TLS 1.2 is the floor.
-func Server(p *Pair, clients *Pool, require bool, protocols ...string) *tls.Config {
+// Server returns a server configuration, of TLS 1.2 or later, that presents the
+// pair's certificate in use. If clients is not nil, client certificates are verified
+// against its authorities in use, and required if require is set.
+func Server(p *KeyPair, clients *CAPool, require bool, protocols ...string) *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: protocols,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.Cert(), nil }}
 	if clients == nil {
@@ -220,13 +236,14 @@
 	if require {
 		base.ClientAuth = tls.RequireAndVerifyClientCert
 	}
-	base.ClientCAs = clients.Pool()
+	base.ClientCAs = clients.CertPool()
 	var mu sync.Mutex
 	now := base
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		mu.Lock()
 		defer mu.Unlock()
-		if pool := clients.Pool(); now.ClientCAs != pool { // tickets of the old authorities end with them
+		if pool := clients.CertPool(); now.ClientCAs != pool {
+			// A new Config, so that session tickets issued under the old authorities are void.
 			now = base.Clone()
 			now.ClientCAs = pool
 		}
@@ -235,37 +252,43 @@
 	return base
 }
 
-// Client is a configuration for calls: authorities (nil for the system's), an
-// own certificate (nil for none), and a cache of sessions to resume.
-func Client(ca *Pool, own *Pair, name string) func() *tls.Config {
+// Client returns a function that makes the client configuration of a connection, of
+// TLS 1.2 or later: with the authorities in ca (nil for the system's), the client
+// certificate in own (nil for none), and a shared cache of sessions to resume.
+func Client(ca *CAPool, own *KeyPair, name string) func() *tls.Config {
 	cache := tls.NewLRUClientSessionCache(64)
 	return func() *tls.Config {
 		c := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: name, ClientSessionCache: cache,
 			NextProtos: []string{"http/1.1"}}
 		if ca != nil {
-			c.RootCAs = ca.Pool()
+			c.RootCAs = ca.CertPool()
 		}
 		if own != nil {
-			c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return own.Cert(), nil }
+			c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+				return own.Cert(), nil
+			}
 		}
 		return c
 	}
 }
 
-// Authority makes certificates for tests and first steps.
+// Authority is a certificate authority that issues certificates for tests and for
+// trying the program out.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes one that is valid from an hour ago.
+// NewAuthority generates an authority whose certificate is valid from an hour ago
+// until lasts from now.
 func NewAuthority(name string, lasts time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
 	t := &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: name},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(lasts), IsCA: true, BasicConstraintsValid: true,
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(lasts),
+		IsCA: true, BasicConstraintsValid: true,
 		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
 	if err != nil {
@@ -275,21 +298,24 @@
 	return &Authority{cert, key}, err
 }
 
+// serial returns a random certificate serial number of up to 120 bits.
 func serial() *big.Int {
 	n, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	return n
 }
 
-// Pool holds the authority alone.
-func (a *Authority) Pool() *x509.CertPool {
+// CertPool returns a set that holds only this authority.
+func (a *Authority) CertPool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.cert)
 	return p
 }
 
-// Issue writes NAME.pem and NAME.key to a folder: a certificate for servers at
-// the hosts, or for the client of that name without any.
-func (a *Authority) Issue(dir, name string, from, to time.Time, hosts ...string) (certFile, keyFile string, err error) {
+// Issue writes a certificate and its key to NAME.pem and NAME.key in dir. With hosts
+// it is a server certificate for these names and addresses, else a client
+// certificate for name.
+func (a *Authority) Issue(dir, name string, from, to time.Time, hosts ...string) (certFile, keyFile string,
+	err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return "", "", err
@@ -315,7 +341,7 @@
 	return certFile, keyFile, err
 }
 
-// Save writes ca.pem and ca.key.
+// Save writes the authority's certificate and key to ca.pem and ca.key in dir.
 func (a *Authority) Save(dir string) error {
 	if err := writePEM(filepath.Join(dir, "ca.pem"), "CERTIFICATE", a.cert.Raw, 0o644); err != nil {
 		return err
@@ -323,6 +349,7 @@
 	return writeKey(filepath.Join(dir, "ca.key"), a.key)
 }
 
+// writeKey writes key to file in PKCS #8 form, readable by the owner only.
 func writeKey(file string, key *ecdsa.PrivateKey) error {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -331,7 +358,8 @@
 	return writePEM(file, "PRIVATE KEY", der, 0o600)
 }
 
-// writePEM replaces a file by renaming, so that no reader sees half of one.
+// writePEM writes a temporary file and renames it, so that no reader sees a
+// partially written file.
 func writePEM(file, kind string, der []byte, mode os.FileMode) error {
 	tmp := file + ".new"
 	if err := os.WriteFile(tmp, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), mode); err != nil {
@@ -340,9 +368,9 @@
 	return os.Rename(tmp, file)
 }
 
-// VAPID makes a key pair for application servers (RFC 8292): public as the
-// uncompressed point, private as the scalar, both base64url.
-func VAPID() (public, private string, err error) {
+// NewVAPIDKeys generates a key pair for an application server (RFC 8292). public is the
+// uncompressed point and private the scalar, both in base64url without padding.
+func NewVAPIDKeys() (public, private string, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return "", "", err
