--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -37,9 +37,9 @@
 // Close closes all connections.
 func (c *Client) Close() { c.engine.Stop() }
 
-// Move changes the agent's address. Requests in progress to the old address fail and are sent again
+// SetAddress changes the agent's address. Requests in progress to the old address fail and are sent again
 // to the new one.
-func (c *Client) Move(addr string) {
+func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr != c.addr {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -16,7 +16,8 @@
 	"basaltcross.example/basaltcross/internal/member"
 )
 
-// script serves connections one after the other, each with its function.
+// scriptedAgent accepts connections and serves the i-th one with the i-th function, further ones with
+// the last.
 func scriptedAgent(t *testing.T, each ...func(c net.Conn, q *http.Request)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,9 +52,9 @@
 
 const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// news keeps what a watch reports.
+// recordingReceiver records what a watch reports.
 type recordingReceiver struct {
-	reports chan map[string]string // uid: address and state
+	reports chan map[string]string // address, destination and draining, by uid
 	failed  chan error
 }
 
@@ -67,8 +68,8 @@
 func (n *recordingReceiver) ReportAlive()          {}
 func (n *recordingReceiver) ReportError(err error) { n.failed <- err }
 
-// A watch that ends, falls silent, or brings what cannot be read is opened again from
-// the revision it had; changes come in pieces, over chunks and lines.
+// Guards against a watch that is not reopened from its last revision after it ends, times out or sends
+// invalid data, and against changes lost because they are split over chunks and lines.
 func TestWatch(t *testing.T) {
 	var mu sync.Mutex
 	var after []string
@@ -80,22 +81,22 @@
 	entry := func(uid, at, state string) string {
 		return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":3,"state":%q,"capacity_hint":1}`, uid, at, state)
 	}
-	at := scriptedAgent(t, func(c net.Conn, q *http.Request) { // changes in pieces, then the end
+	at := scriptedAgent(t, func(c net.Conn, q *http.Request) { // a change in two chunks, then the end
 		asked(q)
 		line := `{"rev":7,"all":false,"targets":[` + entry("s1", "1.1.1.1:1", "draining") + "]}\n"
 		_, _ = io.WriteString(c, head)
 		chunk(c, "\n"+line[:30])
 		chunk(c, line[30:]+"\n\n")
 		_, _ = io.WriteString(c, "0\r\n\r\n")
-	}, func(c net.Conn, q *http.Request) { // the whole list, then nothing at all
+	}, func(c net.Conn, q *http.Request) { // the whole list, then no further data
 		asked(q)
 		_, _ = io.WriteString(c, head)
 		chunk(c, `{"rev":9,"all":true,"targets":[`+entry("s2", "1.1.1.2:1", "up")+","+entry("s3", "1.1.1.3:1", "up")+"]}\n")
-	}, func(c net.Conn, q *http.Request) { // noise
+	}, func(c net.Conn, q *http.Request) { // invalid JSON
 		asked(q)
 		_, _ = io.WriteString(c, head)
 		chunk(c, "{\"rev\":\n")
-	}, func(c net.Conn, q *http.Request) { // one is gone, one has moved
+	}, func(c net.Conn, q *http.Request) { // one host is removed, one has a new address
 		asked(q)
 		_, _ = io.WriteString(c, head)
 		chunk(c, `{"rev":10,"all":false,"targets":[`+entry("s2", "1.1.1.2:1", "removed")+","+entry("s3", "1.1.1.9:1", "up")+"]}\n")
@@ -110,7 +111,7 @@
 	defer cancel()
 	w := &Watch{Client: c, Known: List{Rev: 5, Targets: []Target{{UID: "s1", Endpoint: "1.1.1.1:1", Dest: 3, State: "up"}}}}
 	go w.Follow(ctx, n)
-	for i, want := range []string{"map[s1:1.1.1.1:1 3 true]", // what the agent has counts before the known list ever does
+	for i, want := range []string{"map[s1:1.1.1.1:1 3 true]", // the agent's list is reported before the known one
 		"map[s2:1.1.1.2:1 3 false s3:1.1.1.3:1 3 false]", "map[s3:1.1.1.9:1 3 false]"} {
 		select {
 		case m := <-n.reports:
@@ -118,23 +119,23 @@
 				t.Errorf("report %d: %v, want %s", i, m, want)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("report %d never came", i)
+			t.Fatalf("report %d did not come within 20 s", i)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if got := strings.Join(after, " "); got != "5 7 9 9" {
-		t.Errorf("watches from %s, want 5 7 9 9", got)
+		t.Errorf("watches opened from revisions %s, want 5 7 9 9", got)
 	}
 }
 
-// Notices are sent in order and in bounded batches until each was answered with 204,
-// over connections that break, refusals, and a new address.
+// Guards against notices that are lost, reordered or sent in batches that are too large, when connections
+// break, requests are refused and the agent's address changes.
 func TestNotices(t *testing.T) {
 	var mu sync.Mutex
 	var got []string
 	requests := 0
-	long := strings.Repeat("-", 900) // so that they do not fit into one request
+	long := strings.Repeat("-", 900) // so that the notices do not fit into one request
 	take := func(c net.Conn, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
 		mu.Lock()
@@ -165,7 +166,7 @@
 		n.Add(fmt.Sprint("b", i, long), ledger.Answer{Verdict: ledger.Refused, RetryAfter: 1500 * time.Microsecond})
 	}
 	if n.Room() {
-		t.Error("room at the bound")
+		t.Error("Room is true at the limit")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -174,17 +175,17 @@
 		<-tried
 	}
 	if len(over) != 0 {
-		t.Errorf("%d are over that nobody took", len(over))
+		t.Errorf("%d notices count as delivered that no agent accepted", len(over))
 	}
-	c.Move(scriptedAgent(t, take))
+	c.SetAddress(scriptedAgent(t, take))
 	for i := range 150 {
 		select {
 		case id := <-over:
 			if i == 0 && id != "dead" || i > 0 && id != fmt.Sprint("b", i-1, long) {
-				t.Fatalf("number %d is %s", i, id)
+				t.Fatalf("notice %d is %s", i, id)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("never handed over")
+			t.Fatal("a notice was not delivered within 20 s")
 		}
 	}
 	mu.Lock()
@@ -195,8 +196,7 @@
 	}
 }
 
-// Guards against notices that come too late because older ones are not answered: each is
-// sent in its time, whatever becomes of the others.
+// Guards against notices that are sent too late because older ones are not answered.
 func TestNoticesDoNotWaitBehindUnansweredOnes(t *testing.T) {
 	seen := make(chan string, 10_000)
 	mute := func(c net.Conn, q *http.Request) {
@@ -204,14 +204,14 @@
 		for line := range strings.Lines(string(body)) {
 			seen <- line
 		}
-		_, _ = io.Copy(io.Discard, c) // no answer, until the other side gives up
+		_, _ = io.Copy(io.Discard, c) // no answer until the client closes the connection
 	}
 	c, err := New(scriptedAgent(t, mute))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	n := NewNotices(c, 1000, func(id string) { t.Errorf("%s is over that nobody took", id) }, func(error) {})
+	n := NewNotices(c, 1000, func(id string) { t.Errorf("%s counts as delivered, but no agent accepted it", id) }, func(error) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	defer running.Wait()
--- a/internal/agent/ending_test.go
+++ b/internal/agent/ending_test.go
@@ -34,7 +34,7 @@
 	t.Cleanup(cancel)
 	kept := make(chan List, 100)
 	w := &Watch{Client: c, Known: List{Rev: 5, Targets: []Target{{UID: "s1", Endpoint: "1.1.1.1:1", Dest: 3, State: "up"}}},
-		Keep: func(l List) { kept <- l }}
+		OnList: func(l List) { kept <- l }}
 	go w.Follow(ctx, n)
 	return n, c, kept
 }
@@ -51,13 +51,13 @@
 	}
 }
 
-// However the lists of one connection are laid out: over lines, indented, in pieces of any
-// size, with braces within names; older revisions among them say nothing.
-func TestLayouts(t *testing.T) {
+// Guards against lists that are misread because of their layout: spread over lines, indented, in chunks
+// of any size, with braces inside names. Lists with older revisions must be ignored.
+func TestListLayouts(t *testing.T) {
 	text := "\n\n{\n  \"rev\": 6,\n  \"all\": false,\n  \"targets\": [\n    " + drain + "\n  ]\n}\n\n" +
-		`{"rev":4,"all":true,"targets":[` + up + `]}` + "\r\n" + // older than what is held: s1 stays a draining one
+		`{"rev":4,"all":true,"targets":[` + up + `]}` + "\r\n" + // older revision: s1 stays draining
 		`{"rev":7,"all":false,"targets":[{"uid":"{[\"\\","endpoint":"1.1.1.3:1","pod_group":5,"state":"up"}]}` + "\n \t\n" +
-		`{"rev":8,"all":true,"targets":[` + another + `]}` // without the line's end
+		`{"rev":8,"all":true,"targets":[` + another + `]}` // without a line feed
 	for _, size := range []int{1, 2, 7, 64, len(text)} {
 		at := scriptedAgent(t, func(c net.Conn, q *http.Request) {
 			_, _ = io.WriteString(c, head)
@@ -71,13 +71,14 @@
 		n.expectReport(t, "map[s2:1.1.1.2:1 4 false]")
 		<-kept
 		if l := <-kept; l.Rev != 7 || !l.All || len(l.Targets) != 2 {
-			t.Errorf("kept %+v", l)
+			t.Errorf("list passed on: %+v", l)
 		}
 	}
 }
 
-// The agent's first list counts before the known one ever does, however slowly it comes; the
-// known one counts by itself where the agent says nothing, refuses, or ends at once.
+// Guards against a known list that is reported before the agent's first one although the agent answers,
+// and against a known list that is never reported because the agent does not answer, refuses the
+// connection, or closes it at once.
 func TestFirstList(t *testing.T) {
 	refused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -108,15 +109,15 @@
 		chunk(c, `{"rev":6,"all":false,"targets":[`+drain+`]}`)
 	}))
 	if len(n.reports) != 0 {
-		t.Error("a list counts before the agent has spoken")
+		t.Error("a list was reported before the agent sent one")
 	}
 	close(begin)
 	n.expectReport(t, "map[s1:1.1.1.1:1 3 true]")
 }
 
-// A watch that brings half a list and then nothing, or an empty line and then nothing, is
-// opened anew, and the half is forgotten.
-func TestSilentWatches(t *testing.T) {
+// Guards against a watch that is not reopened when it stalls, after part of a list or after an empty
+// line, and against the partial list being used afterwards.
+func TestStalledWatches(t *testing.T) {
 	at := scriptedAgent(t, func(c net.Conn, q *http.Request) {
 		_, _ = io.WriteString(c, head)
 		chunk(c, `{"rev":5,"all":false,"targets":[]}`+"\n"+`{"rev":6,"all":true,"tar`)
@@ -140,8 +141,8 @@
 	n.expectReport(t, "map[s1:1.1.1.1:1 3 false s2:1.1.1.2:1 4 false]")
 }
 
-// full is an address where connections never come up: its queue of those not accepted yet
-// is full, and nobody accepts.
+// unresponsiveAddr returns an address where connecting never succeeds: its listener accepts nothing and
+// its queue is full.
 func unresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -160,7 +161,7 @@
 		t.Fatal(err)
 	}
 	at := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	for { // until one does not come up
+	for { // until a connection attempt times out
 		c, err := net.DialTimeout("tcp", at, 200*time.Millisecond)
 		if err != nil {
 			return at
@@ -169,19 +170,19 @@
 	}
 }
 
-// While a connection to the old address does not come up, the move to a new one is heard at
-// once: the watch and the notices go there without waiting for it.
+// Guards against a change of the agent's address that takes effect only after a pending connection
+// attempt to the old address has timed out, for the watch and for the notices.
 func TestMoveWhileConnecting(t *testing.T) {
 	at := unresponsiveAddr(t)
 	n, c, _ := follow(t, at)
-	n.expectReport(t, "map[s1:1.1.1.1:1 3 false]") // by now the second dial has begun, or soon will
+	n.expectReport(t, "map[s1:1.1.1.1:1 3 false]") // the second connection attempt has begun or is about to
 	over := make(chan string, 10)
 	notices := NewNotices(c, 10, func(id string) { over <- id }, func(error) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go notices.Run(ctx)
 	notices.Add("m1", ledger.Answer{Verdict: ledger.Failed})
-	c.Move(scriptedAgent(t, func(c net.Conn, q *http.Request) {
+	c.SetAddress(scriptedAgent(t, func(c net.Conn, q *http.Request) {
 		if q.Method == http.MethodPost {
 			_, _ = io.Copy(io.Discard, q.Body)
 			_, _ = io.WriteString(c, "HTTP/1.1 204 N\r\n\r\n")
@@ -192,17 +193,17 @@
 	}))
 	n.expectReport(t, "map[s1:1.1.1.1:1 3 true]")
 	if id := <-over; id != "m1" {
-		t.Errorf("%s is over", id)
+		t.Errorf("%s was delivered, want m1", id)
 	}
 	for len(n.failed) > 0 {
 		if err := <-n.failed; err == errTimeout {
-			t.Errorf("%v after the move", err)
+			t.Errorf("%v after the change of address", err)
 		}
 	}
 }
 
-// A notice on a kept connection that takes it and never answers, or ends without, goes out
-// again on a new one, and its message is over only then.
+// Guards against a notice that is lost, or counts as delivered, when its connection breaks or never
+// answers: it must be sent again on a new connection.
 func TestNoticesOnABrokenConnection(t *testing.T) {
 	for name, second := range map[string]func(c net.Conn, q *http.Request){
 		"silent": func(net.Conn, *http.Request) {},
@@ -220,7 +221,7 @@
 			var asked atomic.Int32
 			at := scriptedAgent(t, func(c net.Conn, q *http.Request) {
 				line, _ := bufio.NewReader(q.Body).ReadString('\n')
-				if asked.Add(1) == 2 { // the second notice, on the connection of the first
+				if asked.Add(1) == 2 { // the first request with the second notice
 					refs <- "lost " + line
 					second(c, q)
 					return
@@ -241,7 +242,7 @@
 			for _, id := range []string{"a", "b"} {
 				n.Add(id, ledger.Answer{Verdict: ledger.Failed})
 				if got := <-over; got != id {
-					t.Errorf("%s is over, want %s", got, id)
+					t.Errorf("%s was delivered, want %s", got, id)
 				}
 			}
 			line := func(id string) string { return fmt.Sprintf("{\"ref\":%q,\"result\":\"dead\"}\n", id) }
--- a/internal/agent/notices.go
+++ b/internal/agent/notices.go
@@ -136,18 +136,18 @@
 }
 
 // nextBatch returns the notices for the next request, oldest first, and the request's body.
-func (n *Notices) nextBatch() (nextBatch []notice, body []byte) {
+func (n *Notices) nextBatch() (batch []notice, body []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, one := range n.queue {
-		line, _ := json.Marshal(one) // strings and integers only: it cannot fail
+		line, _ := json.Marshal(one) // cannot fail: validated strings and integers
 		if len(body)+len(line) >= maxBatchBytes {
 			break
 		}
 		body = append(append(body, line...), '\n')
-		nextBatch = append(nextBatch, one)
+		batch = append(batch, one)
 	}
-	return nextBatch, body
+	return batch, body
 }
 
 // post sends one batch on a new connection, so that whatever is received there can only be the
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -50,10 +50,10 @@
 
 // Watch is a directory.Source that watches the agent's list of hosts.
 type Watch struct {
-	Client *Client
-	Known  List           // list known at the start, from an earlier run or the configuration
-	Told   func(dest int) // called for each destination that a list names; may be nil
-	Keep   func(List)     // called with the whole list each time it has changed; may be nil
+	Client        *Client
+	Known         List           // list known at the start, from an earlier run or the configuration
+	OnDestination func(dest int) // called for each destination that a list names; may be nil
+	OnList        func(List)     // called with the whole list each time it has changed; may be nil
 
 	list       map[string]Target
 	rev        int64
@@ -233,12 +233,12 @@
 	w.rev = l.Rev
 	w.apply(l.Targets)
 	w.report(to)
-	if w.Keep != nil && (l.All || len(l.Targets) > 0) {
+	if w.OnList != nil && (l.All || len(l.Targets) > 0) {
 		all := List{Rev: w.rev, All: true, Targets: make([]Target, 0, len(w.list))}
 		for _, uid := range slices.Sorted(maps.Keys(w.list)) {
 			all.Targets = append(all.Targets, w.list[uid])
 		}
-		w.Keep(all)
+		w.OnList(all)
 	}
 	return nil
 }
@@ -259,8 +259,8 @@
 	w.reported = true
 	r := member.Report{Fresh: true, Entries: make([]member.Entry, 0, len(w.list))}
 	for _, t := range w.list {
-		if w.Told != nil {
-			w.Told(t.Dest)
+		if w.OnDestination != nil {
+			w.OnDestination(t.Dest)
 		}
 		r.Entries = append(r.Entries, member.Entry{ID: t.UID, Addr: t.UID, Addrs: []string{t.Endpoint}, Partner: strconv.Itoa(t.Dest),
 			Kind: t.Kind, Zone: t.Zone, Rate: t.Rate, Draining: t.State != "up"})
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -65,12 +65,12 @@
 }
 
 // reachedAt returns the time at which the bucket reaches a level; math.MaxInt64 if it never does.
-func (b *bucket) reachedAt(now time.Duration, level float64) time.Duration {
-	missing := level - b.level
+func (b *bucket) reachedAt(now time.Duration, target float64) time.Duration {
+	missing := target - b.level
 	switch {
 	case missing <= 0:
 		return now
-	case level > b.size || b.rate <= 0:
+	case target > b.size || b.rate <= 0:
 		return math.MaxInt64
 	}
 	return now + time.Duration(math.Ceil(missing/b.rate*1e9))
@@ -88,15 +88,15 @@
 	s.mean += smoothing * (n - s.mean)
 }
 
-// Grant is a reservation of bytes for one exchange.
-type Grant struct {
+// Reservation is a reservation of bytes for one exchange.
+type Reservation struct {
 	class, partner int
 	bytes          float64
 	overdrawn      bool // the bucket was drawn below zero
 }
 
-// Book is one relay's share of a budget. It is not safe for concurrent use.
-type Book struct {
+// Account is one relay's share of a budget. It is not safe for concurrent use.
+type Account struct {
 	settings Settings
 	fleet    int
 	total    bucket
@@ -114,7 +114,7 @@
 }
 
 // New returns the share of one relay in a fleet of the given size.
-func New(s Settings, fleet int) (*Book, error) {
+func New(s Settings, fleet int) (*Account, error) {
 	switch {
 	case s.Bytes <= 0 || s.Window <= 0:
 		return nil, fmt.Errorf("budget: %v bytes over %v, both must be above 0", s.Bytes, s.Window)
@@ -127,16 +127,16 @@
 	case s.First <= 0:
 		return nil, fmt.Errorf("budget: first size is %v, must be above 0", s.First)
 	}
-	b := &Book{settings: s, sizes: map[[2]int]*sizeEstimate{}, largest: make([]float64, len(s.Classes))}
+	b := &Account{settings: s, sizes: map[[2]int]*sizeEstimate{}, largest: make([]float64, len(s.Classes))}
 	for i := range b.largest {
 		b.largest[i] = s.First
 	}
-	b.resize(fleet)
+	b.setFleet(fleet)
 	return b, nil
 }
 
-// resize sets the sizes of the buckets for a fleet. They keep their levels, as far as these fit.
-func (b *Book) resize(fleet int) {
+// setFleet sets the sizes of the buckets for a fleet. They keep their levels, as far as these fit.
+func (b *Account) setFleet(fleet int) {
 	b.fleet = fleet
 	n := float64(fleet)
 	resize := func(k *bucket, bytes float64) {
@@ -170,23 +170,23 @@
 
 // Fleet sets the number of relays that share the budget. Too small a number would overspend the budget,
 // so callers should report failed relays late and new ones early.
-func (b *Book) Fleet(now time.Duration, n int) {
+func (b *Account) Fleet(now time.Duration, n int) {
 	if b.advance(now); n >= 1 && n != b.fleet {
-		b.resize(n)
+		b.setFleet(n)
 	}
 }
 
-// Lower changes the budget, up or down, at a reload. Bytes spent stay spent; a bucket that holds more
+// SetBytes changes the budget, as after a reload of the configuration. Bytes spent stay spent; a bucket that holds more
 // than its new size loses the excess.
-func (b *Book) Lower(now time.Duration, bytes float64) {
+func (b *Account) SetBytes(now time.Duration, bytes float64) {
 	if b.advance(now); bytes > 0 {
 		b.settings.Bytes = bytes
-		b.resize(b.fleet)
+		b.setFleet(b.fleet)
 	}
 }
 
 // advance refills the buckets up to now. A time before the latest one counts as the latest one.
-func (b *Book) advance(now time.Duration) {
+func (b *Account) advance(now time.Duration) {
 	b.now = max(b.now, now)
 	b.total.fill(b.now)
 	for i := range b.byClass {
@@ -197,25 +197,25 @@
 }
 
 // Estimate returns the estimated size of the next exchange, both ways, in bytes.
-func (b *Book) Estimate(class, partner int) float64 {
+func (b *Account) Estimate(class, partner int) float64 {
 	if s := b.sizes[[2]int{class, partner}]; s != nil && s.mean > 0 {
 		return s.mean + deviations*s.dev
 	}
 	return b.largest[class]
 }
 
-// Toll is what a class may send now. An exchange takes Cost; it must not draw the bucket below Floor
+// Allowance is what a class may send now. An exchange takes Cost; it must not draw the bucket below Floor
 // (below Urgent if its message is short of time), nor the class's own bucket, which holds Own, below 0.
-type Toll struct {
+type Allowance struct {
 	Cost, Floor, Urgent, Own float64
 	Again                    time.Duration // time at which Floor and Own allow an exchange; math.MaxInt64 for never
 }
 
-// Tolls returns the level of the bucket and what each class may draw from it.
-func (b *Book) Tolls(now time.Duration) (left float64, classes []Toll) {
+// Allowances returns the level of the bucket and what each class may draw from it.
+func (b *Account) Allowances(now time.Duration) (left float64, classes []Allowance) {
 	b.advance(now)
 	for i, c := range b.settings.Classes {
-		t := Toll{Cost: b.largest[i], Floor: b.minLevel(i), Own: math.Inf(1)}
+		t := Allowance{Cost: b.largest[i], Floor: b.minLevel(i), Own: math.Inf(1)}
 		t.Urgent = math.Min(0, t.Floor)
 		t.Again = b.total.reachedAt(b.now, t.Floor+t.Cost)
 		if c.Limit > 0 {
@@ -228,7 +228,7 @@
 }
 
 // minLevel returns the level down to which a class may draw the bucket.
-func (b *Book) minLevel(class int) float64 {
+func (b *Account) minLevel(class int) float64 {
 	if o := b.settings.Classes[class].Overdraft; o > 0 {
 		return -o / float64(b.fleet)
 	}
@@ -237,9 +237,9 @@
 
 // Reserve reserves bytes for a send that package choice has decided on by the allowances. It never
 // refuses: the allowances had room, and the send has already been made.
-func (b *Book) Reserve(now time.Duration, class, partner int) Grant {
+func (b *Account) Reserve(now time.Duration, class, partner int) Reservation {
 	b.advance(now)
-	g := Grant{class: class, partner: partner, bytes: b.largest[class]}
+	g := Reservation{class: class, partner: partner, bytes: b.largest[class]}
 	b.total.level -= g.bytes
 	b.byClass[class].level -= g.bytes
 	if g.overdrawn = b.total.level < 0; g.overdrawn {
@@ -252,7 +252,7 @@
 // Settle ends a reservation with the bytes that were transferred. A surplus returns to the bucket; a
 // deficit is taken from it. The size of an exchange that was cut off (whole is false) does not enter the
 // estimate unless it exceeds the reservation.
-func (b *Book) Settle(now time.Duration, g Grant, passed int64, whole bool) {
+func (b *Account) Settle(now time.Duration, g Reservation, passed int64, whole bool) {
 	b.advance(now)
 	n := float64(passed)
 	b.Reserved -= g.bytes
@@ -284,7 +284,7 @@
 }
 
 // Levels returns the levels of the buckets for Resume: the shared one, then those of the classes.
-func (b *Book) Levels() []float64 {
+func (b *Account) Levels() []float64 {
 	out := []float64{b.total.level}
 	for _, k := range b.byClass {
 		out = append(out, k.level)
@@ -294,7 +294,7 @@
 
 // Resume restores the levels of an earlier run, saved the time ago before now, so that bytes spent then
 // stay spent. If the number of classes differs, only the shared bucket is restored.
-func (b *Book) Resume(levels []float64, ago time.Duration) {
+func (b *Account) Resume(levels []float64, ago time.Duration) {
 	resume := func(k *bucket, have float64) {
 		k.level = math.Min(k.size, have+k.rate*max(0, ago).Seconds())
 	}
@@ -308,8 +308,8 @@
 	}
 }
 
-// Have returns the level of the relay's bucket in bytes; below 0 while it is overdrawn.
-func (b *Book) Have(now time.Duration) float64 {
+// Level returns the level of the relay's bucket in bytes; below 0 while it is overdrawn.
+func (b *Account) Level(now time.Duration) float64 {
 	b.advance(now)
 	return b.total.level
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -12,9 +12,9 @@
 		{Worth: 1}, {Worth: 2, Limit: 20000}, {Worth: 5, Overdraft: 8000}}}
 }
 
-// Over any window, wherever it begins, what passed and what is reserved grow by
-// at most the budget, the overdraft, and what exchanges were larger than
-// reserved; whatever the schedule of sends, sizes, ends and clock steps.
+// Guards against overspending: over any window, wherever it begins, the bytes transferred and reserved
+// must grow by at most the budget, the overdraft, and the excess of exchanges over their reservations,
+// for any sequence of sends, sizes, ends and clock steps.
 func TestBudgetIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := settings()
@@ -26,15 +26,15 @@
 		larger := rapid.SampledFrom([]float64{1, 1, 3}).Draw(t, "larger")
 		type mark struct {
 			at   time.Duration
-			used float64 // passed and reserved since the beginning
+			used float64 // bytes transferred and reserved since the start
 		}
 		var marks []mark
-		var out []Grant
+		var out []Reservation
 		now := time.Duration(0)
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(-50, 900).Draw(t, "ms")) * time.Millisecond
-			left, tolls := b.Tolls(now)
-			for range rapid.IntRange(0, 40).Draw(t, "sends") { // as the module does: any class, urgent or not
+			left, tolls := b.Allowances(now)
+			for range rapid.IntRange(0, 40).Draw(t, "sends") { // as package choice does: any class, urgent or not
 				class := rapid.IntRange(0, 2).Draw(t, "class")
 				k := &tolls[class]
 				floor := k.Floor
@@ -55,7 +55,7 @@
 			marks = append(marks, mark{b.now, b.Spent + b.Reserved})
 		}
 		if larger == 1 && b.Beyond > 0 {
-			t.Fatalf("beyond %v", b.Beyond)
+			t.Fatalf("Beyond is %v, want 0", b.Beyond)
 		}
 		bound := (s.Bytes+8000)/float64(fleet) + b.Beyond + 1
 		for i, from := range marks {
@@ -68,12 +68,12 @@
 	})
 }
 
-// A spent budget stops the cheap class first, then the next; the one that must
-// not be stopped goes on into its overdraft, which later traffic pays back.
-func TestWhoIsStopped(t *testing.T) {
+// Guards against stopping classes in the wrong order when the budget runs out: the class of the lowest
+// worth must stop first. The class with an overdraft draws on it, and later traffic pays that back.
+func TestOrderInWhichClassesStop(t *testing.T) {
 	b, _ := New(settings(), 1)
 	open := func(now time.Duration, class int, urgent bool) bool {
-		left, tolls := b.Tolls(now)
+		left, tolls := b.Allowances(now)
 		k := tolls[class]
 		if urgent {
 			return left-k.Cost >= k.Urgent
@@ -81,10 +81,10 @@
 		return left-k.Cost >= k.Floor && k.Own >= k.Cost
 	}
 	var stopped [3]float64
-	for range 60 { // thousand-byte sends of the worthiest class, far into its overdraft
+	for range 60 { // sends of 1000 bytes by the class of the highest worth, far into its overdraft
 		for class := range 3 {
 			if !open(0, class, false) && stopped[class] == 0 {
-				stopped[class] = b.Have(0)
+				stopped[class] = b.Level(0)
 			}
 		}
 		if open(0, 2, false) {
@@ -94,51 +94,50 @@
 	if !(stopped[0] > stopped[1] && stopped[1] > stopped[2] && stopped[2] < -6000 && stopped[2] >= -8000) {
 		t.Fatalf("stopped at %v", stopped)
 	}
-	_, tolls := b.Tolls(0)
+	_, tolls := b.Allowances(0)
 	again := tolls[0].Again
 	if open(0, 0, true) || again < 4*time.Second {
-		t.Errorf("the cheap class is open again at %v", again)
+		t.Errorf("the class of the lowest worth may send again at %v", again)
 	}
 	if open(again-10*time.Millisecond, 0, false) || !open(again, 0, false) {
-		t.Error("it does not open at the time told")
+		t.Error("the class may not send again exactly at the reported time")
 	}
 	if b.Overdrawn < 6000 || b.Overdrawn > 8000 {
 		t.Errorf("overdrawn by %v", b.Overdrawn)
 	}
 }
 
-// Answers grow: the estimate follows within some exchanges. A budget lowered
-// below what is spent, and a fleet that changes, give nothing away.
-func TestSizesAndChanges(t *testing.T) {
+// Guards against an estimate that does not follow growing exchanges, and against bytes gained when the
+// budget is lowered below what is spent, when it is raised again, and when the fleet changes.
+func TestEstimateAndBudgetChanges(t *testing.T) {
 	b, _ := New(settings(), 2)
 	for range 30 {
 		b.Settle(time.Hour, b.Reserve(time.Hour, 0, 7), 5000, true)
 	}
 	if e := b.Estimate(0, 7); e < 5000 || e > 8000 {
-		t.Errorf("estimate %v after thirty of 5000", e)
+		t.Errorf("estimate is %v after 30 exchanges of 5000 bytes", e)
 	}
 	e := b.Estimate(0, 7)
 	b.Settle(time.Hour, b.Reserve(time.Hour, 0, 7), 10, false)
 	if b.Estimate(0, 7) != e {
-		t.Error("an exchange that was cut off shrank the estimate")
+		t.Error("an exchange that was cut off changed the estimate")
 	}
 	at := 2 * time.Hour
-	full := b.Have(at)
-	b.Lower(at, 6000)
-	if have := b.Have(at); have > 1500 || full != 15000 {
-		t.Errorf("%v before, %v after it was lowered", full, have)
+	full := b.Level(at)
+	b.SetBytes(at, 6000)
+	if have := b.Level(at); have > 1500 || full != 15000 {
+		t.Errorf("level is %v before and %v after the budget was lowered", full, have)
 	}
-	b.Lower(at, 60000)
-	if b.Fleet(at, 10); b.Have(at) > 1500 {
-		t.Errorf("raised anew it holds %v at once", b.Have(at))
+	b.SetBytes(at, 60000)
+	if b.Fleet(at, 10); b.Level(at) > 1500 {
+		t.Errorf("level is %v right after the budget was raised again", b.Level(at))
 	}
-	if b.Have(at-time.Hour) > b.Have(at) {
-		t.Error("a clock that runs backwards fills it")
+	if b.Level(at-time.Hour) > b.Level(at) {
+		t.Error("a clock that runs backwards fills the bucket")
 	}
 }
 
-// A relay that crashes and comes back, again and again, spends no more than one
-// that runs on: over any window no more than the budget.
+// Guards against a relay that exceeds the budget over some window by crashing and restarting repeatedly.
 func TestResume(t *testing.T) {
 	set := Settings{Bytes: 10_000, Window: 10 * time.Second, Burst: 0.25, Held: 0, First: 100, Classes: []Class{{Worth: 1}}}
 	var spent []time.Duration
@@ -148,11 +147,11 @@
 	}
 	start := time.Duration(0)
 	for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond {
-		if left, k := b.Tolls(now - start); left-k[0].Cost >= k[0].Floor {
+		if left, k := b.Allowances(now - start); left-k[0].Cost >= k[0].Floor {
 			b.Settle(now-start, b.Reserve(now-start, 0, 0), 100, true)
 			spent = append(spent, now)
 		}
-		if now%(700*time.Millisecond) == 0 { // a crash, half a second away
+		if now%(700*time.Millisecond) == 0 { // a crash, and a restart half a second later
 			levels := b.Levels()
 			if b, err = New(set, 1); err != nil {
 				t.Fatal(err)
@@ -170,10 +169,10 @@
 			}
 		}
 		if float64(n*100) > set.Bytes {
-			t.Fatalf("%d bytes in a window from %v", n*100, from)
+			t.Fatalf("%d bytes in the window from %v", n*100, from)
 		}
 	}
 	if len(spent) < 300 {
-		t.Errorf("%d exchanges only", len(spent))
+		t.Errorf("%d exchanges, want 300 or more", len(spent))
 	}
 }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -240,7 +240,7 @@
 	c.opt.Trace.Step(m.Identity, "send", s.Host)
 	c.inFlight[a] = struct{}{}
 	if c.opt.ZoneBudget != nil {
-		a.settleBytes = c.opt.ZoneBudget.Sent(c.now, m.Class, m.Partner, a.zone)
+		a.settleBytes = c.opt.ZoneBudget.Reserve(c.now, m.Class, m.Partner, a.zone)
 	}
 	return a
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -153,12 +153,12 @@
 // ZoneBudget is the budget for traffic between zones: it says which zones are open to a class
 // and accounts for the bytes that cross.
 type ZoneBudget interface {
-	// Tolls returns the current costs for the module, and false if they have not changed.
-	Tolls(now time.Duration) (choice.ZoneBudget, bool)
-	// Sent reserves the cost of a call and returns the function that replaces the reservation
+	// Allowances returns what each class may send now, and false if that has not changed.
+	Allowances(now time.Duration) (choice.ZoneBudget, bool)
+	// Reserve reserves the cost of a call and returns the function that replaces the reservation
 	// by the bytes that passed; nil if nothing is accounted. whole is true if the response
 	// was received.
-	Sent(now time.Duration, class, partner, zone int) func(now time.Duration, passed int64, whole bool)
+	Reserve(now time.Duration, class, partner, zone int) func(now time.Duration, passed int64, whole bool)
 }
 
 // Journal makes records durable. journal.Journal and journal.Log implement it. Its methods do not block.
@@ -586,7 +586,7 @@
 		c.batch = append(c.batch, choice.Woken{})
 	}
 	if c.opt.ZoneBudget != nil {
-		if news, ok := c.opt.ZoneBudget.Tolls(c.now); ok {
+		if news, ok := c.opt.ZoneBudget.Allowances(c.now); ok {
 			c.batch = append(c.batch, news)
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -154,7 +154,7 @@
 	index int
 	zone  int
 	core  *core.Core
-	toll  *zone.Toll
+	toll  *zone.Budget
 	dead  bool
 	wake  time.Duration // the next step that is scheduled
 	armed bool
@@ -182,7 +182,7 @@
 	if s.Size != nil {
 		believed = s.Size.configured(s.Relays)
 	}
-	var purse *budget.Book
+	var purse *budget.Account
 	for i := range s.Relays {
 		r := &relay{w: w, index: i, zone: i % s.Zones}
 		opt := core.Options{Seed: s.Seed + uint64(i), InboxSize: 1 << 20, Identities: 1 << 20,
@@ -214,7 +214,7 @@
 			if s.How == Blind {
 				own = -1
 			}
-			r.toll = zone.NewToll(book, own)
+			r.toll = zone.NewBudget(book, own)
 			opt.ZoneBudget = r.toll
 		}
 		var err error
--- a/internal/obs/obs.go
+++ b/internal/obs/obs.go
@@ -208,8 +208,8 @@
 	r.logLimited(zerolog.WarnLevel, "partner handshake", host+": "+err.Error())
 }
 
-// Warn sets how long before the expiry of a certificate a warning is logged.
-func (r *Relay) Warn(ahead time.Duration) { r.expiryWarning = ahead }
+// SetExpiryWarning sets how long before the expiry of a certificate a warning is logged.
+func (r *Relay) SetExpiryWarning(ahead time.Duration) { r.expiryWarning = ahead }
 
 // Certificate reports that a certificate has been loaded, or why it could not be.
 func (r *Relay) Certificate(file string, expires time.Time, err error) {
@@ -238,9 +238,9 @@
 	r.gauges["endpoints"].Set(float64(endpoints))
 }
 
-// Unlisted counts and logs a source that failed or an entry that cannot be used; the valid part of the
+// ListError counts and logs a source that failed or an entry that cannot be used; the valid part of the
 // list stays in force.
-func (r *Relay) Unlisted(source string, err error) {
+func (r *Relay) ListError(source string, err error) {
 	r.listReadings.WithLabelValues("broken").Inc()
 	r.logLimited(zerolog.ErrorLevel, "list "+source, err.Error())
 }
@@ -312,8 +312,8 @@
 	return l.Addr(), nil
 }
 
-// Serves adds a path to the metrics listener that returns a report as JSON.
-func (r *Relay) Serves(path string, report func() any) {
+// AddReport adds a path to the metrics listener that returns a report as JSON.
+func (r *Relay) AddReport(path string, report func() any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.reports == nil {
@@ -333,7 +333,7 @@
 
 // Zones registers the counters of traffic between zones and serves their report at /zones.
 func (r *Relay) Zones(t *zone.Table, zones []string, report func() any) {
-	r.Serves("/zones", report)
+	r.AddReport("/zones", report)
 	r.registry.MustRegister(&zoneCollector{t, r.classes, zones,
 		prometheus.NewDesc("basaltcross_zone_bytes_total", "Bytes between this relay and endpoints, by their zone.",
 			[]string{"class", "zone", "direction"}, nil),
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -19,13 +19,13 @@
 	"basaltcross.example/basaltcross/internal/agent"
 )
 
-// What the agent has counts from the first moment of a process: a message that a restart
-// found is not sent to a host that drained meanwhile, though the configuration's list still
-// has it as up.
-func TestAgentBeforeTheFirstSend(t *testing.T) {
+// Guards against a restarted node that sends a message of the run before to a host that has begun
+// to drain meanwhile, because the list in the configuration still has that host as up. The agent's
+// list must be in force before the first send.
+func TestAgentListBeforeFirstSend(t *testing.T) {
 	s := newFakePlatform(t, "small", "small")
 	s.hosts[1].uid = "s-1"
-	s.list.Targets[1].Dest = 0 // both serve one destination
+	s.list.Targets[1].Dest = 0 // both hosts serve destination 0
 	s.say(0, func(string) (int, bool) { return 503, false })
 	s.say(1, func(string) (int, bool) { return 503, false })
 	addr := freeAddr(t)
@@ -33,14 +33,14 @@
 	c := s.client()
 	for i := range 10 {
 		if !c.handIn(addr, fmt.Sprint("sure", i), "notice", 0, "", nil) {
-			t.Fatal("not taken")
+			t.Fatal("message not accepted")
 		}
 	}
 	_ = p.end(t, syscall.SIGKILL)
 	var early atomic.Int32
 	s.say(0, func(string) (int, bool) { early.Add(1); return 200, true })
 	s.say(1, func(string) (int, bool) { return 200, true })
-	s.config(addr, "") // knows both as up
+	s.config(addr, "") // lists both hosts as up
 	s.updateList(func(l *agent.List) {
 		l.Targets = append(l.Targets[:0:0], l.Targets...)
 		l.Targets[0].State = "draining"
@@ -48,11 +48,11 @@
 	s.startConfigured(addr)
 	s.waitSettled()
 	if n := early.Load(); n > 0 {
-		t.Errorf("%d calls to a host that the agent had as draining", n)
+		t.Errorf("%d calls to a host that the agent listed as draining", n)
 	}
 }
 
-// A message's key for repeats outlives the process: the calls after a restart carry it too.
+// Guards against a restart that loses a message's idempotency key: calls after it must carry the key too.
 func TestIdempotencyKeySurvives(t *testing.T) {
 	s := newFakePlatform(t, "small")
 	var mu sync.Mutex
@@ -88,14 +88,14 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if !keys["200 key-1"] || keys["200 "] {
-		t.Errorf("calls with %v", keys)
+		t.Errorf("status and idempotency key of the calls: %v", keys)
 	}
 }
 
-// What a relay was told lasts: where the agent is silent after a restart, the list that the
-// last run heard counts, and not an older one in the configuration. A file that cannot be
-// read, or one that is older than the configuration's list, counts for nothing.
-func TestListSurvives(t *testing.T) {
+// Guards against a restarted node that uses the configuration's outdated host list while the agent does
+// not answer: it must use the list saved by the run before. A saved list that is invalid, or older than
+// the configuration's, must not be used.
+func TestHostListSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	var failed error
 	h := newHostListFile(dir, 400, func(err error) { failed = err })
@@ -113,17 +113,17 @@
 			t.Errorf("%s: revision %d, %v; want %d, failed %v", what, l.Rev, err, want, failed)
 		}
 	}
-	check("none kept", 5, false)
+	check("no saved list", 5, false)
 	for _, rev := range []int64{4, 7, 9} {
 		if h.save(list(rev, "a")); failed != nil {
 			t.Fatal(failed)
 		}
-		check("kept", max(5, rev), false)
+		check("saved list", max(5, rev), false)
 	}
 	if h.save(list(10, strings.Repeat("long", 200))); failed == nil {
-		t.Error("a list over the bound was kept")
+		t.Error("a list over the size limit gave no error")
 	}
-	check("too long to keep", 5, false)
+	check("list over the size limit", 5, false)
 	if err := os.WriteFile(filepath.Join(dir, "hosts.json"), []byte(`{"rev":11,`), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -138,30 +138,30 @@
 	})
 	for end := time.Now().Add(20 * time.Second); n.hostDirectory.Endpoints() != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the news never came")
+			t.Fatal("the changed list was not applied within 20 s")
 		}
 	}
 	n.closeOnce.Do(n.close)
-	_ = s.agent[0].Close() // silent from now on
+	_ = s.agent[0].Close() // the agent does not answer from now on
 	cfg, err := Load(s.env)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(cfg.Known.Targets) != 2 {
-		t.Fatalf("the configuration knows %d hosts", len(cfg.Known.Targets))
+		t.Fatalf("the configuration lists %d hosts, want 2", len(cfg.Known.Targets))
 	}
 	n = s.startInProcess("")
 	if got := n.hostDirectory.Endpoints(); got != 1 {
-		t.Errorf("%d hosts, want the one that the last run had heard of", got)
+		t.Errorf("%d hosts, want the one in the list saved by the last run", got)
 	}
 }
 
-// While a relay ends, clients go on on every connection that is open, until the process is
-// gone: whatever is written, none finds its connection reset, and a request on a connection
-// that has just come up gets its answer. Once a client was told that a connection ends it
-// opens no other, as behind a front: the system resets what is in the listener's queue when
-// that closes. What was taken is delivered, by this run or the next.
-func TestClientsUntilTheEnd(t *testing.T) {
+// Guards against client connections that are reset, and first requests that get no answer, while a node
+// shuts down. The clients use every open connection until the process has ended. A client that was told
+// that its connection closes opens no other, as a proxy would: the system resets connections that are
+// still in the listener's queue when the listener closes. Accepted messages must be delivered, by this
+// run or the next.
+func TestClientsDuringShutdown(t *testing.T) {
 	s := newFakePlatform(t, "small", "small")
 	addr := freeAddr(t)
 	p := s.start(addr)
@@ -173,7 +173,7 @@
 			for n := 0; ; n++ {
 				c, err := net.Dial("tcp", addr)
 				if err != nil {
-					return // the relay takes no connections any more
+					return // the listener is closed
 				}
 				_ = c.SetDeadline(time.Now().Add(20 * time.Second))
 				r := bufio.NewReader(c)
@@ -203,7 +203,7 @@
 						s.taken[id] = true
 						s.mu.Unlock()
 					}
-					if i%3 == 0 { // rests until the relay ends the connection
+					if i%3 == 0 { // stays idle until the relay closes the connection
 						if _, err := r.ReadByte(); err != io.EOF {
 							resets.Add(1)
 						}
@@ -226,7 +226,7 @@
 	}
 	all.Wait()
 	if resets.Load() > 0 || unanswered.Load() > 0 {
-		t.Errorf("%d connections were reset, %d new ones ended without an answer; %d messages were taken", resets.Load(), unanswered.Load(), taken.Load())
+		t.Errorf("%d connections were reset, %d new ones closed without an answer; %d messages were accepted", resets.Load(), unanswered.Load(), taken.Load())
 	}
 	s.start(addr)
 	s.waitSettled()
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -106,8 +106,8 @@
 
 var tuneOnce sync.Once
 
-// Tune sets the runtime's number of processors and its soft memory limit, once per process.
-func Tune(b Bounds) {
+// SetRuntimeLimits sets the runtime's number of processors and its soft memory limit, once per process.
+func SetRuntimeLimits(b Bounds) {
 	tuneOnce.Do(func() {
 		runtime.GOMAXPROCS(b.Procs)
 		debug.SetMemoryLimit(b.Memory)
@@ -194,7 +194,7 @@
 		n.warn("discovery").Err(err).Msg("saved host list is unreadable; using the list from the configuration")
 	}
 	n.hostDirectory = directory.New(directory.Options{Names: directory.Names{Host: n.host},
-		Sources: []directory.Source{&agent.Watch{Client: n.client, Known: known, Told: n.addDestination, Keep: n.savedHosts.save}},
+		Sources: []directory.Source{&agent.Watch{Client: n.client, Known: known, OnDestination: n.addDestination, OnList: n.savedHosts.save}},
 		Sink:    directory.Sinks{n.core, n.caller}, OnAddresses: n.setAddresses,
 		OnListed: func(int) {}, OnError: func(source string, err error) {
 			n.warn("discovery").Str("source", source).Err(err).Msg("")
@@ -341,16 +341,16 @@
 	}
 }
 
-// ReadAgain reloads the configuration. A new discovery address takes effect at once, everything
+// Reload reloads the configuration. A new discovery address takes effect at once, everything
 // else at the next start. An invalid file changes nothing; a read that fails with a transient
 // system error is retried.
-func (n *Node) ReadAgain(getenv func(string) string) {
+func (n *Node) Reload(getenv func(string) string) {
 	cfg, err := retryTransient(n.ctx, n.log, func() (*Config, error) { return Load(getenv) })
 	if err != nil {
 		n.log.Error().Err(err).Msg("reload failed; keeping the configuration in force")
 		return
 	}
-	n.client.Move(cfg.Discovery)
+	n.client.SetAddress(cfg.Discovery)
 	n.log.Info().Str("discovery", cfg.Discovery).Msg("configuration reloaded")
 }
 
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -22,10 +22,10 @@
 	"basaltcross.example/basaltcross/internal/journal"
 )
 
-// TestNodeProcess is a node where a test started it as one.
+// TestNodeProcess runs a node if another test has started this binary for that; it tests nothing itself.
 func TestNodeProcess(t *testing.T) {
 	if os.Getenv(nodeProcessVariable) == "" {
-		t.Skip("no test of its own")
+		t.Skip("runs only as the node process of other tests")
 	}
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -36,7 +36,7 @@
 	}
 }
 
-// load hands in messages from several clients until ctx ends, and counts them.
+// load hands in messages from several clients until ctx ends.
 func (s *fakePlatform) load(ctx context.Context, addr string, tag string, clients int) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for i := range clients {
@@ -55,7 +55,7 @@
 	return &all
 }
 
-// moody is a host that fails, refuses and takes its time, by chance.
+// erraticHost returns the behaviour of a host that fails, refuses and delays at random.
 func erraticHost(seed uint64) func(string) (int, bool) {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 1))
@@ -74,7 +74,9 @@
 	}
 }
 
-// check holds what crossed the sockets against what was promised.
+// checkGuarantees checks that every accepted message has ended, that no message with the effect
+// at_most_once took effect twice, that no message was both served and reported as failed, and that the
+// messages of each key kept their order.
 func (s *fakePlatform) checkGuarantees() {
 	s.t.Helper()
 	s.waitSettled()
@@ -88,10 +90,10 @@
 	}
 	for id, list := range s.notices {
 		if s.served[id] > 0 && strings.HasPrefix(id, "sure") {
-			s.t.Errorf("%s was served, and has a notice: %v", id, list)
+			s.t.Errorf("%s was served and has notices: %v", id, list)
 		}
 	}
-	for _, id := range s.order { // of each key: in the order of hand-in
+	for _, id := range s.order { // the messages of each key must run in the order of hand-in
 		var tag string
 		var client, n int
 		if _, err := fmt.Sscanf(strings.ReplaceAll(id, "-", " "), "%s %d %d", &tag, &client, &n); err != nil || n%2 == 0 {
@@ -108,9 +110,8 @@
 	}
 }
 
-// SIGKILL and SIGTERM under load, each with a restart on the same folder: every
-// message that was taken ends, what must not take effect twice does not, keys keep
-// their order, and a planned restart fails nothing.
+// Guards against messages that a restart loses, runs twice or reorders: SIGKILL and SIGTERM under load,
+// each followed by a restart with the same state folder. A planned shutdown must not fail.
 func TestRestartsUnderLoad(t *testing.T) {
 	s := newFakePlatform(t, "small", "small", "large")
 	for i := range s.hosts {
@@ -131,12 +132,12 @@
 	}
 	s.checkGuarantees()
 	if len(s.taken) < 100 {
-		t.Errorf("%d messages taken", len(s.taken))
+		t.Errorf("%d messages accepted, want 100 or more", len(s.taken))
 	}
 }
 
-// A message that was held through a planned restart is delivered after it, not failed.
-func TestHeldThroughARestart(t *testing.T) {
+// Guards against a planned restart that fails the messages it holds: they must be delivered after it.
+func TestHeldMessagesSurviveRestart(t *testing.T) {
 	s := newFakePlatform(t, "small")
 	s.say(0, func(string) (int, bool) { return 503, false })
 	addr := freeAddr(t)
@@ -144,7 +145,7 @@
 	c := s.client()
 	for i := range 20 {
 		if !c.handIn(addr, fmt.Sprint("sure", i), []string{"notice", "charge"}[i%2], 0, fmt.Sprint("k", i), nil) {
-			t.Fatal("not taken")
+			t.Fatal("message not accepted")
 		}
 	}
 	if err := p.end(t, syscall.SIGTERM); err != nil {
@@ -160,8 +161,8 @@
 	}
 }
 
-// Notices that were not answered before a crash are sent after it.
-func TestNoticesSurvive(t *testing.T) {
+// Guards against a crash that loses notices: those that were not answered must be sent after it.
+func TestNoticesSurviveCrash(t *testing.T) {
 	s := newFakePlatform(t, "small")
 	s.say(0, func(string) (int, bool) { return 500, true })
 	s.mute = true
@@ -169,7 +170,7 @@
 	p := s.start(addr)
 	for i := range 5 {
 		if !s.client().handIn(addr, fmt.Sprint("m", i), "charge", 0, "", nil) {
-			t.Fatal("not taken")
+			t.Fatal("message not accepted")
 		}
 	}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -188,7 +189,8 @@
 	s.waitSettled()
 }
 
-// The time that a start takes before messages are restored is off their time too.
+// Guards against deadlines extended by a slow start: the time until messages are restored counts
+// towards their age.
 func TestAgesCountUntilTheRestore(t *testing.T) {
 	s := newFakePlatform(t, "small")
 	s.config("127.0.0.1:0", "")
@@ -203,12 +205,12 @@
 			Remaining: int64(7 * time.Second)}}},
 		journal.Run{Number: 2, Wall: time.Now().UnixNano()})
 	if len(p.Messages) != 1 || p.Messages[0].Left != 0 || p.Messages[0].Verdict != 0 {
-		t.Errorf("%+v: its time has passed a minute ago", p.Messages)
+		t.Errorf("%+v: the deadline was a minute ago", p.Messages)
 	}
 }
 
-// Guards against messages that a restart gives up untried, and windows that it misjudges,
-// because the wall clock was set: deadlines and windows are spans of real time.
+// Guards against a restart that gives up messages before any attempt, or miscalculates windows, because
+// the wall clock was set: deadlines and windows are spans of elapsed time.
 func TestRestartUnderASteppedWallClock(t *testing.T) {
 	s := newFakePlatform(t, "small")
 	s.config("127.0.0.1:0", "")
@@ -240,14 +242,14 @@
 		if len(p.Messages) != 1 {
 			t.Fatalf("step %v: %d messages", step, len(p.Messages))
 		}
-		// The time that passes within the test counts as well, but for whole seconds.
+		// The running time of the test counts as well, hence the rounding to seconds.
 		if m := p.Messages[0]; m.Left.Round(time.Second) != 5*time.Second || m.SentAgo.Round(time.Second) != 2*time.Second {
 			t.Errorf("step %v: left %v, sent %v ago; want 5s and 2s", step, m.Left, m.SentAgo)
 		}
 	}
 }
 
-// started is a node within the test's process.
+// startInProcess starts a node in the test's process.
 func (s *fakePlatform) startInProcess(limits string) *Node {
 	s.t.Helper()
 	s.t.Setenv(strictVariable, "1")
@@ -265,14 +267,14 @@
 	return n
 }
 
-// Guards against a node that exits, or begins as if its folder were empty, because the
-// folder cannot be read for a moment when it starts.
+// Guards against a node that exits, or starts with an empty state, because the state folder cannot be
+// read at that moment.
 func TestStartWaitsForItsFolder(t *testing.T) {
 	s := newFakePlatform(t, "small")
 	s.say(0, func(string) (int, bool) { return 503, false })
 	n := s.startInProcess("")
 	if !s.client().handIn(n.Addr(), "sure", "notice", 0, "", nil) {
-		t.Fatal("not taken")
+		t.Fatal("message not accepted")
 	}
 	n.Drain()
 	blocked := filepath.Join(s.dir, "blocked")
@@ -296,7 +298,7 @@
 	done := make(chan error, 1)
 	go func() {
 		var err error
-		n, err = StartWhenPossible(context.Background(), cfg, log)
+		n, err = StartWithRetry(context.Background(), cfg, log)
 		done <- err
 	}()
 	select {
@@ -316,12 +318,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.runs["sure"] != 1 {
-		t.Errorf("the message of the run before took effect %d times", s.runs["sure"])
+		t.Errorf("the message of the previous run took effect %d times, want 1", s.runs["sure"])
 	}
 }
 
-// SIGHUP's work under load: the list and the notices come from the new address, the
-// old one may go, and a broken file changes nothing.
+// Guards against a reload under load that keeps using the agent's old address for the host list or the
+// notices, and against an invalid configuration file that takes effect.
 func TestReload(t *testing.T) {
 	s := newFakePlatform(t, "small", "small")
 	n := s.startInProcess("")
@@ -329,18 +331,18 @@
 	all := s.load(ctx, n.Addr(), "h", 4)
 	s.newAgent()
 	s.config(n.Addr(), "")
-	n.ReadAgain(s.env)
+	n.Reload(s.env)
 	_ = s.agent[0].Close()
-	s.say(0, func(string) (int, bool) { return 500, true }) // notices are needed
+	s.say(0, func(string) (int, bool) { return 500, true }) // so that notices are needed
 	time.Sleep(200 * time.Millisecond)
 	if err := os.WriteFile(s.env("ROUTER_CONFIG"), []byte(`{"name":`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	n.ReadAgain(s.env)
+	n.Reload(s.env)
 	s.updateList(func(l *agent.List) { l.Targets[1].State = "removed" })
 	for end := time.Now().Add(20 * time.Second); n.hostDirectory.Endpoints() != 1; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the new agent's news never came")
+			t.Fatal("the list of the new agent was not applied within 20 s")
 		}
 	}
 	noticed := func() bool {
@@ -350,7 +352,7 @@
 	}
 	for end := time.Now().Add(20 * time.Second); !noticed(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no notice came to the new address")
+			t.Fatal("no notice was sent to the new address within 20 s")
 		}
 	}
 	cancel()
@@ -359,18 +361,18 @@
 	s.waitSettled()
 }
 
-// A new uid at an old address is another host: what the old one told binds it no
-// longer, and its connections are not used. An address may change under one uid.
+// Guards against a new host that inherits the connections of the host that had its address before, and
+// against connections to the old address of a host whose address has changed.
 func TestNewHostAtAnOldAddress(t *testing.T) {
 	s := newFakePlatform(t, "small")
 	n := s.startInProcess("")
 	c := s.client()
 	if !c.handIn(n.Addr(), "one", "notice", 0, "", nil) {
-		t.Fatal("not taken")
+		t.Fatal("message not accepted")
 	}
 	s.waitSettled()
 	if n.caller.Connections("s-0") != 1 {
-		t.Fatalf("%d connections", n.caller.Connections("s-0"))
+		t.Fatalf("%d connections, want 1", n.caller.Connections("s-0"))
 	}
 	s.updateList(func(l *agent.List) {
 		l.Targets = append(l.Targets[:0:0], l.Targets...)
@@ -382,7 +384,7 @@
 		}
 	}
 	if !c.handIn(n.Addr(), "two", "notice", 0, "", nil) {
-		t.Fatal("not taken")
+		t.Fatal("message not accepted")
 	}
 	s.waitSettled()
 	if n.caller.Connections("s-new") != 1 {
@@ -400,13 +402,13 @@
 	}
 	_ = s.hosts[0].srv.Close()
 	if !c.handIn(n.Addr(), "three", "notice", 0, "", nil) {
-		t.Fatal("not taken")
+		t.Fatal("message not accepted")
 	}
 	s.waitSettled()
 }
 
-// Hosts, ids, keys and connections that are always new leave nothing behind.
-func TestNothingGrows(t *testing.T) {
+// Guards against tables that grow without bound with ever new hosts, identities, keys and connections.
+func TestTablesStayBounded(t *testing.T) {
 	s := newFakePlatform(t, "small")
 	n := s.startInProcess("")
 	c := s.client()
@@ -441,9 +443,9 @@
 	}
 }
 
-// What the relay believes of its calls out is what passes: its most at once is the
-// hosts' own count, and within the slots that it has.
-func TestCallsOutAsBelieved(t *testing.T) {
+// Guards against a wrong count of calls in flight: the node's maximum must match the one that the hosts
+// observe, and stay within the number of slots.
+func TestCountOfCallsInFlight(t *testing.T) {
 	s := newFakePlatform(t, "small", "small", "small")
 	for i := range s.hosts {
 		s.say(i, func(string) (int, bool) { time.Sleep(30 * time.Millisecond); return 200, true })
@@ -459,18 +461,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.most > believed || s.most < believed/2 || believed > 16 {
-		t.Errorf("%d calls out at once were believed, %d seen, 16 slots", believed, s.most)
+		t.Errorf("at most %d calls in flight by the node's count, %d by the hosts'; 16 slots", believed, s.most)
 	}
 }
 
-// What the relay believes of waits and failing hosts is what its hosts see: while one
-// told a wait no call comes, and one that fails all is called a few times only, while
-// the other goes on.
-func TestWaitsAndFailingHostsAsBelieved(t *testing.T) {
+// Guards against calls during a wait that a host has asked for, and against a host that fails every call
+// but still gets a full share of the calls.
+func TestWaitsAndFailingHosts(t *testing.T) {
 	s := newFakePlatform(t, "small", "small", "small")
 	calls := 0
 	var mu sync.Mutex
-	s.say(0, func(string) (int, bool) { // every 30th call is told to wait
+	s.say(0, func(string) (int, bool) { // every 30th call is answered with a wait
 		mu.Lock()
 		defer mu.Unlock()
 		if calls++; calls%30 == 0 {
@@ -478,7 +479,7 @@
 		}
 		return 200, true
 	})
-	s.hosts[0].wait = 1500 * time.Millisecond // longer than the module would pause by itself
+	s.hosts[0].wait = 1500 * time.Millisecond // longer than the pause that package choice makes by itself
 	failed := 0
 	s.say(1, func(string) (int, bool) {
 		mu.Lock()
@@ -495,15 +496,16 @@
 	defer s.mu.Unlock()
 	mu.Lock()
 	defer mu.Unlock()
-	if told := calls / 30; told == 0 || s.hosts[0].early > told { // a machine that stands still may bring one late
-		t.Errorf("%d calls within %d waits", s.hosts[0].early, told)
+	if told := calls / 30; told == 0 || s.hosts[0].early > told { // a stalled machine may deliver a call late
+		t.Errorf("%d calls during %d waits", s.hosts[0].early, told)
 	}
 	if failed == 0 || failed*5 > calls {
-		t.Errorf("%d calls to the host that fails all, %d to one that is well", failed, calls)
+		t.Errorf("%d calls to the host that fails every call, %d to a healthy one", failed, calls)
 	}
 }
 
-// A bad environment or file is one clear error.
+// Guards against an invalid environment or configuration file that is accepted, or whose error message
+// is not a single line.
 func TestBadConfigurations(t *testing.T) {
 	s := newFakePlatform(t, "small")
 	good := func() string {
@@ -536,7 +538,7 @@
 			}
 			return s.env(v)
 		}); err == nil {
-			t.Errorf("%s is missing and nobody minds", name)
+			t.Errorf("%s is not set, but Load gave no error", name)
 		}
 	}
 	var taken net.Listener
@@ -551,6 +553,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Start(cfg, zerolog.Nop()); err == nil {
-		t.Error("started on an address that is taken")
+		t.Error("started on an address that is in use")
 	}
 }
--- a/internal/platform/site_test.go
+++ b/internal/platform/site_test.go
@@ -19,36 +19,36 @@
 	"basaltcross.example/basaltcross/internal/agent"
 )
 
-// site is a platform of the test's own on loopback: agent, hosts, clients. It keeps
-// what crossed the sockets.
+// fakePlatform is a platform on loopback addresses: agent, hosts and clients. It records the requests
+// and responses that it sees.
 type fakePlatform struct {
 	t     *testing.T
 	dir   string
-	agent []*http.Server // by address; the last one is in force
+	agent []*http.Server // one server per address; the last one is in use
 	at    []string
 	hosts []*fakeHost
 
 	mu      sync.Mutex
 	list    agent.List
 	changed chan struct{}
-	mute    bool // notices are not answered
+	mute    bool // notices are answered with 500
 	notices map[string][]string
-	taken   map[string]bool // ids that were answered with 202
-	runs    map[string]int  // times that a message took effect
-	served  map[string]int  // and its host said so
-	order   []string        // of effects
-	out     int             // calls out now
-	most    int
+	taken   map[string]bool // messages answered with 202, by identity
+	runs    map[string]int  // times that each message took effect
+	served  map[string]int  // times that a host answered each message with 200
+	order   []string        // identities in the order of their effects
+	out     int             // calls in flight now
+	most    int             // highest value of out
 }
 
-// host is one host of the site.
+// fakeHost is one host of the platform.
 type fakeHost struct {
 	uid, addr string
 	srv       *http.Server
-	// say decides on a message: status, and whether it took effect.
+	// say returns the status for a message and whether the message took effect.
 	say func(id string) (status int, ran bool)
-	// wait is told with each 429; early counts calls that came within one, but for its
-	// first 100 ms, which the protocol excuses.
+	// wait is sent with each 429. early counts the calls that came within such a wait, except in its
+	// first 100 ms, which the protocol allows.
 	wait  time.Duration
 	until time.Time
 	early int
@@ -89,7 +89,7 @@
 	return l.Addr().String(), srv
 }
 
-// newAgent opens one more address of the agent.
+// newAgent starts a server for the agent at a further address.
 func (s *fakePlatform) newAgent() {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", s.watch)
@@ -113,7 +113,7 @@
 	}
 }
 
-// tell changes the list.
+// updateList changes the host list and its revision, and wakes the watches.
 func (s *fakePlatform) updateList(f func(l *agent.List)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -206,14 +206,14 @@
 	return status
 }
 
-// say sets what a host does with messages.
+// say sets how a host answers messages.
 func (s *fakePlatform) say(i int, f func(id string) (int, bool)) {
 	s.mu.Lock()
 	s.hosts[i].say = f
 	s.mu.Unlock()
 }
 
-// config writes the configuration file, with limits if they are to differ.
+// config writes the configuration file; limits "" stands for the default ones.
 func (s *fakePlatform) config(listen string, limits string) {
 	s.t.Helper()
 	if limits == "" {
@@ -237,14 +237,14 @@
 	return map[string]string{"ROUTER_CONFIG": filepath.Join(s.dir, "config.json"), "ROUTER_STATE": filepath.Join(s.dir, "state")}[name]
 }
 
-// process is a node in a process of its own: this test's binary, started anew.
+// process is a node in a process of its own, which runs this test's binary.
 type process struct {
 	cmd  *exec.Cmd
 	addr string
 	log  *bytes.Buffer
 }
 
-// freeAddr is an address that is free now, the same for each start of one node.
+// freeAddr returns a free address, for a node that is started several times at the same address.
 func freeAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -262,7 +262,7 @@
 	return s.startConfigured(addr)
 }
 
-// startAsIs is start with the configuration that is there.
+// startConfigured is start without writing the configuration file.
 func (s *fakePlatform) startConfigured(addr string) *process {
 	s.t.Helper()
 	p := &process{cmd: exec.Command(os.Args[0], "-test.run=TestNodeProcess"), addr: addr, log: &bytes.Buffer{}}
@@ -276,7 +276,7 @@
 	return p
 }
 
-// ready waits until /up says 200.
+// waitReady waits until /up is answered with 200.
 func (s *fakePlatform) waitReady(addr string) {
 	s.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -287,7 +287,7 @@
 			}
 		}
 	}
-	s.t.Fatal("never ready")
+	s.t.Fatal("/up was not answered with 200 within 30 s")
 }
 
 func (p *process) end(t *testing.T, sig syscall.Signal) error {
@@ -298,7 +298,7 @@
 	return p.cmd.Wait()
 }
 
-// client hands in messages one after the other on a connection of its own.
+// client hands in messages one after another over a connection of its own.
 type client struct {
 	s    *fakePlatform
 	http http.Client
@@ -308,7 +308,7 @@
 	return &client{s: s, http: http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 }
 
-// hand hands one message in; false if it was not taken.
+// handIn hands in a message and returns whether it was accepted.
 func (c *client) handIn(addr, id, lane string, dest int, key string, body []byte) bool {
 	r, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/api", bytes.NewReader(body))
 	r.Header.Set("X-Txn", id)
@@ -333,7 +333,7 @@
 	return true
 }
 
-// settled waits until each message that was taken has been served or has its notice.
+// waitSettled waits until each accepted message has been served or has a notice.
 func (s *fakePlatform) waitSettled() {
 	s.t.Helper()
 	var open []string
@@ -350,5 +350,5 @@
 			return
 		}
 	}
-	s.t.Fatalf("%d messages were taken and never ended: %.10q", len(open), open)
+	s.t.Fatalf("%d accepted messages were neither served nor have a notice: %.10q", len(open), open)
 }
--- a/internal/platform/start.go
+++ b/internal/platform/start.go
@@ -26,8 +26,8 @@
 	if err != nil {
 		return ignoreCanceled(err)
 	}
-	Tune(BoundsOf(cfg))
-	n, err := StartWhenPossible(ctx, cfg, log)
+	SetRuntimeLimits(BoundsOf(cfg))
+	n, err := StartWithRetry(ctx, cfg, log)
 	if err != nil {
 		return ignoreCanceled(err)
 	}
@@ -41,7 +41,7 @@
 	for {
 		select {
 		case <-reload:
-			n.ReadAgain(getenv)
+			n.Reload(getenv)
 		case <-drained:
 			log.Info().Msg("stopped")
 			return nil
@@ -57,10 +57,10 @@
 	return err
 }
 
-// StartWhenPossible calls Start and retries it after transient system errors, which it logs: a
+// StartWithRetry calls Start and retries it after transient system errors, which it logs: a
 // folder that cannot be read or written, no free file descriptor, an address still in use. It
 // returns when ctx ends, and at once on any other error.
-func StartWhenPossible(ctx context.Context, cfg *Config, log zerolog.Logger) (*Node, error) {
+func StartWithRetry(ctx context.Context, cfg *Config, log zerolog.Logger) (*Node, error) {
 	return retryTransient(ctx, log, func() (*Node, error) { return Start(cfg, log) })
 }
 
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -90,7 +90,7 @@
 		f.reg.Address = host
 		f.reg.Port, _ = strconv.Atoi(port)
 	}
-	failed := func(err error) { f.obs.Unlisted("fleet", err) }
+	failed := func(err error) { f.obs.ListError("fleet", err) }
 	wait.Go(func() { f.client.KeepRegistered(ctx, f.reg, failed) })
 	wait.Go(func() {
 		f.client.WatchPeers(ctx, f.reg.Service, func(peers []member.Peer, fresh bool) {
@@ -137,7 +137,7 @@
 		f.obs.Logf("the fleet has %d relays, this is number %d", size, index)
 	}
 	for _, name := range twice {
-		f.obs.Unlisted("fleet", fmt.Errorf("two running relays bear the name %s", name))
+		f.obs.ListError("fleet", fmt.Errorf("two running relays bear the name %s", name))
 	}
 	return next
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -55,7 +55,7 @@
 	front  *mqttfront.Front
 	push   *webpush.Front // nil where it is not configured
 	zones  *zone.Reporter
-	toll   *zone.Toll       // nil without a budget
+	toll   *zone.Budget     // nil without a budget
 	log    *journal.Journal // nil where nothing is kept
 	names  *resolve.Refresher
 	list   *directory.Directory
@@ -109,7 +109,7 @@
 	}
 	r.obs = obs.NewRelay(log, classes)
 	names := names(cfg)
-	r.obs.Warn(cfg.TLS.Warn.D())
+	r.obs.SetExpiryWarning(cfg.TLS.Warn.D())
 	ring := &keys.CertStore{Report: r.obs.Certificate}
 	slots := make(secure.HandshakeSlots, cmp.Or(cfg.TLS.Handshakes, runtime.GOMAXPROCS(0)))
 	var targets []partner.Target
@@ -144,7 +144,7 @@
 	if !cfg.Relay.Accounting {
 		counted = nil
 	}
-	var toll *zone.Toll
+	var toll *zone.Budget
 	if b := cfg.Budget; b != nil {
 		set := budget.Settings{Bytes: b.Bytes, Window: b.Window.D(), Burst: b.Burst, Held: b.Held, First: b.First}
 		for _, k := range cfg.Classes {
@@ -154,7 +154,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("relay: %w", err)
 		}
-		toll = zone.NewToll(book, own)
+		toll = zone.NewBudget(book, own)
 	}
 	r.caller, err = partner.New(partner.Options{Name: cfg.Relay.Name, Targets: targets, Classes: classes,
 		Limits: http1.Limits{Header: cfg.PartnerCalls.HeaderBytes, Body: cfg.PartnerCalls.BodyBytes},
@@ -189,13 +189,13 @@
 			return nil, fmt.Errorf("relay: %w", err)
 		}
 		if r.toll = toll; toll != nil {
-			toll.Keep = r.log.RecordBudget
+			toll.OnReserve = r.log.RecordBudget
 		}
 		opt.Journal, opt.Names = r.log, core.Names{Partner: func(i int) string { return partners[i] }, Zones: zones}
 		if hooks.Journal != nil {
 			opt.Journal = hooks.Journal(opt.Journal)
 		}
-		r.obs.Serves("/journal", func() any { return r.log.Stats() })
+		r.obs.AddReport("/journal", func() any { return r.log.Stats() })
 	}
 	r.core, err = core.New(opt)
 	if err != nil {
@@ -204,12 +204,12 @@
 		return nil, fmt.Errorf("relay: %w", err)
 	}
 	r.zones = &zone.Reporter{Relay: cfg.Relay.Name, Classes: classes, Partners: partners, Zones: zones, Own: own,
-		Table: traffic, Toll: toll, Now: r.core.Now, File: cfg.ZoneRecords,
+		Table: traffic, Budget: toll, Now: r.core.Now, File: cfg.ZoneRecords,
 		Failed: func(err error) { r.obs.Logf("zone records: %v", err) }}
 	set := addr.DefaultNameCacheSettings
 	set.MaxStale, set.MaxAddresses = cfg.Resolver.Stale.D(), cfg.Resolver.Addresses
 	r.names = resolve.New(resolver(cfg), set, cfg.Resolver.Timeout.D(), r.caller, r.obs.Unresolved)
-	r.obs.Serves("/addresses", func() any { return r.Addresses() })
+	r.obs.AddReport("/addresses", func() any { return r.Addresses() })
 	r.obs.Zones(traffic, zones, func() any { return r.zones.Report() })
 	var door front.Door = r.core
 	if hooks.Door != nil {
@@ -232,11 +232,11 @@
 		Settings: member.Settings{RemoveAfter: cfg.Directory.Gone.D(), ConfirmAfter: cfg.Directory.Believe.D(),
 			SilenceLimit: cfg.Directory.Trust.D()},
 		MaxSavedBytes: cfg.Limits.ListBytes, Sink: sink, OnAddresses: r.names.Set, OnListed: r.obs.Listed,
-		OnError: r.obs.Unlisted})
+		OnError: r.obs.ListError})
 	if cfg.Fleet != nil {
 		r.fleet = newFollower(cfg, clients[0], r.core.Fleet, r.obs)
 	}
-	r.obs.Serves("/directory", func() any { return r.Directory() })
+	r.obs.AddReport("/directory", func() any { return r.Directory() })
 	fail := func(err error) (*Relay, error) {
 		cancel()
 		r.done.Wait()
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -20,7 +20,7 @@
 func openJournal(cfg *config.Config, o *obs.Relay, broken func(error)) (*journal.Journal, *journal.Contents, error) {
 	return journal.Open(journal.Options{Dir: cfg.Journal.Dir, MaxBytes: cfg.Journal.Bytes,
 		MaxQueued: cfg.Journal.Queue, NoSync: !cfg.Journal.Sync, OnFailure: func(err error) {
-			o.Unlisted("journal", fmt.Errorf("nothing more is taken, nor answered: %w", err))
+			o.ListError("journal", fmt.Errorf("nothing more is taken, nor answered: %w", err))
 			if broken != nil {
 				broken(err)
 			}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// One request's course is put in order over processes whose wall clocks differ, with the steps of the
-// connection that it was read from and of no other.
-func TestCourseOverProcesses(t *testing.T) {
+// Guards against a trace whose steps are out of order because the wall clocks of the processes differ, or
+// that holds steps of connections other than the one from which the request was read.
+func TestTraceAcrossProcesses(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"n1.log": `{"cause":"count"}
@@ -43,6 +43,6 @@
 		t.Errorf("%s\n%s", got, out.String())
 	}
 	if _, err := Read(t.TempDir(), "m"); err == nil {
-		t.Error("a folder without logs gives no error")
+		t.Error("a folder without logs gave no error")
 	}
 }
--- a/internal/zone/report.go
+++ b/internal/zone/report.go
@@ -42,7 +42,7 @@
 	Classes, Partners, Zones []string
 	Own                      int
 	Table                    *Table
-	Toll                     *Toll // nil if there is no budget
+	Budget                   *Budget // nil if there is no budget
 	Now                      func() time.Duration
 	// File is the path of the file to which each minute's rows are appended as JSON lines; "" for
 	// none. A file that would exceed MostFile bytes is renamed to File.1 and replaces the previous one.
@@ -151,8 +151,8 @@
 		}
 	}
 	r.mu.Unlock()
-	if r.Toll != nil {
-		s := r.Toll.State(r.Now())
+	if r.Budget != nil {
+		s := r.Budget.State(r.Now())
 		out.Budget = &s
 	}
 	return out
--- a/internal/zone/toll.go
+++ b/internal/zone/toll.go
@@ -8,38 +8,38 @@
 	"basaltcross.example/basaltcross/internal/budget"
 )
 
-// Toll connects the core to the budget for traffic between zones: it returns what the account allows
+// Budget connects the core to the budget for traffic between zones: it returns what the account allows
 // each class to send, and reserves bytes for calls to other zones. Its methods are safe for concurrent
 // use, so that a report can be created while the core runs.
-type Toll struct {
+type Budget struct {
 	own int
-	// Keep, if set before use, is called with the levels of the account after each reservation; it must
+	// OnReserve, if set before use, is called with the levels of the account after each reservation; it must
 	// not block.
-	Keep func(levels []float64)
+	OnReserve func(levels []float64)
 
-	mu    sync.Mutex
-	book  *budget.Book
-	dirty bool          // the account has changed since the last call of Tolls
-	at    time.Duration // time of the last call of Tolls that returned allowances
+	mu      sync.Mutex
+	account *budget.Account
+	dirty   bool          // the account has changed since the last call of Allowances
+	at      time.Duration // time of the last call of Allowances that returned true
 }
 
 // refreshInterval is the interval between updates of the allowances while the account does not change.
 const refreshInterval = 20 * time.Millisecond
 
-// NewToll returns one for a relay in zone own. If own is below 0, traffic to every zone is charged.
-func NewToll(book *budget.Book, own int) *Toll {
-	return &Toll{own: own, book: book, dirty: true}
+// NewBudget returns a Budget for a relay in zone own. If own is below 0, traffic to every zone is charged.
+func NewBudget(account *budget.Account, own int) *Budget {
+	return &Budget{own: own, account: account, dirty: true}
 }
 
-// Tolls returns the current allowances; ok is false if they have not changed since the last call.
-func (t *Toll) Tolls(now time.Duration) (out choice.ZoneBudget, ok bool) {
+// Allowances returns the current allowances; ok is false if they have not changed since the last call.
+func (t *Budget) Allowances(now time.Duration) (out choice.ZoneBudget, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.dirty && now-t.at < refreshInterval {
 		return out, false
 	}
 	t.dirty, t.at = false, now
-	left, classes := t.book.Tolls(now)
+	left, classes := t.account.Allowances(now)
 	out = choice.ZoneBudget{Home: t.own, Remaining: left, Classes: make([]choice.ClassBudget, 0, len(classes))}
 	for _, k := range classes {
 		out.Classes = append(out.Classes, choice.ClassBudget(k))
@@ -47,39 +47,39 @@
 	return out, true
 }
 
-// Sent reserves bytes for a call to a zone. It returns a function that settles the reservation with the
+// Reserve reserves bytes for a call to a zone. It returns a function that settles the reservation with the
 // bytes that were transferred, or nil if the call stays in the relay's own zone.
-func (t *Toll) Sent(now time.Duration, class, partner, to int) func(now time.Duration, passed int64, whole bool) {
+func (t *Budget) Reserve(now time.Duration, class, partner, to int) func(now time.Duration, passed int64, whole bool) {
 	if to == t.own {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	g := t.book.Reserve(now, class, partner)
-	if t.dirty = true; t.Keep != nil {
-		t.Keep(t.book.Levels())
+	g := t.account.Reserve(now, class, partner)
+	if t.dirty = true; t.OnReserve != nil {
+		t.OnReserve(t.account.Levels())
 	}
 	return func(now time.Duration, passed int64, whole bool) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.book.Settle(now, g, passed, whole)
+		t.account.Settle(now, g, passed, whole)
 		t.dirty = true
 	}
 }
 
 // Fleet sets the number of relays that share the budget.
-func (t *Toll) Fleet(now time.Duration, n int) {
+func (t *Budget) Fleet(now time.Duration, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.book.Fleet(now, n)
+	t.account.Fleet(now, n)
 	t.dirty = true
 }
 
 // Resume restores the levels of an earlier run, saved the time ago before now.
-func (t *Toll) Resume(levels []float64, ago time.Duration) {
+func (t *Budget) Resume(levels []float64, ago time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.book.Resume(levels, ago)
+	t.account.Resume(levels, ago)
 	t.dirty = true
 }
 
@@ -93,8 +93,8 @@
 }
 
 // State returns the current state of the account.
-func (t *Toll) State(now time.Duration) State {
+func (t *Budget) State(now time.Duration) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return State{t.book.Have(now), t.book.Reserved, t.book.Spent, t.book.Overdrawn, t.book.Beyond}
+	return State{t.account.Level(now), t.account.Reserved, t.account.Spent, t.account.Overdrawn, t.account.Beyond}
 }
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Minutes are what was added within each; the oldest go at the bound.
+// Guards against minutes that hold traffic of other minutes, and against a history that exceeds its bound.
 func TestHistory(t *testing.T) {
 	table := NewTable(2, 3, 2)
 	h := NewHistory(table, 2)
@@ -15,12 +15,12 @@
 	for m := range 4 {
 		table.Out(0, 1, 1, 100*(m+1))
 		table.In(0, 2, 1, 10)
-		table.Out(-1, 0, 5, 7) // a zone that the configuration lacks counts as the first
+		table.Out(-1, 0, 5, 7) // a zone outside the configuration counts as the first
 		h.Mark(begin.Add(time.Duration(m) * time.Minute))
 	}
 	rows := h.Rows()
 	if len(rows) != 4 {
-		t.Fatalf("%d rows of two minutes", len(rows))
+		t.Fatalf("%d rows for two minutes, want 4", len(rows))
 	}
 	for i, want := range []Minute{{Class: -1, Zone: 0, Traffic: Traffic{Out: 7}}, {Class: 0, Zone: 1, Traffic: Traffic{Out: 300, In: 10}},
 		{Class: -1, Zone: 0, Traffic: Traffic{Out: 7}}, {Class: 0, Zone: 1, Traffic: Traffic{Out: 400, In: 10}}} {
@@ -31,8 +31,9 @@
 	}
 }
 
-// Minutes on disk survive a torn line and stay within their bound.
-func TestFile(t *testing.T) {
+// Guards against a truncated line that makes a file of minutes unreadable, and against a file that
+// exceeds its bound.
+func TestMinutesFile(t *testing.T) {
 	r := &Reporter{Classes: []string{"c"}, Partners: []string{"p"}, Zones: []string{"near", "far"}, File: t.TempDir() + "/z"}
 	m := Minute{From: time.Now().Truncate(time.Minute), Class: 0, Zone: 1, Traffic: Traffic{Out: 5, In: 6, Calls: 1}}
 	for range 2 {
@@ -52,11 +53,11 @@
 		t.Fatal(err)
 	}
 	if st, err := os.Stat(r.File); err != nil || st.Size() > 1000 {
-		t.Errorf("not rotated at its bound: %v %v", st, err)
+		t.Errorf("file not rotated at MostFile: %v %v", st, err)
 	}
 }
 
-// The cost of accounting: what one chunk of bytes costs, all processors counting at once.
+// BenchmarkCount measures the cost of counting one chunk of bytes while all processors count.
 func BenchmarkCount(b *testing.B) {
 	table := NewTable(3, 470, 3)
 	b.RunParallel(func(p *testing.PB) {
