--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// SetBytes changes the budget, as after a reload of the configuration. Bytes spent stay spent; a bucket that holds more
-// than its new size loses the excess.
+// SetBytes changes the budget, as after a reload of the configuration. Bytes spent stay spent; a bucket
+// that holds more than its new size loses the excess.
 func (b *Account) SetBytes(now time.Duration, bytes float64) {
 	if b.advance(now); bytes > 0 {
 		b.settings.Bytes = bytes
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -92,7 +92,7 @@
 	ready       atomic.Bool
 	ctx         context.Context
 	stop        context.CancelFunc
-	done        sync.WaitGroup
+	done        sync.WaitGroup // the goroutines of the core, the directory and the observer
 	noticesDone sync.WaitGroup // the goroutine that delivers notices
 	stopNotices context.CancelFunc
 	closeOnce   sync.Once
@@ -104,11 +104,11 @@
 // maxListedDests bounds the remembered destinations; a relay's lists never name that many.
 const maxListedDests = 1 << 16
 
-var tuneOnce sync.Once
+var runtimeLimitsOnce sync.Once
 
 // SetRuntimeLimits sets the runtime's number of processors and its soft memory limit, once per process.
 func SetRuntimeLimits(b Bounds) {
-	tuneOnce.Do(func() {
+	runtimeLimitsOnce.Do(func() {
 		runtime.GOMAXPROCS(b.Procs)
 		debug.SetMemoryLimit(b.Memory)
 	})
--- a/internal/platform/observer.go
+++ b/internal/platform/observer.go
@@ -21,10 +21,10 @@
 	answered    [5]int                  // by verdict
 	attempts    [choice.Doubted + 1]int // by outcome
 	held        int                     // messages held now
-	out         int
-	maxHeld     int // highest value since the last log line
-	maxOut      int
-	maxOutInRun int // highest value of out in this run
+	out         int                     // calls in flight now
+	maxHeld     int                     // highest value of held since the last log line
+	maxOut      int                     // highest value of out since the last log line
+	maxOutInRun int                     // highest value of out in this run
 }
 
 // countsInterval is the interval between two log lines with the counts.
