--- a/internal/platform/site_test.go
+++ b/internal/platform/fakeplatform_test.go
@@ -19,36 +19,36 @@
 	"basaltcross.example/basaltcross/internal/agent"
 )
 
-// site is a platform of the test's own on loopback: agent, hosts, clients. It keeps
-// what crossed the sockets.
-type site struct {
+// fakePlatform is a platform on loopback addresses: agent, hosts and clients. It records the requests
+// and responses that it sees.
+type fakePlatform struct {
 	t     *testing.T
 	dir   string
-	agent []*http.Server // by address; the last one is in force
+	agent []*http.Server // one server per address; the last one is in use
 	at    []string
-	hosts []*host
+	hosts []*fakeHost
 
 	mu      sync.Mutex
 	list    agent.List
 	changed chan struct{}
-	mute    bool // notices are not answered
+	mute    bool // notices are answered with 500
 	notices map[string][]string
-	taken   map[string]bool // ids that were answered with 202
-	runs    map[string]int  // times that a message took effect
-	served  map[string]int  // and its host said so
-	order   []string        // of effects
-	out     int             // calls out now
-	most    int
+	taken   map[string]bool // messages answered with 202, by identity
+	runs    map[string]int  // times that each message took effect
+	served  map[string]int  // times that a host answered each message with 200
+	order   []string        // identities in the order of their effects
+	out     int             // calls in flight now
+	most    int             // highest value of out
 }
 
-// host is one host of the site.
-type host struct {
+// fakeHost is one host of the platform.
+type fakeHost struct {
 	uid, addr string
 	srv       *http.Server
-	// say decides on a message: status, and whether it took effect.
+	// say returns the status for a message and whether the message took effect.
 	say func(id string) (status int, ran bool)
-	// wait is told with each 429; early counts calls that came within one, but for its
-	// first 100 ms, which the protocol excuses.
+	// wait is sent with each 429. early counts the calls that came within such a wait, except in its
+	// first 100 ms, which the protocol allows.
 	wait  time.Duration
 	until time.Time
 	early int
@@ -63,12 +63,12 @@
 		"grace-to-answer":0.05,"order-settle":0.1,"overload-factor":3},"skus":["small","large"],"tick":0.005,"weights":"off","zones":["z"]}`
 )
 
-func newSite(t *testing.T, kinds ...string) *site {
+func newFakePlatform(t *testing.T, kinds ...string) *fakePlatform {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir(), changed: make(chan struct{}), notices: map[string][]string{}, taken: map[string]bool{},
+	s := &fakePlatform{t: t, dir: t.TempDir(), changed: make(chan struct{}), notices: map[string][]string{}, taken: map[string]bool{},
 		runs: map[string]int{}, served: map[string]int{}}
 	for i, kind := range kinds {
-		h := &host{uid: fmt.Sprint("s-", i), say: func(string) (int, bool) { return 200, true }}
+		h := &fakeHost{uid: fmt.Sprint("s-", i), say: func(string) (int, bool) { return 200, true }}
 		h.addr, h.srv = s.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.call(h, w, r) }))
 		s.hosts = append(s.hosts, h)
 		s.list.Targets = append(s.list.Targets, agent.Target{UID: h.uid, Endpoint: h.addr, Zone: "z", Kind: kind, Dest: i, State: "up", Rate: 1})
@@ -78,7 +78,7 @@
 	return s
 }
 
-func (s *site) serve(h http.Handler) (string, *http.Server) {
+func (s *fakePlatform) serve(h http.Handler) (string, *http.Server) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -89,8 +89,8 @@
 	return l.Addr().String(), srv
 }
 
-// newAgent opens one more address of the agent.
-func (s *site) newAgent() {
+// newAgent starts a server for the agent at a further address.
+func (s *fakePlatform) newAgent() {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/discovery/hosts", s.watch)
 	mux.HandleFunc("/v1/notices", s.notice)
@@ -98,7 +98,7 @@
 	s.at, s.agent = append(s.at, at), append(s.agent, srv)
 }
 
-func (s *site) watch(w http.ResponseWriter, r *http.Request) {
+func (s *fakePlatform) watch(w http.ResponseWriter, r *http.Request) {
 	for r.Context().Err() == nil {
 		s.mu.Lock()
 		line, _ := json.Marshal(s.list)
@@ -113,8 +113,8 @@
 	}
 }
 
-// tell changes the list.
-func (s *site) tell(f func(l *agent.List)) {
+// updateList changes the host list and its revision, and wakes the watches.
+func (s *fakePlatform) updateList(f func(l *agent.List)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.list)
@@ -123,7 +123,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *site) notice(w http.ResponseWriter, r *http.Request) {
+func (s *fakePlatform) notice(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +142,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *site) call(h *host, w http.ResponseWriter, r *http.Request) {
+func (s *fakePlatform) call(h *fakeHost, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -189,7 +189,7 @@
 	_ = json.NewEncoder(w).Encode(ends)
 }
 
-func (s *site) run(h *host, id string) int {
+func (s *fakePlatform) run(h *fakeHost, id string) int {
 	s.mu.Lock()
 	say := h.say
 	s.mu.Unlock()
@@ -206,15 +206,15 @@
 	return status
 }
 
-// say sets what a host does with messages.
-func (s *site) say(i int, f func(id string) (int, bool)) {
+// say sets how a host answers messages.
+func (s *fakePlatform) say(i int, f func(id string) (int, bool)) {
 	s.mu.Lock()
 	s.hosts[i].say = f
 	s.mu.Unlock()
 }
 
-// config writes the configuration file, with limits if they are to differ.
-func (s *site) config(listen string, limits string) {
+// config writes the configuration file; limits "" stands for the default ones.
+func (s *fakePlatform) config(listen string, limits string) {
 	s.t.Helper()
 	if limits == "" {
 		limits = `{"cores":1,"memory_mb":128,"sockets":256,"disk_mb":1}`
@@ -233,18 +233,18 @@
 	}
 }
 
-func (s *site) env(name string) string {
+func (s *fakePlatform) env(name string) string {
 	return map[string]string{"ROUTER_CONFIG": filepath.Join(s.dir, "config.json"), "ROUTER_STATE": filepath.Join(s.dir, "state")}[name]
 }
 
-// process is a node in a process of its own: this test's binary, started anew.
+// process is a node in a process of its own, which runs this test's binary.
 type process struct {
 	cmd  *exec.Cmd
 	addr string
 	log  *bytes.Buffer
 }
 
-// freeAddr is an address that is free now, the same for each start of one node.
+// freeAddr returns a free address, for a node that is started several times at the same address.
 func freeAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -254,30 +254,30 @@
 	return l.Addr().String()
 }
 
-const playNode = "BASALTCROSS_TEST_NODE"
+const nodeProcessVariable = "BASALTCROSS_TEST_NODE"
 
-func (s *site) start(addr string) *process {
+func (s *fakePlatform) start(addr string) *process {
 	s.t.Helper()
 	s.config(addr, "")
-	return s.startAsIs(addr)
+	return s.startConfigured(addr)
 }
 
-// startAsIs is start with the configuration that is there.
-func (s *site) startAsIs(addr string) *process {
+// startConfigured is start without writing the configuration file.
+func (s *fakePlatform) startConfigured(addr string) *process {
 	s.t.Helper()
 	p := &process{cmd: exec.Command(os.Args[0], "-test.run=TestNodeProcess"), addr: addr, log: &bytes.Buffer{}}
-	p.cmd.Env = append(os.Environ(), playNode+"=1", strictVariable+"=1", "ROUTER_CONFIG="+s.env("ROUTER_CONFIG"), "ROUTER_STATE="+s.env("ROUTER_STATE"))
+	p.cmd.Env = append(os.Environ(), nodeProcessVariable+"=1", strictVariable+"=1", "ROUTER_CONFIG="+s.env("ROUTER_CONFIG"), "ROUTER_STATE="+s.env("ROUTER_STATE"))
 	p.cmd.Stderr = p.log
 	if err := p.cmd.Start(); err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { _ = p.cmd.Process.Kill(); _ = p.cmd.Wait() })
-	s.ready(addr)
+	s.waitReady(addr)
 	return p
 }
 
-// ready waits until /up says 200.
-func (s *site) ready(addr string) {
+// waitReady waits until /up is answered with 200.
+func (s *fakePlatform) waitReady(addr string) {
 	s.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if r, err := http.Get("http://" + addr + "/up"); err == nil {
@@ -287,7 +287,7 @@
 			}
 		}
 	}
-	s.t.Fatal("never ready")
+	s.t.Fatal("/up was not answered with 200 within 30 s")
 }
 
 func (p *process) end(t *testing.T, sig syscall.Signal) error {
@@ -298,18 +298,18 @@
 	return p.cmd.Wait()
 }
 
-// client hands in messages one after the other on a connection of its own.
+// client hands in messages one after another over a connection of its own.
 type client struct {
-	s    *site
+	s    *fakePlatform
 	http http.Client
 }
 
-func (s *site) client() *client {
+func (s *fakePlatform) client() *client {
 	return &client{s: s, http: http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 }
 
-// hand hands one message in; false if it was not taken.
-func (c *client) hand(addr, id, lane string, dest int, key string, body []byte) bool {
+// handIn hands in a message and returns whether it was accepted.
+func (c *client) handIn(addr, id, lane string, dest int, key string, body []byte) bool {
 	r, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/api", bytes.NewReader(body))
 	r.Header.Set("X-Txn", id)
 	r.Header.Set("X-Lane", lane)
@@ -333,8 +333,8 @@
 	return true
 }
 
-// settled waits until each message that was taken has been served or has its notice.
-func (s *site) settled() {
+// waitSettled waits until each accepted message has been served or has a notice.
+func (s *fakePlatform) waitSettled() {
 	s.t.Helper()
 	var open []string
 	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -350,5 +350,5 @@
 			return
 		}
 	}
-	s.t.Fatalf("%d messages were taken and never ended: %.10q", len(open), open)
+	s.t.Fatalf("%d accepted messages were neither served nor have a notice: %.10q", len(open), open)
 }
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -96,7 +96,7 @@
 		f.reg.Address = host
 		f.reg.Port, _ = strconv.Atoi(port)
 	}
-	onError := func(err error) { f.obs.Unlisted("fleet", err) }
+	onError := func(err error) { f.obs.ListError("fleet", err) }
 	wait.Go(func() { f.client.KeepRegistered(ctx, f.reg, onError) })
 	wait.Go(func() {
 		f.client.WatchPeers(ctx, f.reg.Service, func(peers []member.Peer, fresh bool) {
@@ -146,7 +146,7 @@
 		f.obs.Logf("the fleet has %d relays, this is number %d", size, index)
 	}
 	for _, name := range duplicates {
-		f.obs.Unlisted("fleet", fmt.Errorf("two running relays are both named %s", name))
+		f.obs.ListError("fleet", fmt.Errorf("two running relays are both named %s", name))
 	}
 	return next
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -62,7 +62,7 @@
 	front         *mqttfront.Front
 	push          *webpush.Front // nil if Web Push is not configured
 	zoneReporter  *zone.Reporter
-	zoneBudget    *zone.Toll       // nil without a budget or without a journal
+	zoneBudget    *zone.Budget     // nil without a budget or without a journal
 	journal       *journal.Journal // nil if no journal is configured
 	nameRefresher *resolve.Refresher
 	directory     *directory.Directory
@@ -120,7 +120,7 @@
 	}
 	r.obs = obs.NewRelay(log, classes)
 	names := directoryNames(cfg)
-	r.obs.Warn(cfg.TLS.Warn.D())
+	r.obs.SetExpiryWarning(cfg.TLS.Warn.D())
 	certStore := &keys.CertStore{Report: r.obs.Certificate}
 	slots := make(secure.HandshakeSlots, cmp.Or(cfg.TLS.Handshakes, runtime.GOMAXPROCS(0)))
 	var targets []partner.Target
@@ -155,7 +155,7 @@
 	if !cfg.Relay.Accounting {
 		accounted = nil
 	}
-	var zoneBudget *zone.Toll
+	var zoneBudget *zone.Budget
 	if b := cfg.Budget; b != nil {
 		budgetSettings := budget.Settings{Bytes: b.Bytes, Window: b.Window.D(), Burst: b.Burst, Held: b.Held, First: b.First}
 		for _, k := range cfg.Classes {
@@ -166,7 +166,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("relay: %w", err)
 		}
-		zoneBudget = zone.NewToll(book, ownZone)
+		zoneBudget = zone.NewBudget(book, ownZone)
 	}
 	r.caller, err = partner.New(partner.Options{Name: cfg.Relay.Name, Targets: targets, Classes: classes,
 		Limits: http1.Limits{Header: cfg.PartnerCalls.HeaderBytes, Body: cfg.PartnerCalls.BodyBytes},
@@ -202,13 +202,13 @@
 			return nil, fmt.Errorf("relay: %w", err)
 		}
 		if r.zoneBudget = zoneBudget; zoneBudget != nil {
-			zoneBudget.Keep = r.journal.RecordBudget
+			zoneBudget.OnReserve = r.journal.RecordBudget
 		}
 		opt.Journal, opt.Names = r.journal, core.Names{Partner: func(i int) string { return partners[i] }, Zones: zones}
 		if hooks.Journal != nil {
 			opt.Journal = hooks.Journal(opt.Journal)
 		}
-		r.obs.Serves("/journal", func() any { return r.journal.Stats() })
+		r.obs.AddReport("/journal", func() any { return r.journal.Stats() })
 	}
 	r.core, err = core.New(opt)
 	if err != nil {
@@ -218,12 +218,12 @@
 	}
 	r.zoneReporter = &zone.Reporter{Relay: cfg.Relay.Name, Classes: classes,
 		Partners: partners, Zones: zones, Own: ownZone,
-		Table: traffic, Toll: zoneBudget, Now: r.core.Now, File: cfg.ZoneRecords,
+		Table: traffic, Budget: zoneBudget, Now: r.core.Now, File: cfg.ZoneRecords,
 		Failed: func(err error) { r.obs.Logf("zone records: %v", err) }}
 	nameCacheSettings := addr.DefaultNameCacheSettings
 	nameCacheSettings.MaxStale, nameCacheSettings.MaxAddresses = cfg.Resolver.Stale.D(), cfg.Resolver.Addresses
 	r.nameRefresher = resolve.New(resolver(cfg), nameCacheSettings, cfg.Resolver.Timeout.D(), r.caller, r.obs.Unresolved)
-	r.obs.Serves("/addresses", func() any { return r.Addresses() })
+	r.obs.AddReport("/addresses", func() any { return r.Addresses() })
 	r.obs.Zones(traffic, zones, func() any { return r.zoneReporter.Report() })
 	var door front.Submitter = r.core
 	if hooks.Door != nil {
@@ -246,11 +246,11 @@
 		Settings: member.Settings{RemoveAfter: cfg.Directory.Gone.D(), ConfirmAfter: cfg.Directory.Believe.D(),
 			SilenceLimit: cfg.Directory.Trust.D()},
 		MaxSavedBytes: cfg.Limits.ListBytes, Sink: sink, OnAddresses: r.nameRefresher.Set, OnListed: r.obs.Listed,
-		OnError: r.obs.Unlisted})
+		OnError: r.obs.ListError})
 	if cfg.Fleet != nil {
 		r.fleet = newFleetMembership(cfg, clients[0], r.core.Fleet, r.obs)
 	}
-	r.obs.Serves("/directory", func() any { return r.Directory() })
+	r.obs.AddReport("/directory", func() any { return r.Directory() })
 	fail := func(err error) (*Relay, error) {
 		cancel()
 		r.done.Wait()
--- a/internal/relay/restore.go
+++ b/internal/relay/restore.go
@@ -23,7 +23,7 @@
 	*journal.Journal, *journal.Contents, error) {
 	return journal.Open(journal.Options{Dir: cfg.Journal.Dir, MaxBytes: cfg.Journal.Bytes,
 		MaxQueued: cfg.Journal.Queue, NoSync: !cfg.Journal.Sync, OnFailure: func(err error) {
-			o.Unlisted("journal", fmt.Errorf("journal failed, no further message is accepted or answered: %w", err))
+			o.ListError("journal", fmt.Errorf("journal failed, no further message is accepted or answered: %w", err))
 			if onFailure != nil {
 				onFailure(err)
 			}
