--- a/cmd/basaltcross/relay.go
+++ b/cmd/basaltcross/relay.go
@@ -37,7 +37,7 @@
 				return err
 			}
 			// Exit, so that the restart recovers from what is certainly on disk.
-			hooks.Broken = func(error) { os.Exit(3) }
+			hooks.OnJournalFailure = func(error) { os.Exit(3) }
 			r, err := relay.Start(cfg, log, hooks)
 			if err != nil {
 				return err
