--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -161,7 +161,7 @@
 	index      int
 	zone       int
 	core       *core.Core
-	zoneBudget *zone.Toll
+	zoneBudget *zone.Budget
 	dead       bool
 	nextStep   time.Duration // time of the next scheduled step; valid while armed
 	armed      bool
@@ -191,7 +191,7 @@
 	if s.SizeTest != nil {
 		assumedFleet = s.SizeTest.initialAssumedSize(s.Relays)
 	}
-	var sharedBook *budget.Book
+	var sharedAccount *budget.Account
 	for i := range s.Relays {
 		r := &relay{w: w, index: i, zone: i % s.Zones}
 		opt := core.Options{Seed: s.Seed + uint64(i), InboxSize: 1 << 20, Identities: 1 << 20,
@@ -215,10 +215,10 @@
 			}
 			book, err := budget.New(set, s.Relays)
 			if s.Policy == Ideal {
-				if sharedBook == nil {
-					sharedBook, err = budget.New(set, 1)
+				if sharedAccount == nil {
+					sharedAccount, err = budget.New(set, 1)
 				}
-				book = sharedBook
+				book = sharedAccount
 			}
 			if err != nil {
 				return w.result, err
@@ -227,7 +227,7 @@
 			if s.Policy == ZoneBlindCap {
 				own = -1
 			}
-			r.zoneBudget = zone.NewToll(book, own)
+			r.zoneBudget = zone.NewBudget(book, own)
 			opt.ZoneBudget = r.zoneBudget
 		}
 		var err error
