--- a/internal/fleet/address.go
+++ b/internal/fleet/address.go
@@ -57,7 +57,7 @@
 	r := AddressResult{Memory: s.Memory}
 	rng := rand.New(rand.NewPCG(s.Seed, 5))
 	type place struct{ relay, endpoint int }
-	books := map[place]*addr.Selector{}
+	selectors := map[place]*addr.Selector{}
 	last := map[place]time.Duration{}
 	families := make([]addr.FamilyHealth, s.Relays)
 	lists := make([][]addr.Address, s.Endpoints)
@@ -80,19 +80,19 @@
 		// Which endpoints are affected is independent of how often they are called.
 		affected := float64(at.endpoint*7919%s.Endpoints) < s.DeadShare*float64(s.Endpoints)
 		dead := affected && now > s.Duration/3 && now < 2*s.Duration/3
-		book := books[at]
-		if book == nil || s.Memory == NoMemory {
+		selector := selectors[at]
+		if selector == nil || s.Memory == NoMemory {
 			f := &families[at.relay]
 			if s.Memory != SelectorsAndFamilies {
 				f = &addr.FamilyHealth{}
 			}
-			book = addr.NewSelector("e", f, lists[at.endpoint])
+			selector = addr.NewSelector("e", f, lists[at.endpoint])
 			if s.Memory == SelectorsAndFamilies {
-				book = addr.NewSelector(fmt.Sprint(at.endpoint), f, lists[at.endpoint])
+				selector = addr.NewSelector(fmt.Sprint(at.endpoint), f, lists[at.endpoint])
 			}
-			books[at] = book
+			selectors[at] = selector
 		}
-		plan := book.Plan(now, 5*time.Second)
+		plan := selector.Plan(now, 5*time.Second)
 		won, up := -1, time.Duration(math.MaxInt64)
 		for i, step := range plan {
 			if alive := step.Family == addr.IPv4 || !dead; alive && step.After+wait < up {
@@ -102,16 +102,16 @@
 		for i, step := range plan {
 			switch alive := step.Family == addr.IPv4 || !dead; {
 			case i == won:
-				book.Connected(step.Address, wait)
+				selector.Connected(step.Address, wait)
 			case step.Trial && alive:
 				r.ExtraAttempts++
-				book.Connected(step.Address, wait)
+				selector.Connected(step.Address, wait)
 			case step.Trial:
 				r.ExtraAttempts++
-				book.Failed(now+addr.TrialTimeout, step.Address)
+				selector.Failed(now+addr.TrialTimeout, step.Address)
 			case step.After < up: // attempt begun, then cancelled
 				r.ExtraAttempts++
-				book.Cancelled(now+up, step.Address, up-step.After)
+				selector.Cancelled(now+up, step.Address, up-step.After)
 			}
 		}
 		if dead {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -213,12 +213,12 @@
 				}
 				set.Classes = append(set.Classes, k)
 			}
-			book, err := budget.New(set, s.Relays)
+			account, err := budget.New(set, s.Relays)
 			if s.Policy == Ideal {
 				if sharedAccount == nil {
 					sharedAccount, err = budget.New(set, 1)
 				}
-				book = sharedAccount
+				account = sharedAccount
 			}
 			if err != nil {
 				return w.result, err
@@ -227,7 +227,7 @@
 			if s.Policy == ZoneBlindCap {
 				own = -1
 			}
-			r.zoneBudget = zone.NewBudget(book, own)
+			r.zoneBudget = zone.NewBudget(account, own)
 			opt.ZoneBudget = r.zoneBudget
 		}
 		var err error
