--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -69,7 +69,7 @@
 	lost           chan struct{}
 }
 
-// acknowledging is a session state that reports the notices it has acknowledged.
+// ackSession is a session state that reports the notices it has acknowledged.
 type ackSession struct {
 	*state.State
 	acknowledged func(id string)
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -26,7 +26,7 @@
 	writeBy     time.Duration // latest time of the first write; 0 for none
 	handle      Attempt       // of the call, nil in attempts that have a leader
 	bytesPassed atomic.Int64
-	settleBytes func(now time.Duration, passed int64, whole bool) // see ZoneBudget.Sent; nil for none
+	settleBytes func(now time.Duration, passed int64, whole bool) // see ZoneBudget.Reserve; nil for none
 	heapIndex   int                                               // index in Core.timeouts, -1 if not in it
 	leader      *attempt                                          // first attempt of the call; nil in that one
 	followers   []*attempt                                        // in the first attempt: the others of the call
--- a/internal/relay/consul_test.go
+++ b/internal/relay/consul_test.go
@@ -151,8 +151,9 @@
 	defer extra.Close()
 	for name, trouble := range map[string]standin.CatalogFaults{"down": {Down: true}, "500": {Status: 500},
 		"429": {Status: 429}, "403": {Status: 403}, "hang": {Hang: true}, "cut": {Truncate: true}, "slow": {Slow: 100 * ms},
-		"empty": {Empty: true}, "half": {OmitHalf: true}, "instant": {NonBlocking: true}, "no leader": {NoLeader: true, Empty: true},
-		"stale": {LastContact: time.Hour, Empty: true}, "index back": {Index: 1, OmitHalf: true},
+		"empty": {Empty: true}, "half": {OmitHalf: true}, "instant": {NonBlocking: true},
+		"no leader": {NoLeader: true, Empty: true},
+		"stale":     {LastContact: time.Hour, Empty: true}, "index back": {Index: 1, OmitHalf: true},
 		"index none": {Index: 0, NonBlocking: true, OmitHalf: true}} {
 		asked := b.QueryCount()
 		b.Set(trouble)
--- a/internal/relay/journal_test.go
+++ b/internal/relay/journal_test.go
@@ -33,7 +33,8 @@
 	if err := os.WriteFile(list, []byte(text+"]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := config.Parse("test.cue", []byte(testutil.ConfigText(list, 1, fmt.Sprintf("journal: dir: %q\n%s", dir, more))))
+	cfg, err := config.Parse("test.cue", []byte(testutil.ConfigText(list, 1,
+		fmt.Sprintf("journal: dir: %q\n%s", dir, more))))
 	if err != nil {
 		t.Fatal(err)
 	}
