--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -145,7 +145,7 @@
 
 // send writes a request, the first and only one on the connection.
 func (l *agentConn) send(request []byte) error {
-	if l.state.MayCarry(0, lifecycle.PeerRule{FirstOnly: true}) != lifecycle.CarryNow {
+	if l.state.MayCarry(0, lifecycle.PeerRule{SingleUse: true}) != lifecycle.CarryNow {
 		return errUnsolicited
 	}
 	l.state.Begin(0)
@@ -157,11 +157,11 @@
 
 // attribute decides whether a response, or a part of one, belongs to the request: the first response
 // on the connection does once the request has been written. followed says that more bytes came after it.
-func (l *agentConn) attribute(followed bool) lifecycle.Belief {
+func (l *agentConn) attribute(followed bool) lifecycle.Attribution {
 	if l.socket.Unsent() > 0 {
-		return lifecycle.Nobodys
+		return lifecycle.Unmatched
 	}
-	return l.state.Believe(lifecycle.PeerAnswer{Written: true, Followed: followed})
+	return l.state.Attribute(lifecycle.PeerAnswer{Written: true, TrailingBytes: followed})
 }
 
 // read waits for received bytes. It fails when the time within has passed, when addrChanged is
@@ -216,7 +216,7 @@
 	case a.status == 204 || a.status == 304:
 		return http1.NoContent, nil
 	}
-	return http1.ToClose, nil
+	return http1.UntilClose, nil
 }
 
 func (a *response) Content(b []byte) error {
--- a/internal/agent/notices.go
+++ b/internal/agent/notices.go
@@ -175,7 +175,7 @@
 		if err != nil {
 			return errors.Join(errConnClosed, err)
 		}
-		if a.Done() && l.attribute(len(rest) > 0) != lifecycle.Own {
+		if a.Done() && l.attribute(len(rest) > 0) != lifecycle.Certain {
 			return errUnsolicited
 		}
 	}
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -152,7 +152,7 @@
 			return heard, err
 		}
 		last = time.Now()
-		if l.attribute(false) != lifecycle.Own {
+		if l.attribute(false) != lifecycle.Certain {
 			return heard, errUnsolicited
 		}
 		if _, err := a.Feed(b, a); err != nil {
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -121,12 +121,12 @@
 	n := &Node{cfg: cfg, bounds: BoundsOf(cfg), log: log, listedDests: map[int]bool{}}
 	b := &n.bounds
 	n.stats = &observer{node: n}
-	n.guard = &lifecycle.Guard{Strict: os.Getenv(strictVariable) != "", Told: func(v lifecycle.Violation) {
+	n.guard = &lifecycle.Guard{Strict: os.Getenv(strictVariable) != "", OnViolation: func(v lifecycle.Violation) {
 		if v.Rule == lifecycle.AnswerLate { // a stalled machine causes this as well
-			n.warn("late").Str("rule", string(v.Rule)).Str("id", v.ID).Msg(v.What)
+			n.warn("late").Str("rule", string(v.Rule)).Str("id", v.ID).Msg(v.State)
 			return
 		}
-		n.log.Error().Str("cause", "violation").Str("rule", string(v.Rule)).Str("id", v.ID).Msg(v.What)
+		n.log.Error().Str("cause", "violation").Str("rule", string(v.Rule)).Str("id", v.ID).Msg(v.State)
 	}}
 	var undo []func()
 	defer func() {
@@ -199,9 +199,9 @@
 		OnListed: func(int) {}, OnError: func(source string, err error) {
 			n.warn("discovery").Str("source", source).Err(err).Msg("")
 		}})
-	n.front, err = hookfront.New(hookfront.Options{Listen: cfg.Listen, Lanes: s.Lanes, Ordered: ordered, Dest: n.isListed,
-		Ready: n.ready.Load, Header: maxHeaderBytes, Body: maxBodyBytes, Connections: b.Clients, Lingering: b.Lingering, Kept: b.Kept, Request: 2 * clientTimeout, Respond: responseTimeout, Wait: clientTimeout, Whole: requestReadTimeout, Idle: idleTimeout, Linger: lingerTimeout,
-		WriteBuffer: b.WriteBuffer, Door: n.core, Keeper: n.journalLog, Notices: n.notices, Guard: n.guard, Trace: stepLogger(log),
+	n.front, err = hookfront.New(hookfront.Options{Listen: cfg.Listen, Classes: s.Lanes, Ordered: ordered, KnownDestination: n.isListed,
+		Ready: n.ready.Load, HeaderBytes: maxHeaderBytes, BodyBytes: maxBodyBytes, Connections: b.Clients, LingeringConnections: b.Lingering, IdleConnections: b.Kept, RequestPause: 2 * clientTimeout, RespondWithin: responseTimeout, ClientTimeout: clientTimeout, RequestTimeout: requestReadTimeout, IdleTimeout: idleTimeout, LingerTimeout: lingerTimeout,
+		WriteBuffer: b.WriteBuffer, Core: n.core, Journal: n.journalLog, Notices: n.notices, Guard: n.guard, Trace: stepLogger(log),
 		Logf: func(f string, v ...any) { n.warn("front").Msgf(f, v...) }})
 	if err != nil {
 		return nil, err
@@ -232,10 +232,10 @@
 // logPeerRefusal logs a host's answer that failed validation. Refusals to reuse a connection are
 // only counted.
 func (n *Node) logPeerRefusal(r lifecycle.PeerRefusal) {
-	if r.Breach == lifecycle.ReuseForbidden || r.Breach == lifecycle.ReuseUnrested {
+	if r.Reason == lifecycle.ReuseForbidden || r.Reason == lifecycle.ReuseUnrested {
 		return
 	}
-	n.warn("host").Str("breach", string(r.Breach)).Str("host", r.Peer).Uint64("connection", r.Connection).Int("turn", r.Turn).
+	n.warn("host").Str("breach", string(r.Reason)).Str("host", r.Peer).Uint64("connection", r.Connection).Int("turn", r.Calls).
 		Str("id", r.Message).Msg("answer of host rejected")
 }
 
@@ -384,9 +384,9 @@
 		began := time.Now()
 		n.front.Drain()
 		time.Sleep(closeListenerAfter)
-		n.front.Leave()
+		n.front.CloseListener()
 		time.Sleep(stopSendingAfter - time.Since(began))
-		n.front.Finish() // before the core is parked, so that every message handed in until then is answered
+		n.front.StopHandIns() // before the core is parked, so that every message handed in until then is answered
 		idle := make(chan struct{})
 		n.core.Park(func() { close(idle) })
 		select {
@@ -415,7 +415,7 @@
 	resolved := make(chan struct{})
 	n.core.ResolveUndecided(func() { close(resolved) })
 	<-resolved
-	for end := by.Add(flushGrace); !n.front.Quiet() && time.Now().Before(end); {
+	for end := by.Add(flushGrace); !n.front.AllAnswered() && time.Now().Before(end); {
 		time.Sleep(flushPollInterval)
 	}
 }
